--- a/crates/node/src/answer_body.rs
+++ b/crates/node/src/answer_body.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use serde::Serialize;
 
-use crate::{door::RunSlot, front::SentMark, link::LinkPromise, node_core::OpenMark};
+use crate::{front::SentMark, inbound::RunSlot, link::LinkPromise, node_core::OpenMark};
 
 #[derive(Debug)]
 enum BodySource {
--- a/crates/node/src/follow/announcer.rs
+++ b/crates/node/src/follow/announcer.rs
@@ -10,8 +10,8 @@
 
 use super::own_key;
 use crate::{
-    door::LocalEndpoint,
     errand::StoreWay,
+    inbound::LocalEndpoint,
     member::{MemberRecord, MemberState},
     node_core::NodeCore,
     store::{LeaseId, MetaStore, Revision, StoreEra, StoreError, StoreWrite},
@@ -273,14 +273,16 @@
 
 /// Whether the backend server has said its farewell.
 fn has_left(core: &NodeCore) -> bool {
-    let gate = core.door.gate().borrow();
-    gate.current().is_some_and(|current| current.deregistered)
+    let tracker = core.inbound.tracker().borrow();
+    tracker
+        .current()
+        .is_some_and(|current| current.deregistered)
 }
 
 /// Returns what should stand in the store.
 fn wanted(core: &NodeCore) -> Option<MemberRecord> {
-    let gate = core.door.gate().borrow();
-    let current: &LocalEndpoint = gate.current()?;
+    let tracker = core.inbound.tracker().borrow();
+    let current: &LocalEndpoint = tracker.current()?;
     if current.deregistered {
         return None;
     }
--- a/crates/node/src/follow/era_watch.rs
+++ b/crates/node/src/follow/era_watch.rs
@@ -22,6 +22,6 @@
         }
         known = era;
         core.announce.notify_one();
-        core.door.broken().write_again(core.clock.now());
+        core.inbound.broken().write_again(core.clock.now());
     }
 }
--- a/crates/node/src/follow/news_intake.rs
+++ b/crates/node/src/follow/news_intake.rs
@@ -85,8 +85,8 @@
 ) {
     let now = core.clock.now();
     if record.hop == core.settings.hop {
-        core.door.gate().borrow_mut().restore(now, &record);
-        if core.door.gate().borrow().current().is_none() {
+        core.inbound.tracker().borrow_mut().restore(now, &record);
+        if core.inbound.tracker().borrow().current().is_none() {
             *core.own_record.borrow_mut() = Some(record.clone());
             core.own_record_heard.notify_one();
         }
--- a/crates/node/src/front/attempt.rs
+++ b/crates/node/src/front/attempt.rs
@@ -13,12 +13,12 @@
     answer_body::{AnswerBody, is_short},
     config::ConfigVersion,
     crash::BreakFinding,
-    door::{DoorError, DoorRefusal, DoorRequest},
     header_set::{
         HOP_BROKE, HOP_FINDING, HOP_LOAD, HOP_NOTE, HOP_REFUSAL, HOP_VERSION, head_bytes,
         header_text, set_header, strip_connection, strip_hop,
     },
     hop::{ExchangeError, HopNote},
+    inbound::{InboundError, InboundRefusal, InboundRequest},
     link::LinkUse,
     member::{LoadReport, MemberKey, MemberRecord},
     node_core::NodeCore,
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TryFailure {
     /// The request certainly didn't run there.
-    Refused(DoorRefusal),
+    Refused(InboundRefusal),
     /// The node there couldn't be reached; nothing was sent.
     Unreachable(String),
     /// The request may have run; there is no usable answer.
@@ -72,7 +72,7 @@
 
     async fn send_home(self, mark: SentMark, record: &MemberRecord) -> TryResult {
         let request = self.request;
-        let door_request = DoorRequest {
+        let inbound_request = InboundRequest {
             origin: RequestOrigin::Caller,
             method: request.method.clone(),
             uri: request.uri.clone(),
@@ -88,14 +88,16 @@
             print: request.print,
         };
         let idempotent = request.route.kind.is_idempotent();
-        let answer = self.core.door.run(door_request, idempotent).await;
+        let answer = self.core.inbound.run(inbound_request, idempotent).await;
         let class = request.route.class;
-        let load = self.core.door.load(class);
+        let load = self.core.inbound.load(class);
         self.core.loaded(mark.key(), class, load);
         match answer {
             Ok(response) => Ok(Box::new(response.map(|body| body.with_mark(mark)))),
-            Err(DoorError::Refused { refusal }) => Err(TryFailure::Refused(refusal)),
-            Err(DoorError::Broke { reason, finding }) => Err(TryFailure::Broke { reason, finding }),
+            Err(InboundError::Refused { refusal }) => Err(TryFailure::Refused(refusal)),
+            Err(InboundError::Broke { reason, finding }) => {
+                Err(TryFailure::Broke { reason, finding })
+            }
         }
     }
 
@@ -124,7 +126,7 @@
         };
         mark.hold(sender);
         self.learn(key, record, response.headers());
-        let refusal = parsed::<DoorRefusal>(response.headers(), &HOP_REFUSAL);
+        let refusal = parsed::<InboundRefusal>(response.headers(), &HOP_REFUSAL);
         let broke = header_text(response.headers(), &HOP_BROKE).map(ToOwned::to_owned);
         let finding = header_text(response.headers(), &HOP_FINDING);
         let finding = finding.and_then(|text| serde_json::from_str(text).ok());
--- a/crates/node/src/front/failed_try.rs
+++ b/crates/node/src/front/failed_try.rs
@@ -6,7 +6,7 @@
     try_record::TryRecord,
 };
 use crate::{
-    door::{DoorRefusal, RefusalReason},
+    inbound::{InboundRefusal, RefusalReason},
     member::TryEnd,
 };
 
@@ -62,7 +62,7 @@
 }
 
 /// Returns what a refusal says of the member; nothing where it concerns the request alone.
-const fn end_of(refusal: DoorRefusal) -> Option<TryEnd> {
+const fn end_of(refusal: InboundRefusal) -> Option<TryEnd> {
     let retry_after = refusal.retry_after;
     match refusal.reason {
         RefusalReason::LinkFull => Some(TryEnd::LinkRefused { retry_after }),
--- a/crates/node/src/front/front_flow.rs
+++ b/crates/node/src/front/front_flow.rs
@@ -106,7 +106,7 @@
         let caller_end = deadline.map(|deadline| arrived + deadline);
         let first_asked = self.first_asked(arrived, &route, print, deadline);
         let useful_until = first_asked + route.target;
-        let begun = self.core.door.calls().borrow().is_call(route.class);
+        let begun = self.core.inbound.calls().borrow().is_call(route.class);
         Ok(FrontRequest {
             id: id.into(),
             method: head.method,
@@ -214,7 +214,7 @@
             }
             Err(answer) => {
                 let now = self.core.clock.now();
-                let mut calls = self.core.door.calls().borrow_mut();
+                let mut calls = self.core.inbound.calls().borrow_mut();
                 let learned = calls.turned_away(now, request.route.class);
                 drop(calls);
                 if let Some(class) = learned {
--- a/crates/node/src/front/try_flow.rs
+++ b/crates/node/src/front/try_flow.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     answer_body::AnswerBody,
-    door::{DoorRefusal, RefusalReason},
+    inbound::{InboundRefusal, RefusalReason},
     member::{MemberKey, MemberRecord, PickQuery, TryEnd},
     node_core::NodeCore,
     retry::RetryNeed,
@@ -217,7 +217,7 @@
         // All members that could be asked have just reported their links as full: asking
         // again would only cost each of them a request.
         if let Some(retry_after) = fleet.link_wait(now, &query) {
-            tries.refusal = Some(DoorRefusal {
+            tries.refusal = Some(InboundRefusal {
                 reason: RefusalReason::LinkFull,
                 retry_after,
             });
--- a/crates/node/src/front/try_record.rs
+++ b/crates/node/src/front/try_record.rs
@@ -8,7 +8,7 @@
 use super::{FrontAnswer, FrontRequest};
 use crate::{
     answer_body::AnswerBody,
-    door::{DoorRefusal, RefusalReason},
+    inbound::{InboundRefusal, RefusalReason},
     member::{MemberKey, MemberRecord},
     node_core::NodeCore,
     result_code::ResultCode,
@@ -44,7 +44,7 @@
     pub(super) under_way: u32,
     /// Whether a try that has ended may have run.
     pub(super) ran: bool,
-    pub(super) refusal: Option<DoorRefusal>,
+    pub(super) refusal: Option<InboundRefusal>,
     pub(super) broke: Option<String>,
     /// Whether it crashes backend servers, or may do so: no other one may be tried.
     pub(super) crashes_servers: bool,
--- a/crates/node/src/header_set.rs
+++ b/crates/node/src/header_set.rs
@@ -29,7 +29,7 @@
 /// Load of the backend server: see [`LoadReport`](crate::member::LoadReport).
 pub const HOP_LOAD: HeaderName = HeaderName::from_static("geranium-load");
 /// The request certainly didn't run: see
-/// [`DoorRefusal`](crate::door::DoorRefusal).
+/// [`InboundRefusal`](crate::inbound::InboundRefusal).
 pub const HOP_REFUSAL: HeaderName = HeaderName::from_static("geranium-refusal");
 /// The request may have run and has no usable answer.
 pub const HOP_BROKE: HeaderName = HeaderName::from_static("geranium-broke");
--- a/crates/node/src/hop_port.rs
+++ b/crates/node/src/hop_port.rs
@@ -12,7 +12,6 @@
 use crate::{
     answer_body::{AnswerBody, empty_answer},
     crash::{BreakFinding, CRASH_PATH, CrashPort, request_print},
-    door::{DoorError, DoorRefusal, DoorRequest, RefusalReason},
     errand::{ERRAND_PATH, ErrandPort},
     follow::{FOLLOW_PATH, FollowPort},
     header_set::{
@@ -20,6 +19,7 @@
         set_header, strip_connection,
     },
     hop::HopNote,
+    inbound::{InboundError, InboundRefusal, InboundRequest, RefusalReason},
     node_core::NodeCore,
     request_origin::RequestOrigin,
 };
@@ -66,8 +66,8 @@
         let Some(note) = note else {
             return empty_answer(StatusCode::BAD_REQUEST);
         };
-        if self.core.door.refuses_hops() {
-            return refused(&DoorRefusal {
+        if self.core.inbound.refuses_peers() {
+            return refused(&InboundRefusal {
                 reason: RefusalReason::Stopping,
                 retry_after: Duration::ZERO,
             });
@@ -78,24 +78,24 @@
             Ok(Ok(whole)) => whole.to_bytes(),
             _ => return empty_answer(StatusCode::BAD_REQUEST),
         };
-        let request = self.door_request(head, body, &note, now);
-        let mut response = match self.core.door.run(request, note.idempotent).await {
+        let request = self.inbound_request(head, body, &note, now);
+        let mut response = match self.core.inbound.run(request, note.idempotent).await {
             Ok(response) => response,
-            Err(DoorError::Refused { refusal }) => refused(&refusal),
-            Err(DoorError::Broke { reason, finding }) => broke(&reason, finding.as_ref()),
+            Err(InboundError::Refused { refusal }) => refused(&refusal),
+            Err(InboundError::Broke { reason, finding }) => broke(&reason, finding.as_ref()),
         };
-        let load = self.core.door.load(note.class);
+        let load = self.core.inbound.load(note.class);
         set_header(response.headers_mut(), &HOP_LOAD, &load.to_string());
         response
     }
 
-    fn door_request(
+    fn inbound_request(
         &self,
         head: http::request::Parts,
         body: Bytes,
         note: &HopNote,
         now: Instant,
-    ) -> DoorRequest {
+    ) -> InboundRequest {
         let names = &self.core.headers;
         let left =
             header_text(&head.headers, &names.deadline_ms).and_then(|text| text.parse().ok());
@@ -104,7 +104,7 @@
         let mut headers = head.headers;
         strip_connection(&mut headers);
         let print = request_print(&head.method, &head.uri, &headers, &body);
-        DoorRequest {
+        InboundRequest {
             origin: RequestOrigin::Node,
             print,
             method: head.method,
@@ -122,7 +122,7 @@
     }
 }
 
-fn refused(refusal: &DoorRefusal) -> Response<AnswerBody> {
+fn refused(refusal: &InboundRefusal) -> Response<AnswerBody> {
     let mut response = empty_answer(StatusCode::SERVICE_UNAVAILABLE);
     set_header(response.headers_mut(), &HOP_REFUSAL, &refusal.to_string());
     response
--- a/crates/node/src/door/door_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -25,7 +25,7 @@
 
 /// A waiting job; the least runs next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct JobKey {
+pub struct QueueKey {
     /// Whether it has yet to begin; a call belongs to a run that has.
     fresh: bool,
     rank: u8,
@@ -37,7 +37,7 @@
 
 /// A request that wants to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct JobOffer {
+pub struct AdmissionRequest {
     /// Rank of its route; 0 is the most urgent.
     pub rank: u8,
     /// Hash of its route, by which service times are kept.
@@ -54,7 +54,7 @@
 
 /// What becomes of an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OfferVerdict {
+pub enum AdmissionDecision {
     /// It runs now.
     Run,
     /// Every slot is taken, and it may not wait.
@@ -62,7 +62,7 @@
     /// It waits; refuse it when it still does at `latest`.
     Wait {
         /// Key by which it is granted or withdrawn.
-        key: JobKey,
+        key: QueueKey,
         /// Last moment at which starting it is of use.
         latest: Duration,
     },
@@ -88,11 +88,11 @@
 /// how long places in the queue really took, as jobs are overtaken. A job that waits is
 /// refused as soon as starting it is of no use.
 #[derive(Debug)]
-pub struct DoorQueue {
+pub struct AdmissionQueue {
     slots: u32,
     running: u32,
     order: u64,
-    waiting: BTreeMap<JobKey, WaitingJob>,
+    waiting: BTreeMap<QueueKey, WaitingJob>,
     books: ClassBooks,
 }
 
@@ -106,7 +106,7 @@
     planned: Duration,
 }
 
-impl DoorQueue {
+impl AdmissionQueue {
     /// Makes an empty queue in front of `slots` slots.
     pub fn new(slots: u32) -> Self {
         Self {
@@ -119,7 +119,7 @@
     }
 
     /// Changes the number of slots and returns the jobs that run now.
-    pub fn set_slots(&mut self, now: Duration, slots: u32) -> Vec<JobKey> {
+    pub fn set_slots(&mut self, now: Duration, slots: u32) -> Vec<QueueKey> {
         self.slots = slots.max(1);
         self.grant(now)
     }
@@ -150,25 +150,25 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::door::{DoorQueue, JobOffer, OfferVerdict};
+    /// use geranium_node::inbound::{AdmissionQueue, AdmissionRequest, AdmissionDecision};
     ///
-    /// let mut queue = DoorQueue::new(1);
+    /// let mut queue = AdmissionQueue::new(1);
     /// let useful_until = Duration::from_millis(400);
     /// let ends_at = Duration::from_millis(1_000);
     /// let offer =
-    ///     JobOffer { rank: 1, class: 7, begun: false, may_wait: true, useful_until, ends_at };
-    /// assert_eq!(queue.offer(Duration::ZERO, offer), OfferVerdict::Run);
-    /// assert!(matches!(queue.offer(Duration::ZERO, offer), OfferVerdict::Wait { .. }));
+    ///     AdmissionRequest { rank: 1, class: 7, begun: false, may_wait: true, useful_until, ends_at };
+    /// assert_eq!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Run);
+    /// assert!(matches!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Wait { .. }));
     /// let freed = queue.finish(Duration::from_millis(100), 7, Some(Duration::from_millis(100)));
     /// assert_eq!(freed.len(), 1);
     /// ```
-    pub fn offer(&mut self, now: Duration, offer: JobOffer) -> OfferVerdict {
+    pub fn offer(&mut self, now: Duration, offer: AdmissionRequest) -> AdmissionDecision {
         let class = ClassId {
             rank: offer.rank,
             class: offer.class,
         };
         if self.running >= self.slots && !offer.may_wait {
-            return OfferVerdict::Busy;
+            return AdmissionDecision::Busy;
         }
         self.books.offered(now, class);
         let service = self.books.service_of(class);
@@ -176,13 +176,13 @@
         if self.running < self.slots {
             self.running += 1;
             self.judge(class, late, true);
-            return OfferVerdict::Run;
+            return AdmissionDecision::Run;
         }
         if !offer.begun && self.books.is_ahead(now, class) {
             return self.refuse(class, late, self.wait());
         }
         self.order += 1;
-        let key = JobKey {
+        let key = QueueKey {
             fresh: !offer.begun,
             rank: offer.rank,
             late,
@@ -211,7 +211,7 @@
             planned,
         };
         self.waiting.insert(key, job);
-        OfferVerdict::Wait { key, latest }
+        AdmissionDecision::Wait { key, latest }
     }
 
     /// Returns how long a job of this mean run may wait that hasn't begun. After a
@@ -230,16 +230,16 @@
         }
     }
 
-    fn refuse(&mut self, class: ClassId, late: bool, wait: Duration) -> OfferVerdict {
+    fn refuse(&mut self, class: ClassId, late: bool, wait: Duration) -> AdmissionDecision {
         self.judge(class, late, false);
         self.books.passed_over(class, late);
         let retry_after = wait.clamp(RETRY_MIN, RETRY_MAX);
-        OfferVerdict::Refuse { retry_after }
+        AdmissionDecision::Refuse { retry_after }
     }
 
     /// Refuses a waiting job whose latest start has passed; `false` if it
     /// doesn't wait any more.
-    pub fn expire(&mut self, key: JobKey) -> bool {
+    pub fn expire(&mut self, key: QueueKey) -> bool {
         let job = self.waiting.remove(&key);
         if let Some(job) = job {
             self.judge(job.class, job.late, false);
@@ -251,7 +251,7 @@
 
     /// Withdraws a waiting job whose caller left; `false` if it doesn't wait
     /// any more.
-    pub fn withdraw(&mut self, key: JobKey) -> bool {
+    pub fn withdraw(&mut self, key: QueueKey) -> bool {
         self.waiting.remove(&key).is_some()
     }
 
@@ -259,7 +259,7 @@
     ///
     /// `took` is the time of a whole run; `None` when it was cut short, which
     /// says nothing about the pace.
-    pub fn finish(&mut self, now: Duration, class: u64, took: Option<Duration>) -> Vec<JobKey> {
+    pub fn finish(&mut self, now: Duration, class: u64, took: Option<Duration>) -> Vec<QueueKey> {
         self.running = self.running.saturating_sub(1);
         if let Some(took) = took {
             self.books.ran(class, took);
@@ -272,7 +272,7 @@
     }
 
     /// Returns how soon room is expected for a job at `key`'s place.
-    fn wait_before(&self, key: JobKey) -> Duration {
+    fn wait_before(&self, key: QueueKey) -> Duration {
         self.wait_behind(self.waiting.range(..key).count() as u32)
     }
 
@@ -289,7 +289,7 @@
 
     /// Starts waiting jobs while there is room. Jobs past their latest start
     /// are left to their own timers, which refuse them.
-    fn grant(&mut self, now: Duration) -> Vec<JobKey> {
+    fn grant(&mut self, now: Duration) -> Vec<QueueKey> {
         let mut granted = Vec::new();
         while self.running < self.slots {
             let next = self.waiting.iter().find(|(_, job)| job.latest >= now);
--- a/crates/node/src/door/call_book.rs
+++ b/crates/node/src/inbound/call_book.rs
@@ -86,7 +86,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::door::CallBook;
+    /// use geranium_node::inbound::CallBook;
     ///
     /// let mut book = CallBook::default();
     /// for second in 1..5 {
--- a/crates/node/src/door/crash_admission.rs
+++ b/crates/node/src/inbound/crash_admission.rs
@@ -5,11 +5,11 @@
 use tokio::{sync::SemaphorePermit, time::timeout_at};
 
 use super::{
-    DoorError, DoorFlow, DoorRequest, RefusalReason,
-    door_flow::{RETRY_ELSEWHERE, refused},
+    InboundError, InboundProxy, InboundRequest, RefusalReason,
+    inbound_proxy::{RETRY_ELSEWHERE, refused},
 };
 
-impl DoorFlow {
+impl InboundProxy {
     /// Refuses a request that has crashed backend servers, and lets one that was running
     /// when one crashed wait for its turn, which it holds while it runs.
     ///
@@ -22,8 +22,8 @@
     /// When it may not run here, or its turn doesn't come in its time.
     pub(super) async fn admit_print(
         &self,
-        request: &DoorRequest,
-    ) -> Result<Option<SemaphorePermit<'_>>, DoorError> {
+        request: &InboundRequest,
+    ) -> Result<Option<SemaphorePermit<'_>>, InboundError> {
         self.refuse_poisoned(request.print)?;
         let now = self.inner.clock.now();
         if !self.crashes.borrow().is_suspect(now, request.print) {
@@ -43,7 +43,7 @@
         Ok(turn)
     }
 
-    fn refuse_poisoned(&self, print: u64) -> Result<(), DoorError> {
+    fn refuse_poisoned(&self, print: u64) -> Result<(), InboundError> {
         let now = self.inner.clock.now();
         let refusal: Option<Duration> = self.crashes.borrow().refusal(now, print);
         match refusal {
--- a/crates/node/src/door/endpoint_breaker.rs
+++ b/crates/node/src/inbound/endpoint_breaker.rs
@@ -38,7 +38,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::door::EndpointBreaker;
+    /// use geranium_node::inbound::EndpointBreaker;
     ///
     /// let mut breaker = EndpointBreaker::default();
     /// let now = Duration::from_secs(1);
--- a/crates/node/src/door/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -7,8 +7,8 @@
 use tokio::time::Instant;
 
 use super::{
-    DoorError, DoorFlow, DoorRequest, RefusalReason, RunSlot,
-    door_flow::{IDLE_ONCE, IDLE_REPEATABLE, RETRY_ELSEWHERE, broke, refused},
+    InboundError, InboundProxy, InboundRequest, RefusalReason, RunSlot,
+    inbound_proxy::{IDLE_ONCE, IDLE_REPEATABLE, RETRY_ELSEWHERE, broke, refused},
 };
 use crate::{
     answer_body::{AnswerBody, is_short},
@@ -18,14 +18,14 @@
     member::EndpointStart,
 };
 
-impl DoorFlow {
+impl InboundProxy {
     pub(super) async fn call(
         &self,
-        request: DoorRequest,
+        request: InboundRequest,
         idempotent: bool,
         slot: RunSlot,
         start: EndpointStart,
-    ) -> Result<Response<AnswerBody>, DoorError> {
+    ) -> Result<Response<AnswerBody>, InboundError> {
         let id = request.headers.get(&self.headers.request_id).cloned();
         let print = request.print;
         let outgoing = self.outgoing(request, start.instance());
@@ -55,7 +55,7 @@
                 };
                 let now = self.inner.clock.now();
                 let finding = self.broken.push(now, began, row).await.ok();
-                return Err(DoorError::Broke { reason, finding });
+                return Err(InboundError::Broke { reason, finding });
             }
         };
         self.check(&response, id.as_ref())?;
@@ -66,7 +66,7 @@
         deliver(response, slot, sender).await
     }
 
-    fn outgoing(&self, request: DoorRequest, instance: &str) -> Request<Full<Bytes>> {
+    fn outgoing(&self, request: InboundRequest, instance: &str) -> Request<Full<Bytes>> {
         let mut headers = request.headers;
         strip_hop(&mut headers);
         let left = request.ends_at.saturating_duration_since(Instant::now());
@@ -88,13 +88,13 @@
         &self,
         response: &Response<Incoming>,
         id: Option<&HeaderValue>,
-    ) -> Result<(), DoorError> {
+    ) -> Result<(), InboundError> {
         let headers = response.headers();
         let status = response.status();
         if status == StatusCode::MISDIRECTED_REQUEST {
             if let Some(actual) = header_text(headers, &self.headers.instance) {
                 let now = self.inner.clock.now();
-                if let Some(ended) = self.gate.borrow_mut().corrected(actual) {
+                if let Some(ended) = self.tracker.borrow_mut().corrected(actual) {
                     self.broken.replaced(now, &ended, actual);
                 }
             }
@@ -123,7 +123,7 @@
     response: Response<Incoming>,
     mut slot: RunSlot,
     sender: PooledSender,
-) -> Result<Response<AnswerBody>, DoorError> {
+) -> Result<Response<AnswerBody>, InboundError> {
     let (mut head, body) = response.into_parts();
     strip_connection(&mut head.headers);
     strip_hop(&mut head.headers);
--- a/crates/node/src/door/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -35,11 +35,11 @@
     let Some(path) = config.health_path(&record.service) else {
         return;
     };
-    let healthy = core.door.health(path).await;
+    let healthy = core.inbound.health(path).await;
     let same = healthy.as_deref() == Some(record.start.instance());
     info!(core.log.logger(), "backend server asked";
         "instance" => %record.start, "healthy" => healthy, "opened" => same);
-    if same && core.door.gate().borrow().current().is_none() {
+    if same && core.inbound.tracker().borrow().current().is_none() {
         core.report(EndpointReport {
             start: record.start,
             service: record.service,
--- a/crates/node/src/door/endpoint_health.rs
+++ b/crates/node/src/inbound/endpoint_health.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full};
 use tokio::time::timeout;
 
-use super::{DoorFlow, door_flow::IDLE_ONCE};
+use super::{InboundProxy, inbound_proxy::IDLE_ONCE};
 use crate::{header_set::header_text, hop::ExchangeError};
 
 /// Longest time for a health check; it takes a millisecond when a slot is
@@ -22,7 +22,7 @@
     pub instance: Option<String>,
 }
 
-impl DoorFlow {
+impl InboundProxy {
     /// Asks the backend server whether it is healthy and not leaving, and
     /// returns the start that says so.
     pub async fn health(&self, path: &str) -> Option<String> {
--- a/crates/node/src/door/endpoint_gate.rs
+++ b/crates/node/src/inbound/endpoint_tracker.rs
@@ -11,7 +11,7 @@
 
 /// What became of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReportVerdict {
+pub enum ReportOutcome {
     /// Another start of the backend server was adopted.
     Adopted,
     /// What is announced of it changed.
@@ -49,27 +49,27 @@
 /// the time at which they began, or by their first appearance where that isn't told;
 /// ended starts stay ended. The backend server itself has the last word: it refuses
 /// requests that expect another start and names the one that it is
-/// ([`EndpointGate::corrected`]).
+/// ([`EndpointTracker::corrected`]).
 #[derive(Debug, Default)]
-pub struct EndpointGate {
+pub struct EndpointTracker {
     current: Option<LocalEndpoint>,
     retired: VecDeque<EndpointStart>,
 }
 
-impl EndpointGate {
+impl EndpointTracker {
     /// Takes in a heartbeat.
-    pub fn report(&mut self, now: Duration, report: EndpointReport) -> ReportVerdict {
+    pub fn report(&mut self, now: Duration, report: EndpointReport) -> ReportOutcome {
         if self.is_retired(&report.start) {
-            return ReportVerdict::Stale;
+            return ReportOutcome::Stale;
         }
         let current = self.current.as_mut();
         let known = current.map(|current| (report.start.order(&current.report.start), current));
         match known {
             Some((StartOrder::Same, current)) => update(current, now, report),
-            Some((StartOrder::Earlier, _)) => ReportVerdict::Stale,
+            Some((StartOrder::Earlier, _)) => ReportOutcome::Stale,
             Some((StartOrder::Later | StartOrder::Unknown, _)) | None => {
                 self.adopt(now, report);
-                ReportVerdict::Adopted
+                ReportOutcome::Adopted
             }
         }
     }
@@ -199,13 +199,13 @@
     }
 }
 
-fn update(current: &mut LocalEndpoint, now: Duration, report: EndpointReport) -> ReportVerdict {
+fn update(current: &mut LocalEndpoint, now: Duration, report: EndpointReport) -> ReportOutcome {
     if report.service != current.report.service {
         // A start serves one service all its life.
-        return ReportVerdict::Foreign;
+        return ReportOutcome::Foreign;
     }
     if report.sequence <= current.report.sequence {
-        return ReportVerdict::Stale;
+        return ReportOutcome::Stale;
     }
     let told = |report: &EndpointReport| (report.state, report.slots);
     let changed = told(&report) != told(&current.report);
@@ -218,8 +218,8 @@
     current.report = report;
     if changed {
         current.changed_by = current.report.sequence;
-        ReportVerdict::Changed
+        ReportOutcome::Changed
     } else {
-        ReportVerdict::Unchanged
+        ReportOutcome::Unchanged
     }
 }
--- a/crates/node/src/door/door_flow.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -17,8 +17,8 @@
 };
 
 use super::{
-    CallBook, DoorQueue, DoorRefusal, DoorRequest, EndpointBreaker, EndpointGate, JobKey,
-    RefusalReason,
+    AdmissionQueue, CallBook, EndpointBreaker, EndpointTracker, InboundRefusal, InboundRequest,
+    QueueKey, RefusalReason,
 };
 use crate::{
     answer_body::AnswerBody,
@@ -48,7 +48,7 @@
 
 /// Settings of a door.
 #[derive(Debug, Clone)]
-pub struct DoorSettings {
+pub struct InboundSettings {
     /// Address of the backend server.
     pub endpoint: SocketAddr,
     /// Slots assumed until the backend server tells.
@@ -60,12 +60,12 @@
 
 /// Failure at the door.
 #[derive(Debug, Snafu)]
-pub enum DoorError {
+pub enum InboundError {
     /// The request certainly didn't run.
     #[snafu(display("refused: {refusal}"))]
     Refused {
         /// Reason and advice.
-        refusal: DoorRefusal,
+        refusal: InboundRefusal,
     },
     /// The request may have run; there is no usable answer.
     #[snafu(display("broke: {reason}"))]
@@ -79,16 +79,16 @@
 
 /// State of the door.
 #[derive(Debug)]
-pub(super) struct DoorInner {
+pub(super) struct InboundState {
     pub(super) endpoints: ConnectionPool,
     pub(super) clock: NodeClock,
     pub(super) link: Rc<LinkLine>,
     pub(super) sizes: RefCell<AnswerSizes>,
-    pub(super) queue: RefCell<DoorQueue>,
-    pub(super) waiters: RefCell<HashMap<JobKey, oneshot::Sender<()>>>,
+    pub(super) queue: RefCell<AdmissionQueue>,
+    pub(super) waiters: RefCell<HashMap<QueueKey, oneshot::Sender<()>>>,
 }
 
-impl DoorInner {
+impl InboundState {
     /// Frees a slot and starts who is next.
     pub(super) fn finish(&self, class: u64, took: Option<Duration>) {
         let granted = self
@@ -98,7 +98,7 @@
         self.wake(granted);
     }
 
-    fn wake(&self, granted: Vec<JobKey>) {
+    fn wake(&self, granted: Vec<QueueKey>) {
         for key in granted {
             let waiter = self.waiters.borrow_mut().remove(&key);
             // A waiter that has just gone frees its slot itself.
@@ -111,11 +111,11 @@
 
 /// The only way in to the backend server beside this node.
 #[derive(Debug)]
-pub struct DoorFlow {
-    pub(super) inner: Rc<DoorInner>,
-    pub(super) settings: DoorSettings,
+pub struct InboundProxy {
+    pub(super) inner: Rc<InboundState>,
+    pub(super) settings: InboundSettings,
     pub(super) headers: HeaderSet,
-    pub(super) gate: RefCell<EndpointGate>,
+    pub(super) tracker: RefCell<EndpointTracker>,
     pub(super) broken: BrokenRuns,
     pub(super) crashes: Rc<RefCell<CrashBook>>,
     /// Held while a request runs that was running when a backend server crashed.
@@ -125,10 +125,10 @@
     stopping_since: Cell<Option<Duration>>,
 }
 
-impl DoorFlow {
+impl InboundProxy {
     /// Makes a door that is shut until the backend server reports.
     pub fn new(
-        settings: DoorSettings,
+        settings: InboundSettings,
         headers: HeaderSet,
         clock: NodeClock,
         link: Rc<LinkLine>,
@@ -138,19 +138,19 @@
             connect_time: CONNECT_TIME,
             idle_time: IDLE_REPEATABLE,
         });
-        let inner = DoorInner {
+        let inner = InboundState {
             endpoints,
             clock,
             link,
             sizes: RefCell::default(),
-            queue: RefCell::new(DoorQueue::new(settings.slots)),
+            queue: RefCell::new(AdmissionQueue::new(settings.slots)),
             waiters: RefCell::default(),
         };
         Self {
             inner: Rc::new(inner),
             settings,
             headers,
-            gate: RefCell::default(),
+            tracker: RefCell::default(),
             broken: BrokenRuns::default(),
             crashes,
             suspect_turn: Semaphore::new(1),
@@ -161,8 +161,8 @@
     }
 
     /// Returns the gate, to report to it.
-    pub fn gate(&self) -> &RefCell<EndpointGate> {
-        &self.gate
+    pub fn tracker(&self) -> &RefCell<EndpointTracker> {
+        &self.tracker
     }
 
     /// Returns what is known of the backend server's calls.
@@ -195,7 +195,7 @@
     }
 
     /// Whether requests of other nodes are refused.
-    pub fn refuses_hops(&self) -> bool {
+    pub fn refuses_peers(&self) -> bool {
         let now = self.inner.clock.now();
         let since = self.stopping_since.get();
         since.is_some_and(|since| now >= since + self.settings.leaving_grace)
@@ -238,9 +238,9 @@
     /// Whether it may have run.
     pub async fn run(
         &self,
-        request: DoorRequest,
+        request: InboundRequest,
         idempotent: bool,
-    ) -> Result<Response<AnswerBody>, DoorError> {
+    ) -> Result<Response<AnswerBody>, InboundError> {
         let turn = self.admit_print(&request).await?;
         let start = self.admit(&request)?;
         let promise = self.promise_link(&request)?;
@@ -271,42 +271,42 @@
         Ok(answer.map(|body| body.with_promise(promise)))
     }
 
-    fn admit_by_breaker(&self) -> Result<(), DoorError> {
+    fn admit_by_breaker(&self) -> Result<(), InboundError> {
         let admitted = self.breaker.borrow_mut().admit(self.inner.clock.now());
         admitted.or_else(|wait| refused(RefusalReason::EndpointDown, wait))
     }
 
     /// Tells the breaker how a run ended. A refusal says nothing.
-    fn note_run(&self, result: &Result<Response<AnswerBody>, DoorError>) {
+    fn note_run(&self, result: &Result<Response<AnswerBody>, InboundError>) {
         let mut breaker = self.breaker.borrow_mut();
         match result {
             Ok(_) => breaker.answered(),
-            Err(DoorError::Broke { .. }) => breaker.broke(self.inner.clock.now()),
-            Err(DoorError::Refused { .. }) => {}
+            Err(InboundError::Broke { .. }) => breaker.broke(self.inner.clock.now()),
+            Err(InboundError::Refused { .. }) => {}
         }
     }
 
-    fn admit(&self, request: &DoorRequest) -> Result<EndpointStart, DoorError> {
-        let gate = self.gate.borrow();
+    fn admit(&self, request: &InboundRequest) -> Result<EndpointStart, InboundError> {
+        let tracker = self.tracker.borrow();
         let grace = self.settings.leaving_grace;
         let now = self.inner.clock.now();
-        match gate.admits(now, request.instance.as_deref(), grace) {
+        match tracker.admits(now, request.instance.as_deref(), grace) {
             Ok(current) => Ok(current.report.start.clone()),
             Err(reason) => refused(reason, RETRY_ELSEWHERE),
         }
     }
 }
 
-pub(super) fn refused<T>(reason: RefusalReason, retry_after: Duration) -> Result<T, DoorError> {
-    let refusal = DoorRefusal {
+pub(super) fn refused<T>(reason: RefusalReason, retry_after: Duration) -> Result<T, InboundError> {
+    let refusal = InboundRefusal {
         reason,
         retry_after,
     };
-    Err(DoorError::Refused { refusal })
+    Err(InboundError::Refused { refusal })
 }
 
-pub(super) fn broke<T>(reason: impl Into<String>) -> Result<T, DoorError> {
+pub(super) fn broke<T>(reason: impl Into<String>) -> Result<T, InboundError> {
     let reason = reason.into();
     let finding = None;
-    Err(DoorError::Broke { reason, finding })
+    Err(InboundError::Broke { reason, finding })
 }
--- a/crates/node/src/door/door_refusal.rs
+++ b/crates/node/src/inbound/inbound_refusal.rs
@@ -44,20 +44,20 @@
 
 /// Refusal of a request that certainly didn't run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DoorRefusal {
+pub struct InboundRefusal {
     /// Reason.
     pub reason: RefusalReason,
     /// Time after which room is expected.
     pub retry_after: Duration,
 }
 
-impl std::fmt::Display for DoorRefusal {
+impl std::fmt::Display for InboundRefusal {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{},{}", self.reason, self.retry_after.as_millis())
     }
 }
 
-impl FromStr for DoorRefusal {
+impl FromStr for InboundRefusal {
     type Err = strum::ParseError;
 
     /// Reads what [`Display`](std::fmt::Display) wrote.
@@ -65,9 +65,9 @@
     /// # Examples
     ///
     /// ```
-    /// use geranium_node::door::{DoorRefusal, RefusalReason};
+    /// use geranium_node::inbound::{InboundRefusal, RefusalReason};
     ///
-    /// let refusal: DoorRefusal = "full,80".parse()?;
+    /// let refusal: InboundRefusal = "full,80".parse()?;
     /// assert_eq!(refusal.reason, RefusalReason::Full);
     /// assert_eq!(refusal.to_string(), "full,80");
     /// # Ok::<(), Box<dyn std::error::Error>>(())
--- a/crates/node/src/door/door_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -8,7 +8,7 @@
 
 /// A request for the backend server beside this node.
 #[derive(Debug, Clone)]
-pub struct DoorRequest {
+pub struct InboundRequest {
     /// Whether a caller or another node sent it.
     pub origin: RequestOrigin,
     /// Method.
--- a/crates/node/src/door/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -5,7 +5,7 @@
 use http::HeaderValue;
 use tokio::time::Instant;
 
-use super::{DoorError, DoorFlow, DoorRequest, RefusalReason, door_flow::refused};
+use super::{InboundError, InboundProxy, InboundRequest, RefusalReason, inbound_proxy::refused};
 use crate::{
     answer_body::SHORT_MAX,
     link::{LinkOffer, LinkPromise},
@@ -21,13 +21,13 @@
     ends_at: Instant,
 }
 
-impl DoorFlow {
+impl InboundProxy {
     /// Promises the link to a long answer for another node, or refuses the request if the
     /// answer couldn't arrive in time.
     pub(super) fn promise_link(
         &self,
-        request: &DoorRequest,
-    ) -> Result<Option<LinkPromise>, DoorError> {
+        request: &InboundRequest,
+    ) -> Result<Option<LinkPromise>, InboundError> {
         let bytes = self.inner.sizes.borrow().get(request.class);
         if bytes <= SHORT_MAX || request.origin == RequestOrigin::Caller {
             return Ok(None);
@@ -63,8 +63,8 @@
         Some(link.take(clock, answer.id, offer))
     }
 
-    /// Returns what [`DoorFlow::take_link`] needs, if another node sent the request.
-    pub(super) fn unscheduled_answer(&self, request: &DoorRequest) -> Option<UnscheduledAnswer> {
+    /// Returns what [`InboundProxy::take_link`] needs, if another node sent the request.
+    pub(super) fn unscheduled_answer(&self, request: &InboundRequest) -> Option<UnscheduledAnswer> {
         (request.origin == RequestOrigin::Node).then(|| UnscheduledAnswer {
             id: self.id_of(request),
             useful_until: request.useful_until,
@@ -73,7 +73,7 @@
     }
 
     /// Returns the identifier of a request, for the log.
-    fn id_of(&self, request: &DoorRequest) -> Option<HeaderValue> {
+    fn id_of(&self, request: &InboundRequest) -> Option<HeaderValue> {
         request.headers.get(&self.headers.request_id).cloned()
     }
 }
--- a/crates/node/src/door/mod.rs
+++ b/crates/node/src/inbound/mod.rs
@@ -2,35 +2,35 @@
 //!
 //! Whether it lives, which start of it, whether it is leaving and what it has
 //! room for are decided here with certainty, whatever other nodes still
-//! believe. [`EndpointGate`] holds the first three, [`DoorQueue`] the last,
-//! and [`EndpointBreaker`] whether runs end at all; none does I/O. [`DoorFlow`] joins
+//! believe. [`EndpointTracker`] holds the first three, [`AdmissionQueue`] the last,
+//! and [`EndpointBreaker`] whether runs end at all; none does I/O. [`InboundProxy`] joins
 //! them to the connections.
 
+mod admission_queue;
 mod call_book;
 mod class_books;
 mod crash_admission;
-mod door_flow;
-mod door_queue;
-mod door_refusal;
-mod door_request;
 mod endpoint_breaker;
 mod endpoint_call;
 mod endpoint_confirm;
-mod endpoint_gate;
 mod endpoint_health;
 mod endpoint_report;
+mod endpoint_tracker;
+mod inbound_proxy;
+mod inbound_refusal;
+mod inbound_request;
 mod link_admission;
 mod run_slot;
 mod slot_wait;
 
+pub use admission_queue::{AdmissionDecision, AdmissionQueue, AdmissionRequest, QueueKey};
 pub use call_book::CallBook;
-pub use door_flow::{DoorError, DoorFlow, DoorSettings};
-pub use door_queue::{DoorQueue, JobKey, JobOffer, OfferVerdict};
-pub use door_refusal::{DoorRefusal, RefusalReason};
-pub use door_request::DoorRequest;
 pub use endpoint_breaker::EndpointBreaker;
 pub use endpoint_confirm::confirm_endpoint;
-pub use endpoint_gate::{EndpointGate, LocalEndpoint, ReportVerdict};
 pub use endpoint_health::HealthAnswer;
 pub use endpoint_report::{EndpointReport, ReportState};
+pub use endpoint_tracker::{EndpointTracker, LocalEndpoint, ReportOutcome};
+pub use inbound_proxy::{InboundError, InboundProxy, InboundSettings};
+pub use inbound_refusal::{InboundRefusal, RefusalReason};
+pub use inbound_request::InboundRequest;
 pub use run_slot::RunSlot;
--- a/crates/node/src/door/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::door_flow::DoorInner;
+use super::inbound_proxy::InboundState;
 use crate::hop::PooledSender;
 
 /// A slot of the backend server, held by one request until its answer is made.
@@ -15,7 +15,7 @@
 /// is closed, which cancels the run.
 #[derive(Debug)]
 pub struct RunSlot {
-    inner: Rc<DoorInner>,
+    inner: Rc<InboundState>,
     class: u64,
     started: Instant,
     sender: Option<PooledSender>,
@@ -23,7 +23,7 @@
 }
 
 impl RunSlot {
-    pub(super) fn new(inner: Rc<DoorInner>, class: u64) -> Self {
+    pub(super) fn new(inner: Rc<InboundState>, class: u64) -> Self {
         Self {
             inner,
             class,
--- a/crates/node/src/door/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -5,14 +5,15 @@
 use tokio::{sync::oneshot, time::timeout_at};
 
 use super::{
-    DoorError, DoorFlow, DoorRequest, JobKey, JobOffer, OfferVerdict, RefusalReason, RunSlot,
-    door_flow::{DoorInner, RETRY_ELSEWHERE, refused},
+    AdmissionDecision, AdmissionRequest, InboundError, InboundProxy, InboundRequest, QueueKey,
+    RefusalReason, RunSlot,
+    inbound_proxy::{InboundState, RETRY_ELSEWHERE, refused},
 };
 
 /// A place in the queue; dropped early, it is given up.
 struct QueuePlace<'a> {
-    inner: &'a Rc<DoorInner>,
-    key: JobKey,
+    inner: &'a Rc<InboundState>,
+    key: QueueKey,
     class: u64,
     taken: bool,
 }
@@ -31,15 +32,18 @@
     }
 }
 
-impl DoorFlow {
+impl InboundProxy {
     /// Waits for a slot of the backend server.
     ///
     /// # Errors
     ///
     /// When there is none soon enough for the request.
-    pub(super) async fn wait_for_slot(&self, request: &DoorRequest) -> Result<RunSlot, DoorError> {
+    pub(super) async fn wait_for_slot(
+        &self,
+        request: &InboundRequest,
+    ) -> Result<RunSlot, InboundError> {
         let class = request.class;
-        let offer = JobOffer {
+        let offer = AdmissionRequest {
             rank: request.rank,
             class,
             begun: request.begun,
@@ -50,12 +54,12 @@
         let now = self.inner.clock.now();
         let verdict = self.inner.queue.borrow_mut().offer(now, offer);
         let (key, latest) = match verdict {
-            OfferVerdict::Run => return Ok(RunSlot::new(Rc::clone(&self.inner), class)),
-            OfferVerdict::Busy => return refused(RefusalReason::Busy, RETRY_ELSEWHERE),
-            OfferVerdict::Refuse { retry_after } => {
+            AdmissionDecision::Run => return Ok(RunSlot::new(Rc::clone(&self.inner), class)),
+            AdmissionDecision::Busy => return refused(RefusalReason::Busy, RETRY_ELSEWHERE),
+            AdmissionDecision::Refuse { retry_after } => {
                 return refused(RefusalReason::Full, retry_after);
             }
-            OfferVerdict::Wait { key, latest } => (key, latest),
+            AdmissionDecision::Wait { key, latest } => (key, latest),
         };
         let (grant, granted) = oneshot::channel();
         self.inner.waiters.borrow_mut().insert(key, grant);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,7 +3,7 @@
 //! Callers on the node's machine send their requests to it. The
 //! [`front`] finds the route in the [`config`] in force, picks a backend
 //! server out of the [`member`] view and sends the request to the node beside
-//! that one, whose [`door`] admits it, runs it and answers. [`follow`] keeps
+//! that one, whose [`inbound`] admits it, runs it and answers. [`follow`] keeps
 //! configuration and members up to date from the metadata [`store`], and
 //! announces the own backend server there; an [`errand`] is such a call made for
 //! another node.
@@ -11,14 +11,13 @@
 //! One thread runs it all, on one event loop, so that no decision needs a
 //! lock and no request is handed from thread to thread. A second thread only
 //! writes the log. What decides has no I/O and takes the time as an argument:
-//! [`member::FleetView`], [`door::DoorQueue`], [`door::EndpointGate`],
+//! [`member::FleetView`], [`inbound::AdmissionQueue`], [`inbound::EndpointTracker`],
 //! [`retry::RetryBudget`], [`config::MeshConfig`].
 
 pub mod answer_body;
 pub mod config;
 pub mod crash;
 pub mod distribution;
-pub mod door;
 pub mod errand;
 pub mod event_log;
 pub mod follow;
@@ -27,6 +26,7 @@
 pub mod hop;
 pub mod hop_port;
 pub mod http_port;
+pub mod inbound;
 pub mod link;
 pub mod member;
 pub mod node;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -14,7 +14,6 @@
 use crate::{
     answer_body::AnswerBody,
     crash::watch_crashes,
-    door::confirm_endpoint,
     errand::run_errands,
     follow::{
         ConfigSource, catch_up, follow_guide, keep_announced, look_for_store, watch_config,
@@ -23,6 +22,7 @@
     front::FrontFlow,
     hop_port::HopPort,
     http_port::{PortError, PortLimits, open_port, serve_port},
+    inbound::confirm_endpoint,
     node_core::{CALLERS_LEAVE, NodeCore, OpenMark},
     node_settings::ListenAddrs,
     operators::OperatorsPort,
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -8,7 +8,7 @@
 
 use super::NodeCore;
 use crate::{
-    door::{EndpointReport, ReportVerdict},
+    inbound::{EndpointReport, ReportOutcome},
     member::EndpointStart,
     node_clock::NodeClock,
 };
@@ -23,24 +23,24 @@
     /// start that lives, and callers would be sent to a service that isn't there. A start
     /// is adopted only for a service that the settings or the configuration in force
     /// name.
-    pub fn report(&self, report: EndpointReport) -> ReportVerdict {
+    pub fn report(&self, report: EndpointReport) -> ReportOutcome {
         if !self.names_service(&report.service) {
-            return ReportVerdict::Foreign;
+            return ReportOutcome::Foreign;
         }
         let now = self.clock.now();
         let (start, slots) = (report.start.clone(), report.slots);
         let (state, sequence) = (report.state, report.sequence);
-        let before = self.door.gate().borrow().unannounced_end();
-        let verdict = self.door.gate().borrow_mut().report(now, report);
-        if verdict == ReportVerdict::Adopted {
-            self.door.forget_connections();
+        let before = self.inbound.tracker().borrow().unannounced_end();
+        let verdict = self.inbound.tracker().borrow_mut().report(now, report);
+        if verdict == ReportOutcome::Adopted {
+            self.inbound.forget_connections();
             if let Some(ended) = before {
-                let broken = self.door.broken();
+                let broken = self.inbound.broken();
                 broken.replaced(now, &ended, start.instance());
             }
         }
-        if matches!(verdict, ReportVerdict::Adopted | ReportVerdict::Changed) {
-            self.door.set_slots(slots);
+        if matches!(verdict, ReportOutcome::Adopted | ReportOutcome::Changed) {
+            self.inbound.set_slots(slots);
             self.announce_pending.set(true);
             self.announce.notify_one();
             info!(self.log.logger(), "backend server reported";
@@ -55,11 +55,11 @@
     /// Takes in the farewell of the backend server.
     pub fn deregister(&self, start: EndpointStart) {
         let name = start.to_string();
-        let here =
-            self.door
-                .gate()
-                .borrow_mut()
-                .deregister(self.clock.now(), start, NodeClock::unix_ms());
+        let here = self.inbound.tracker().borrow_mut().deregister(
+            self.clock.now(),
+            start,
+            NodeClock::unix_ms(),
+        );
         info!(self.log.logger(), "backend server said farewell";
             "instance" => name, "here" => here);
         self.announce_pending.set(here);
@@ -78,7 +78,7 @@
             while self.announce_pending.get() {
                 self.announced.notified().await;
             }
-            self.door.broken().until_late_told().await;
+            self.inbound.broken().until_late_told().await;
         };
         let _written = timeout(ACK_WAIT, wait).await;
     }
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -25,12 +25,12 @@
     config::{ConfigVersion, MeshConfig},
     crash::CrashBook,
     distribution::{ConfigHistory, Guide, StoreAccess},
-    door::{DoorFlow, DoorSettings},
     errand::ErrandDesk,
     event_log::EventLog,
     front::{DeadlineBook, ReturnBook},
     header_set::HeaderSet,
     hop::{ConnectionPool, PoolSettings},
+    inbound::{InboundProxy, InboundSettings},
     link::{LinkLine, LinkNotes},
     member::{AnswerSizes, FleetView, LoadReport, MemberKey, MemberRecord},
     node_clock::NodeClock,
@@ -67,7 +67,7 @@
     /// Members.
     pub fleet: RefCell<FleetView>,
     /// Door of the own backend server.
-    pub door: DoorFlow,
+    pub inbound: InboundProxy,
     /// Crashes of backend servers.
     pub crashes: Rc<RefCell<CrashBook>>,
     /// Link of the instance.
@@ -143,7 +143,7 @@
         log: EventLog,
     ) -> Result<Rc<Self>, Box<dyn std::error::Error>> {
         let clock = NodeClock::start();
-        let door_settings = DoorSettings {
+        let inbound_settings = InboundSettings {
             endpoint: settings.endpoint,
             slots: SLOTS_UNKNOWN,
             leaving_grace: settings.leaving_time.mul_f64(LEAVING_PART),
@@ -156,8 +156,8 @@
         let notes = LinkNotes::new(log.clone(), metrics.link());
         let link = Rc::new(LinkLine::new(settings.link_mbps, notes));
         let crashes = Rc::<RefCell<CrashBook>>::default();
-        let door = DoorFlow::new(
-            door_settings,
+        let inbound = InboundProxy::new(
+            inbound_settings,
             headers.clone(),
             clock,
             Rc::clone(&link),
@@ -166,7 +166,7 @@
         let caller_service = endpoint_reports::service_value(&settings.service);
         Ok(Rc::new(Self {
             metrics,
-            door,
+            inbound,
             link,
             config: RefCell::default(),
             crashes,
@@ -288,7 +288,7 @@
     /// Tells every part that the node stops.
     pub fn begin_stop(&self) {
         self.stopping_since.set(Some(self.clock.now()));
-        self.door.stop();
+        self.inbound.stop();
         self.announce.notify_one();
     }
 
@@ -301,7 +301,7 @@
     /// members that vanished, and tells what the link carried.
     pub fn sweep(&self, now: Duration) {
         self.hops.sweep();
-        self.door.sweep();
+        self.inbound.sweep();
         self.returns.borrow_mut().sweep(now);
         self.link.tell_load(now);
         let gone = self.fleet.borrow_mut().sweep(now);
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -9,8 +9,8 @@
 use super::NodeCore;
 use crate::{
     answer_body::AnswerBody,
-    door::DoorRefusal,
     front::{FrontAnswer, FrontRequest},
+    inbound::InboundRefusal,
     member::MemberRecord,
     node_metrics::{RequestCount, RequestResult},
     result_code::ResultCode,
@@ -146,7 +146,12 @@
     }
 
     /// Records that a door refused a try.
-    pub fn note_refusal(&self, request: &FrontRequest, at: &MemberRecord, refusal: &DoorRefusal) {
+    pub fn note_refusal(
+        &self,
+        request: &FrontRequest,
+        at: &MemberRecord,
+        refusal: &InboundRefusal,
+    ) {
         let reason: &'static str = refusal.reason.into();
         self.metrics.try_failed(reason);
         if let Some(log) = self.log.for_request(self.clock.now(), "door refused") {
--- a/crates/node/src/operators/operators_port.rs
+++ b/crates/node/src/operators/operators_port.rs
@@ -45,7 +45,7 @@
     }
 
     fn metrics(&self) -> Response<AnswerBody> {
-        let load = self.core.door.load(0);
+        let load = self.core.inbound.load(0);
         let metrics = &self.core.metrics;
         metrics.members(self.core.fleet.borrow().len());
         metrics.queue("running", load.running);
@@ -58,8 +58,8 @@
 
     fn status(&self) -> Response<AnswerBody> {
         let settings = &self.core.settings;
-        let load = self.core.door.load(0);
-        let gate = self.core.door.gate().borrow();
+        let load = self.core.inbound.load(0);
+        let tracker = self.core.inbound.tracker().borrow();
         let now = self.core.clock.now();
         let status = NodeStatus {
             instance: settings.instance.clone(),
@@ -69,7 +69,7 @@
             version: self.core.version().0,
             members: self.core.fleet.borrow().len(),
             store_age_ms: self.core.guide.borrow().store_age(now).as_millis() as u64,
-            backend: gate
+            backend: tracker
                 .current()
                 .map(|current| current.report.start.to_string()),
             running: load.running,
--- a/crates/node/tests/all/calls.rs
+++ b/crates/node/tests/all/calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use geranium_node::door::CallBook;
+use geranium_node::inbound::CallBook;
 
 const CALL: u64 = 1;
 const LOOKUP: u64 = 2;
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -4,7 +4,7 @@
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 use geranium_node::{
-    door::{DoorQueue, JobKey, JobOffer, OfferVerdict},
+    inbound::{AdmissionDecision, AdmissionQueue, AdmissionRequest, QueueKey},
     member::{FleetView, LoadReport, MemberKey, MemberRecord, MemberState, PickQuery, TryEnd},
     store::Revision,
 };
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Request {
     front: usize,
-    door: usize,
+    receiver: usize,
     key: MemberKey,
     target_at: Duration,
 }
@@ -78,10 +78,10 @@
 
 /// One backend server, and the queue of the node beside it.
 struct Door {
-    queue: DoorQueue,
+    queue: AdmissionQueue,
     work: Duration,
     running: Vec<Run>,
-    waiting: HashMap<JobKey, (Request, Duration)>,
+    waiting: HashMap<QueueKey, (Request, Duration)>,
     /// Whether its backend server is gone, and the node beside it lives on.
     shut: bool,
 }
@@ -98,8 +98,8 @@
     }
 }
 
-fn hop(door: usize) -> SocketAddr {
-    SocketAddr::from(([10, 1, 0, door as u8 + 1], 7600))
+fn hop(receiver: usize) -> SocketAddr {
+    SocketAddr::from(([10, 1, 0, receiver as u8 + 1], 7600))
 }
 
 /// Returns the data centre of a front or door.
@@ -107,12 +107,12 @@
     format!("dc-{}", number % data_centres)
 }
 
-fn record(door: usize, data_centres: usize) -> MemberRecord {
+fn record(receiver: usize, data_centres: usize) -> MemberRecord {
     MemberRecord {
-        hop: hop(door),
-        start: start(format!("i-{door}")),
+        hop: hop(receiver),
+        start: start(format!("i-{receiver}")),
         service: "orders".to_owned(),
-        data_centre: place(door, data_centres),
+        data_centre: place(receiver, data_centres),
         slots: SLOTS,
         state: MemberState::Ready,
         link_mbps: 100,
@@ -135,7 +135,7 @@
     fronts: Vec<FleetView>,
     /// What each front last heard of each door.
     heard: Vec<HashMap<usize, LoadReport>>,
-    doors: Vec<Door>,
+    receivers: Vec<Door>,
     result: LoadResult,
 }
 
@@ -149,21 +149,21 @@
         let mut rng = StdRng::seed_from_u64(23);
         let fronts = (0..FRONTS).map(|front| {
             let mut view = FleetView::new(place(front, data_centres));
-            for door in 0..DOORS {
-                let record = record(door, data_centres);
-                view.announce(Duration::ZERO, record, Revision(door as u64 + 1));
+            for receiver in 0..DOORS {
+                let record = record(receiver, data_centres);
+                view.announce(Duration::ZERO, record, Revision(receiver as u64 + 1));
             }
             view
         });
         // The slowest takes three times as long as the fastest.
-        let doors = (0..DOORS).map(|_| Door {
-            queue: DoorQueue::new(SLOTS),
+        let receivers = (0..DOORS).map(|_| Door {
+            queue: AdmissionQueue::new(SLOTS),
             work: Duration::from_millis(rng.random_range(120..360)),
             running: Vec::new(),
             waiting: HashMap::new(),
             shut: false,
         });
-        let (fronts, doors) = (fronts.collect(), doors.collect());
+        let (fronts, receivers) = (fronts.collect(), receivers.collect());
         Self {
             picker,
             load,
@@ -172,7 +172,7 @@
             shut_end: TryEnd::Shut,
             fronts,
             heard: vec![HashMap::new(); FRONTS],
-            doors,
+            receivers,
             result: LoadResult::default(),
             rng,
         }
@@ -180,8 +180,8 @@
 
     /// Takes the backend servers of the last `count` doors away.
     fn shut(mut self, count: usize, shut_end: TryEnd) -> Self {
-        for door in &mut self.doors[DOORS - count..] {
-            door.shut = true;
+        for receiver in &mut self.receivers[DOORS - count..] {
+            receiver.shut = true;
         }
         self.shut_end = shut_end;
         self
@@ -203,7 +203,10 @@
     }
 
     fn per_second(&self) -> f64 {
-        let rates = self.doors.iter().map(|door| 1.0 / door.work.as_secs_f64());
+        let rates = self
+            .receivers
+            .iter()
+            .map(|receiver| 1.0 / receiver.work.as_secs_f64());
         rates.sum::<f64>() * f64::from(SLOTS) * self.load
     }
 
@@ -225,60 +228,65 @@
     }
 
     fn end_runs(&mut self, now: Duration) {
-        for door in 0..DOORS {
-            let running = std::mem::take(&mut self.doors[door].running);
+        for receiver in 0..DOORS {
+            let running = std::mem::take(&mut self.receivers[receiver].running);
             let (ended, running): (Vec<_>, Vec<_>) =
                 running.into_iter().partition(|run| run.ends_at <= now);
-            self.doors[door].running = running;
+            self.receivers[receiver].running = running;
             for run in ended {
                 self.result.in_time += u32::from(now <= run.request.target_at);
                 let took = now.saturating_sub(run.began);
-                let granted = self.doors[door].queue.finish(now, CLASS, Some(took));
+                let granted = self.receivers[receiver]
+                    .queue
+                    .finish(now, CLASS, Some(took));
                 self.hear(now, run.request);
                 let view = &mut self.fronts[run.request.front];
                 view.judged(now, run.request.key, TryEnd::Answered { failed: false });
                 view.ended(run.request.key);
                 for key in granted {
-                    let (request, _) = self.doors[door].waiting.remove(&key).expect("it waited");
+                    let (request, _) = self.receivers[receiver]
+                        .waiting
+                        .remove(&key)
+                        .expect("it waited");
                     self.begin(now, request);
                 }
             }
-            self.expire(now, door);
+            self.expire(now, receiver);
         }
     }
 
-    fn expire(&mut self, now: Duration, door: usize) {
-        let door = &mut self.doors[door];
-        let late: Vec<JobKey> = door
+    fn expire(&mut self, now: Duration, receiver: usize) {
+        let receiver = &mut self.receivers[receiver];
+        let late: Vec<QueueKey> = receiver
             .waiting
             .iter()
             .filter(|(_, (_, latest))| *latest < now)
             .map(|(&key, _)| key)
             .collect();
         for key in late {
-            door.queue.expire(key);
-            let (request, _) = door.waiting.remove(&key).expect("it waited");
+            receiver.queue.expire(key);
+            let (request, _) = receiver.waiting.remove(&key).expect("it waited");
             self.fronts[request.front].ended(request.key);
             self.result.refused += 1;
         }
     }
 
     fn begin(&mut self, now: Duration, request: Request) {
-        let far = request.front % self.data_centres != request.door % self.data_centres;
+        let far = request.front % self.data_centres != request.receiver % self.data_centres;
         self.result.far += u32::from(far);
         let spread = 0.5 + self.rng.random::<f64>();
-        let door = &mut self.doors[request.door];
-        door.running.push(Run {
+        let receiver = &mut self.receivers[request.receiver];
+        receiver.running.push(Run {
             request,
             began: now,
-            ends_at: now + door.work.mul_f64(spread),
+            ends_at: now + receiver.work.mul_f64(spread),
         });
     }
 
     fn hear(&mut self, now: Duration, request: Request) {
-        let report = self.doors[request.door].report();
+        let report = self.receivers[request.receiver].report();
         self.fronts[request.front].loaded(now, request.key, CLASS, report);
-        self.heard[request.front].insert(request.door, report);
+        self.heard[request.front].insert(request.receiver, report);
     }
 
     /// Sends a request of a random front, as the node does: a probe where a slot
@@ -297,30 +305,30 @@
             let address = self.fronts[front].get(key).expect("it is known").record.hop;
             let request = Request {
                 front,
-                door: (0..DOORS)
-                    .find(|&door| hop(door) == address)
+                receiver: (0..DOORS)
+                    .find(|&receiver| hop(receiver) == address)
                     .expect("it is one"),
                 key,
                 target_at: now + TARGET,
             };
             self.result.asked += 1;
-            if self.doors[request.door].shut {
+            if self.receivers[request.receiver].shut {
                 self.fronts[front].judged(now, key, self.shut_end);
                 tried.push(key);
                 continue;
             }
             self.fronts[front].sent(key);
             match self.offer(now, request, may_wait) {
-                OfferVerdict::Run => return self.begin(now, request),
-                OfferVerdict::Wait { key, latest } => {
-                    let waiting = &mut self.doors[request.door].waiting;
+                AdmissionDecision::Run => return self.begin(now, request),
+                AdmissionDecision::Wait { key, latest } => {
+                    let waiting = &mut self.receivers[request.receiver].waiting;
                     waiting.insert(key, (request, latest));
                     return;
                 }
-                OfferVerdict::Busy => {
+                AdmissionDecision::Busy => {
                     probed.push(key);
                 }
-                OfferVerdict::Refuse { retry_after } => {
+                AdmissionDecision::Refuse { retry_after } => {
                     let end = TryEnd::Refused { retry_after };
                     self.fronts[front].judged(now, key, end);
                     tried.push(key);
@@ -332,8 +340,8 @@
         self.result.refused += 1;
     }
 
-    fn offer(&mut self, now: Duration, request: Request, may_wait: bool) -> OfferVerdict {
-        let offer = JobOffer {
+    fn offer(&mut self, now: Duration, request: Request, may_wait: bool) -> AdmissionDecision {
+        let offer = AdmissionRequest {
             rank: 1,
             class: CLASS,
             may_wait,
@@ -341,7 +349,7 @@
             useful_until: request.target_at,
             ends_at: request.target_at + TARGET,
         };
-        self.doors[request.door].queue.offer(now, offer)
+        self.receivers[request.receiver].queue.offer(now, offer)
     }
 
     fn pick(
@@ -363,9 +371,9 @@
     /// The least time to an answer of all that a front knows.
     fn best_known(&mut self, front: usize, tried: &[MemberKey]) -> Option<MemberKey> {
         let mut best: Option<(f64, MemberKey)> = None;
-        for door in 0..DOORS {
-            let key = self.fronts[front].key_of(hop(door))?;
-            let heard = self.heard[front].get(&door);
+        for receiver in 0..DOORS {
+            let key = self.fronts[front].key_of(hop(receiver))?;
+            let heard = self.heard[front].get(&receiver);
             let wait = heard.map_or(0.0, |report| {
                 let held = f64::from(report.running + report.waiting) + 1.0;
                 let excess = (held - f64::from(SLOTS)).max(0.0) / f64::from(SLOTS);
--- a/crates/node/tests/all/gate.rs
+++ b/crates/node/tests/all/gate.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    door::{EndpointGate, EndpointReport, RefusalReason, ReportState, ReportVerdict},
+    inbound::{EndpointReport, EndpointTracker, RefusalReason, ReportOutcome, ReportState},
     member::{MemberRecord, MemberState},
 };
 
@@ -26,18 +26,18 @@
     }
 }
 
-fn refusal(gate: &EndpointGate, now: Duration, instance: &str) -> Option<RefusalReason> {
-    gate.admits(now, Some(instance), GRACE).err()
+fn refusal(tracker: &EndpointTracker, now: Duration, instance: &str) -> Option<RefusalReason> {
+    tracker.admits(now, Some(instance), GRACE).err()
 }
 
 #[test]
 fn it_is_shut_until_somebody_reports() {
-    let mut gate = EndpointGate::default();
-    assert_eq!(refusal(&gate, at(0), "i-1"), Some(RefusalReason::Shut));
-    gate.report(at(1), report("i-1", 1, ReportState::Ready));
-    assert_eq!(refusal(&gate, at(1), "i-1"), None);
+    let mut tracker = EndpointTracker::default();
+    assert_eq!(refusal(&tracker, at(0), "i-1"), Some(RefusalReason::Shut));
+    tracker.report(at(1), report("i-1", 1, ReportState::Ready));
+    assert_eq!(refusal(&tracker, at(1), "i-1"), None);
     assert_eq!(
-        refusal(&gate, at(1), "i-0"),
+        refusal(&tracker, at(1), "i-0"),
         Some(RefusalReason::OtherInstance)
     );
 }
@@ -46,78 +46,84 @@
 /// after that. It must not open the door again; a later one may.
 #[test]
 fn late_reports_do_not_undo_a_leaving() {
-    let mut gate = EndpointGate::default();
-    gate.report(at(0), report("i-1", 4, ReportState::Ready));
+    let mut tracker = EndpointTracker::default();
+    tracker.report(at(0), report("i-1", 4, ReportState::Ready));
     assert_eq!(
-        gate.report(at(10), report("i-1", 6, ReportState::Leaving)),
-        ReportVerdict::Changed
+        tracker.report(at(10), report("i-1", 6, ReportState::Leaving)),
+        ReportOutcome::Changed
     );
     assert_eq!(
-        gate.report(at(20), report("i-1", 5, ReportState::Ready)),
-        ReportVerdict::Stale
+        tracker.report(at(20), report("i-1", 5, ReportState::Ready)),
+        ReportOutcome::Stale
     );
     assert_eq!(
-        refusal(&gate, at(30), "i-1"),
+        refusal(&tracker, at(30), "i-1"),
         None,
         "the news are still on their way"
     );
-    assert_eq!(refusal(&gate, at(900), "i-1"), Some(RefusalReason::Leaving));
-    gate.report(at(950), report("i-1", 7, ReportState::Leaving));
-    assert_eq!(refusal(&gate, at(960), "i-1"), Some(RefusalReason::Leaving));
-    gate.report(at(1_000), report("i-1", 8, ReportState::Ready));
-    assert_eq!(refusal(&gate, at(1_000), "i-1"), None);
+    assert_eq!(
+        refusal(&tracker, at(900), "i-1"),
+        Some(RefusalReason::Leaving)
+    );
+    tracker.report(at(950), report("i-1", 7, ReportState::Leaving));
+    assert_eq!(
+        refusal(&tracker, at(960), "i-1"),
+        Some(RefusalReason::Leaving)
+    );
+    tracker.report(at(1_000), report("i-1", 8, ReportState::Ready));
+    assert_eq!(refusal(&tracker, at(1_000), "i-1"), None);
 }
 
 /// A farewell is for good: no heartbeat of that start brings it back.
 #[test]
 fn a_farewell_is_for_good() {
-    let mut gate = EndpointGate::default();
-    gate.report(at(0), report("i-1", 1, ReportState::Ready));
-    assert!(gate.deregister(at(10), start("i-1"), TODAY));
-    gate.report(at(20), report("i-1", 9, ReportState::Ready));
+    let mut tracker = EndpointTracker::default();
+    tracker.report(at(0), report("i-1", 1, ReportState::Ready));
+    assert!(tracker.deregister(at(10), start("i-1"), TODAY));
+    tracker.report(at(20), report("i-1", 9, ReportState::Ready));
     assert_eq!(
-        refusal(&gate, at(2_000), "i-1"),
+        refusal(&tracker, at(2_000), "i-1"),
         Some(RefusalReason::Leaving)
     );
-    assert!(!gate.deregister(at(30), start("i-0"), TODAY));
+    assert!(!tracker.deregister(at(30), start("i-0"), TODAY));
 }
 
 /// A heartbeat held up by a cut arrives after its sender has crashed and the
 /// next start has reported.
 #[test]
 fn an_ended_start_stays_ended() {
-    let mut gate = EndpointGate::default();
-    gate.report(at(0), report("i-1", 9, ReportState::Ready));
+    let mut tracker = EndpointTracker::default();
+    tracker.report(at(0), report("i-1", 9, ReportState::Ready));
     assert_eq!(
-        gate.report(at(10), report("i-2", 1, ReportState::Ready)),
-        ReportVerdict::Adopted
+        tracker.report(at(10), report("i-2", 1, ReportState::Ready)),
+        ReportOutcome::Adopted
     );
     assert_eq!(
-        gate.report(at(20), report("i-1", 10, ReportState::Ready)),
-        ReportVerdict::Stale
+        tracker.report(at(20), report("i-1", 10, ReportState::Ready)),
+        ReportOutcome::Stale
     );
-    assert_eq!(refusal(&gate, at(30), "i-2"), None);
+    assert_eq!(refusal(&tracker, at(30), "i-2"), None);
 }
 
 /// Guards against an earlier start's late heartbeat that shuts the door to the live start for good.
 #[test]
 fn the_backend_server_has_the_last_word() {
-    let mut gate = EndpointGate::default();
-    gate.report(at(0), report("i-2", 3, ReportState::Ready));
-    gate.report(at(10), report("i-1", 9, ReportState::Ready));
+    let mut tracker = EndpointTracker::default();
+    tracker.report(at(0), report("i-2", 3, ReportState::Ready));
+    tracker.report(at(10), report("i-1", 9, ReportState::Ready));
     assert_eq!(
-        gate.report(at(20), report("i-2", 4, ReportState::Ready)),
-        ReportVerdict::Stale
+        tracker.report(at(20), report("i-2", 4, ReportState::Ready)),
+        ReportOutcome::Stale
     );
-    gate.corrected("i-2");
-    assert_eq!(refusal(&gate, at(30), "i-1"), Some(RefusalReason::Shut));
+    tracker.corrected("i-2");
+    assert_eq!(refusal(&tracker, at(30), "i-1"), Some(RefusalReason::Shut));
     assert_eq!(
-        gate.report(at(40), report("i-2", 5, ReportState::Ready)),
-        ReportVerdict::Adopted
+        tracker.report(at(40), report("i-2", 5, ReportState::Ready)),
+        ReportOutcome::Adopted
     );
     assert_eq!(
-        gate.report(at(50), report("i-1", 10, ReportState::Ready)),
-        ReportVerdict::Stale
+        tracker.report(at(50), report("i-1", 10, ReportState::Ready)),
+        ReportOutcome::Stale
     );
 }
 
@@ -130,15 +136,18 @@
         sequence: 6,
         ..support::record(1)
     };
-    let mut gate = EndpointGate::default();
-    gate.restore(at(0), &record(MemberState::Ready));
-    assert_eq!(refusal(&gate, at(0), "i-1"), Some(RefusalReason::Shut));
-    gate.restore(at(0), &record(MemberState::Leaving));
+    let mut tracker = EndpointTracker::default();
+    tracker.restore(at(0), &record(MemberState::Ready));
+    assert_eq!(refusal(&tracker, at(0), "i-1"), Some(RefusalReason::Shut));
+    tracker.restore(at(0), &record(MemberState::Leaving));
     // Since when it has been leaving isn't known: no time is left.
-    assert_eq!(refusal(&gate, at(5), "i-1"), Some(RefusalReason::Leaving));
-    gate.report(at(10), report("i-1", 5, ReportState::Ready));
     assert_eq!(
-        refusal(&gate, at(2_000), "i-1"),
+        refusal(&tracker, at(5), "i-1"),
+        Some(RefusalReason::Leaving)
+    );
+    tracker.report(at(10), report("i-1", 5, ReportState::Ready));
+    assert_eq!(
+        refusal(&tracker, at(2_000), "i-1"),
         Some(RefusalReason::Leaving)
     );
 }
@@ -146,11 +155,14 @@
 /// Guards against a restarted node that takes work for a server first heard of as leaving.
 #[test]
 fn one_first_heard_of_as_leaving_takes_no_work() {
-    let mut gate = EndpointGate::default();
-    gate.report(at(200), report("i-1", 16, ReportState::Leaving));
-    assert_eq!(refusal(&gate, at(200), "i-1"), Some(RefusalReason::Leaving));
-    gate.report(at(300), report("i-1", 17, ReportState::Ready));
-    assert_eq!(refusal(&gate, at(300), "i-1"), None);
+    let mut tracker = EndpointTracker::default();
+    tracker.report(at(200), report("i-1", 16, ReportState::Leaving));
+    assert_eq!(
+        refusal(&tracker, at(200), "i-1"),
+        Some(RefusalReason::Leaving)
+    );
+    tracker.report(at(300), report("i-1", 17, ReportState::Ready));
+    assert_eq!(refusal(&tracker, at(300), "i-1"), None);
 }
 
 fn born_report(born_ms: u64, sequence: u64, state: ReportState) -> EndpointReport {
@@ -163,74 +175,74 @@
 /// Guards against treating a new start's heartbeats as stale ones of the previous start.
 #[test]
 fn a_start_under_the_same_identifier_takes_work_at_once() {
-    let mut gate = EndpointGate::default();
-    gate.report(at(0), born_report(TODAY, 40, ReportState::Ready));
-    gate.report(at(10), born_report(TODAY, 41, ReportState::Leaving));
+    let mut tracker = EndpointTracker::default();
+    tracker.report(at(0), born_report(TODAY, 40, ReportState::Ready));
+    tracker.report(at(10), born_report(TODAY, 41, ReportState::Leaving));
     let next = born_report(TODAY + 9_000, 1, ReportState::Ready);
-    assert_eq!(gate.report(at(9_000), next), ReportVerdict::Adopted);
-    assert_eq!(refusal(&gate, at(9_000), "i-1"), None);
+    assert_eq!(tracker.report(at(9_000), next), ReportOutcome::Adopted);
+    assert_eq!(refusal(&tracker, at(9_000), "i-1"), None);
 }
 
 /// Guards against a crashed start's delayed heartbeat that shuts the door to the next start.
 #[test]
 fn a_late_heartbeat_of_the_same_identifier_changes_nothing() {
-    let mut gate = EndpointGate::default();
-    gate.report(at(0), born_report(TODAY, 40, ReportState::Ready));
+    let mut tracker = EndpointTracker::default();
+    tracker.report(at(0), born_report(TODAY, 40, ReportState::Ready));
     let next = born_report(TODAY + 9_000, 1, ReportState::Ready);
-    gate.report(at(9_000), next);
+    tracker.report(at(9_000), next);
     let late = born_report(TODAY, 41, ReportState::Leaving);
-    assert_eq!(gate.report(at(9_010), late), ReportVerdict::Stale);
-    assert_eq!(refusal(&gate, at(12_000), "i-1"), None);
+    assert_eq!(tracker.report(at(9_010), late), ReportOutcome::Stale);
+    assert_eq!(refusal(&tracker, at(12_000), "i-1"), None);
 }
 
 /// Guards against a repeated farewell that ends the next start of the same identifier.
 #[test]
 fn a_farewell_ends_one_start_of_an_identifier() {
-    let mut gate = EndpointGate::default();
-    gate.report(at(0), born_report(TODAY, 40, ReportState::Ready));
-    assert!(gate.deregister(at(10), born("i-1", TODAY), TODAY + 10));
+    let mut tracker = EndpointTracker::default();
+    tracker.report(at(0), born_report(TODAY, 40, ReportState::Ready));
+    assert!(tracker.deregister(at(10), born("i-1", TODAY), TODAY + 10));
     let next = born_report(TODAY + 9_000, 1, ReportState::Ready);
-    assert_eq!(gate.report(at(9_000), next), ReportVerdict::Adopted);
-    assert!(!gate.deregister(at(9_010), born("i-1", TODAY), TODAY + 9_010));
-    assert_eq!(refusal(&gate, at(12_000), "i-1"), None);
+    assert_eq!(tracker.report(at(9_000), next), ReportOutcome::Adopted);
+    assert!(!tracker.deregister(at(9_010), born("i-1", TODAY), TODAY + 9_010));
+    assert_eq!(refusal(&tracker, at(12_000), "i-1"), None);
 }
 
 /// Guards against reopening the door to a start that has said farewell.
 #[test]
 fn a_farewell_without_a_time_ends_what_began_before() {
-    let mut gate = EndpointGate::default();
-    assert!(!gate.deregister(at(10), start("i-1"), TODAY + 500));
+    let mut tracker = EndpointTracker::default();
+    assert!(!tracker.deregister(at(10), start("i-1"), TODAY + 500));
     let late = born_report(TODAY, 41, ReportState::Ready);
-    assert_eq!(gate.report(at(20), late), ReportVerdict::Stale);
+    assert_eq!(tracker.report(at(20), late), ReportOutcome::Stale);
     let next = born_report(TODAY + 900, 1, ReportState::Ready);
-    assert_eq!(gate.report(at(900), next), ReportVerdict::Adopted);
-    assert_eq!(refusal(&gate, at(901), "i-1"), None);
+    assert_eq!(tracker.report(at(900), next), ReportOutcome::Adopted);
+    assert_eq!(refusal(&tracker, at(901), "i-1"), None);
 }
 
 /// Guards against an earlier start, heard of first after a restart, that shuts out the live one.
 #[test]
 fn the_later_start_lives_whichever_is_heard_first() {
-    let mut gate = EndpointGate::default();
+    let mut tracker = EndpointTracker::default();
     let mut late = born_report(TODAY, 41, ReportState::Ready);
     late.start = born("i-0", TODAY);
-    gate.report(at(0), late.clone());
+    tracker.report(at(0), late.clone());
     let lives = born_report(TODAY + 9_000, 7, ReportState::Ready);
-    assert_eq!(gate.report(at(10), lives), ReportVerdict::Adopted);
+    assert_eq!(tracker.report(at(10), lives), ReportOutcome::Adopted);
     late.sequence += 1;
-    assert_eq!(gate.report(at(20), late), ReportVerdict::Stale);
-    assert_eq!(refusal(&gate, at(30), "i-1"), None);
+    assert_eq!(tracker.report(at(20), late), ReportOutcome::Stale);
+    assert_eq!(refusal(&tracker, at(30), "i-1"), None);
 }
 
 /// A heartbeat under the identifier of the backend server that lives names
 /// another service. It isn't its own, whatever its number.
 #[test]
 fn a_start_keeps_its_service() {
-    let mut gate = EndpointGate::default();
-    gate.report(at(0), report("i-1", 4, ReportState::Ready));
+    let mut tracker = EndpointTracker::default();
+    tracker.report(at(0), report("i-1", 4, ReportState::Ready));
     let mut foreign = report("i-1", 900, ReportState::Leaving);
     foreign.service = "till".to_owned();
-    assert_eq!(gate.report(at(10), foreign), ReportVerdict::Foreign);
+    assert_eq!(tracker.report(at(10), foreign), ReportOutcome::Foreign);
     let own = report("i-1", 5, ReportState::Ready);
-    assert_eq!(gate.report(at(20), own), ReportVerdict::Unchanged);
-    assert_eq!(refusal(&gate, at(3_000), "i-1"), None);
+    assert_eq!(tracker.report(at(20), own), ReportOutcome::Unchanged);
+    assert_eq!(refusal(&tracker, at(3_000), "i-1"), None);
 }
--- a/crates/node/tests/all/queue.rs
+++ b/crates/node/tests/all/queue.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use geranium_node::door::{DoorQueue, JobKey, JobOffer, OfferVerdict};
+use geranium_node::inbound::{AdmissionDecision, AdmissionQueue, AdmissionRequest, QueueKey};
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn offer(rank: u8, class: u64, useful_until: u64) -> JobOffer {
-    JobOffer {
+fn offer(rank: u8, class: u64, useful_until: u64) -> AdmissionRequest {
+    AdmissionRequest {
         rank,
         class,
         begun: false,
@@ -20,18 +20,21 @@
 }
 
 /// A queue in front of `slots` slots that has learned a run takes 100 ms.
-fn trained(slots: u32) -> DoorQueue {
-    let mut queue = DoorQueue::new(slots);
+fn trained(slots: u32) -> AdmissionQueue {
+    let mut queue = AdmissionQueue::new(slots);
     for _ in 0..200 {
-        assert_eq!(queue.offer(at(0), offer(1, 1, 1_000)), OfferVerdict::Run);
+        assert_eq!(
+            queue.offer(at(0), offer(1, 1, 1_000)),
+            AdmissionDecision::Run
+        );
         queue.finish(at(0), 1, Some(at(100)));
     }
     queue
 }
 
-fn waits(verdict: OfferVerdict) -> JobKey {
+fn waits(verdict: AdmissionDecision) -> QueueKey {
     match verdict {
-        OfferVerdict::Wait { key, .. } => key,
+        AdmissionDecision::Wait { key, .. } => key,
         other => panic!("it doesn't wait: {other:?}"),
     }
 }
@@ -64,7 +67,7 @@
     queue.offer(at(0), offer(1, 1, 350));
     waits(queue.offer(at(0), offer(1, 1, 350)));
     let verdict = queue.offer(at(0), offer(1, 1, 350));
-    let OfferVerdict::Refuse { retry_after } = verdict else {
+    let AdmissionDecision::Refuse { retry_after } = verdict else {
         panic!("it isn't refused: {verdict:?}");
     };
     assert!(retry_after > Duration::ZERO && retry_after <= at(300));
@@ -107,15 +110,15 @@
 #[test]
 fn a_probe_runs_at_once_or_not_at_all() {
     let mut queue = trained(1);
-    let probe = JobOffer {
+    let probe = AdmissionRequest {
         may_wait: false,
         ..offer(1, 1, 1_000)
     };
-    assert_eq!(queue.offer(at(0), probe), OfferVerdict::Run);
-    assert_eq!(queue.offer(at(0), probe), OfferVerdict::Busy);
+    assert_eq!(queue.offer(at(0), probe), AdmissionDecision::Run);
+    assert_eq!(queue.offer(at(0), probe), AdmissionDecision::Busy);
     assert_eq!((queue.running(), queue.waiting()), (1, 0));
     queue.finish(at(100), 1, Some(at(100)));
-    assert_eq!(queue.offer(at(100), probe), OfferVerdict::Run);
+    assert_eq!(queue.offer(at(100), probe), AdmissionDecision::Run);
 }
 
 /// Guards against runs that are wasted because their calls wait behind new requests.
@@ -124,7 +127,7 @@
     let mut queue = trained(1);
     queue.offer(at(0), offer(1, 1, 1_000));
     let order = waits(queue.offer(at(0), offer(1, 1, 1_000)));
-    let call = JobOffer {
+    let call = AdmissionRequest {
         begun: true,
         ..offer(1, 2, 50)
     };
@@ -145,7 +148,7 @@
     assert!(queue.expire(late));
     queue.finish(at(600), 1, Some(at(100)));
     let again = queue.offer(at(600), offer(1, 1, 520));
-    assert_eq!(again, OfferVerdict::Run);
+    assert_eq!(again, AdmissionDecision::Run);
 }
 
 /// Guards against queueing requests that will be overtaken for longer than they can wait.
@@ -157,12 +160,12 @@
     let mut refused_at_once = false;
     for _ in 0..20 {
         let verdict = queue.offer(at(now), offer(1, 1, now + 400));
-        let OfferVerdict::Wait { key, latest } = verdict else {
+        let AdmissionDecision::Wait { key, latest } = verdict else {
             refused_at_once = true;
             break;
         };
         for _ in 0..3 {
-            let call = JobOffer {
+            let call = AdmissionRequest {
                 begun: true,
                 ..offer(1, 2, now + 50)
             };
@@ -184,14 +187,14 @@
     queue.finish(at(100), 10, Some(at(100)));
     queue.offer(at(100), offer(2, 2, 2_000));
     let hopeless = queue.offer(at(100), offer(0, 11, 250));
-    assert!(matches!(hopeless, OfferVerdict::Refuse { .. }));
+    assert!(matches!(hopeless, AdmissionDecision::Refuse { .. }));
     waits(queue.offer(at(101), offer(0, 10, 1_500)));
 }
 
 /// Guards against refusing requests that find no free slot before any run time is known.
 #[test]
 fn jobs_wait_before_any_run_has_ended() {
-    let mut queue = DoorQueue::new(1);
+    let mut queue = AdmissionQueue::new(1);
     queue.offer(at(0), offer(1, 1, 1_000));
     let next = waits(queue.offer(at(0), offer(1, 1, 1_000)));
     assert_eq!(queue.finish(at(100), 1, Some(at(100))), [next]);
--- a/crates/node/tests/all/queue_load.rs
+++ b/crates/node/tests/all/queue_load.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use geranium_node::door::{DoorQueue, JobKey, JobOffer, OfferVerdict};
+use geranium_node::inbound::{AdmissionDecision, AdmissionQueue, AdmissionRequest, QueueKey};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 /// A class of requests.
@@ -62,9 +62,9 @@
     draw: impl Fn(&mut StdRng) -> f64,
 ) -> Vec<ClassResult> {
     let mut rng = StdRng::seed_from_u64(11);
-    let mut queue = DoorQueue::new(SLOTS as u32);
+    let mut queue = AdmissionQueue::new(SLOTS as u32);
     let mut line: Vec<(usize, Duration)> = Vec::new();
-    let mut waiting: HashMap<JobKey, (usize, Duration, Duration)> = HashMap::new();
+    let mut waiting: HashMap<QueueKey, (usize, Duration, Duration)> = HashMap::new();
     let mut running: Vec<Running> = Vec::new();
     let mut results = vec![ClassResult::default(); classes.len()];
     let mut now = Duration::ZERO;
@@ -85,7 +85,7 @@
                 begun.push((class, target_at));
             }
         }
-        let expired: Vec<JobKey> = waiting
+        let expired: Vec<QueueKey> = waiting
             .iter()
             .filter(|(_, job)| job.2 < now)
             .map(|(&key, _)| key)
@@ -105,7 +105,7 @@
                 line.push((number, target_at));
                 continue;
             }
-            let offer = JobOffer {
+            let offer = AdmissionRequest {
                 rank: class.rank,
                 class: number as u64,
                 begun: false,
@@ -114,11 +114,13 @@
                 ends_at: target_at + millis(500),
             };
             match queue.offer(now, offer) {
-                OfferVerdict::Run => begun.push((number, target_at)),
-                OfferVerdict::Wait { key, latest } => {
+                AdmissionDecision::Run => begun.push((number, target_at)),
+                AdmissionDecision::Wait { key, latest } => {
                     waiting.insert(key, (number, target_at, latest));
                 }
-                OfferVerdict::Refuse { .. } | OfferVerdict::Busy => results[number].refused += 1,
+                AdmissionDecision::Refuse { .. } | AdmissionDecision::Busy => {
+                    results[number].refused += 1
+                }
             }
         }
         if arrival_order {
