--- a/crates/node/src/front/attempt.rs
+++ b/crates/node/src/front/attempt.rs
@@ -80,7 +80,7 @@
             body: request.body.clone(),
             rank: request.route.rank,
             class: request.route.class,
-            begun: request.begun,
+            nested: request.nested,
             may_wait: self.may_wait,
             useful_until: request.useful_until,
             ends_at: request.ends_at,
@@ -158,7 +158,7 @@
         let note = HopNote {
             rank: request.route.rank,
             class: request.route.class,
-            begun: request.begun,
+            nested: request.nested,
             idempotent: request.route.kind.is_idempotent(),
             may_wait: self.may_wait,
             useful: request.useful_until.saturating_duration_since(now),
--- a/crates/node/src/front/front_flow.rs
+++ b/crates/node/src/front/front_flow.rs
@@ -106,7 +106,12 @@
         let caller_end = deadline.map(|deadline| arrived + deadline);
         let first_asked = self.first_asked(arrived, &route, print, deadline);
         let useful_until = first_asked + route.target;
-        let begun = self.core.inbound.calls().borrow().is_call(route.class);
+        let nested = self
+            .core
+            .inbound
+            .nested_calls()
+            .borrow()
+            .is_nested_call(route.class);
         Ok(FrontRequest {
             id: id.into(),
             method: head.method,
@@ -117,7 +122,7 @@
             first_asked,
             caller_end,
             useful_until,
-            begun,
+            nested,
             route,
             service,
             version: config.version,
@@ -214,11 +219,11 @@
             }
             Err(answer) => {
                 let now = self.core.clock.now();
-                let mut calls = self.core.inbound.calls().borrow_mut();
-                let learned = calls.turned_away(now, request.route.class);
-                drop(calls);
+                let mut nested_calls = self.core.inbound.nested_calls().borrow_mut();
+                let learned = nested_calls.request_failed(now, request.route.class);
+                drop(nested_calls);
                 if let Some(class) = learned {
-                    self.core.note_calls(class);
+                    self.core.record_nested_calls(class);
                 }
                 self.note_refused(request);
                 let cause = tries.broke.as_deref();
--- a/crates/node/src/front/front_request.rs
+++ b/crates/node/src/front/front_request.rs
@@ -31,7 +31,7 @@
     pub version: ConfigVersion,
     /// Whether it is a call of this machine's backend server, which belongs to
     /// a run that has begun.
-    pub begun: bool,
+    pub nested: bool,
     /// Arrival.
     pub arrived: Instant,
     /// When its caller first asked, as far as is known.
--- a/crates/node/src/front/try_flow.rs
+++ b/crates/node/src/front/try_flow.rs
@@ -223,7 +223,7 @@
             });
             return None;
         }
-        if tries.is_full() && !self.request.begun && !fleet.has_open(now, &query) {
+        if tries.is_full() && !self.request.nested && !fleet.has_open(now, &query) {
             return None;
         }
         let rng = &mut rand::rng();
--- a/crates/node/src/hop/hop_note.rs
+++ b/crates/node/src/hop/hop_note.rs
@@ -19,7 +19,7 @@
     /// Hash of the route.
     pub class: u64,
     /// Whether it belongs to a run that has begun.
-    pub begun: bool,
+    pub nested: bool,
     /// Whether it may run more than once without harm.
     pub idempotent: bool,
     /// Whether it may wait for a slot; it probes for a free one otherwise.
@@ -55,11 +55,11 @@
 impl std::fmt::Display for HopNote {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let useful_ms = self.useful.as_millis();
-        let flags = [self.begun, self.idempotent, self.may_wait];
-        let [begun, repeats, waits] = flags.map(u8::from);
+        let flags = [self.nested, self.idempotent, self.may_wait];
+        let [nested, repeats, waits] = flags.map(u8::from);
         write!(
             f,
-            "{},{:x},{begun},{repeats},{waits},",
+            "{},{:x},{nested},{repeats},{waits},",
             self.rank, self.class
         )?;
         write!(f, "{useful_ms},{},{}", self.version, self.from)
@@ -89,7 +89,7 @@
         Ok(Self {
             rank,
             class,
-            begun: flag()?,
+            nested: flag()?,
             idempotent: flag()?,
             may_wait: flag()?,
             useful: Duration::from_millis(next()?.parse()?),
--- a/crates/node/src/hop_port.rs
+++ b/crates/node/src/hop_port.rs
@@ -113,7 +113,7 @@
             body,
             rank: note.rank,
             class: note.class,
-            begun: note.begun,
+            nested: note.nested,
             may_wait: note.may_wait,
             useful_until: now + note.useful,
             ends_at: now + left,
--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -43,7 +43,7 @@
     /// Hash of its route, by which service times are kept.
     pub class: u64,
     /// Whether it belongs to a run that has begun.
-    pub begun: bool,
+    pub nested: bool,
     /// Whether it may wait; it probes for a free slot otherwise.
     pub may_wait: bool,
     /// Time by which its answer is of full use.
@@ -172,30 +172,30 @@
         }
         self.books.offered(now, class);
         let service = self.books.service_of(class);
-        let late = !offer.begun && now + service > offer.useful_until;
+        let late = !offer.nested && now + service > offer.useful_until;
         if self.running < self.slots {
             self.running += 1;
             self.judge(class, late, true);
             return AdmissionDecision::Run;
         }
-        if !offer.begun && self.books.is_ahead(now, class) {
+        if !offer.nested && self.books.is_ahead(now, class) {
             return self.refuse(class, late, self.wait());
         }
         self.order += 1;
         let key = QueueKey {
-            fresh: !offer.begun,
+            fresh: !offer.nested,
             rank: offer.rank,
             late,
             useful_until: offer.useful_until,
             order: self.order,
         };
-        let end = if offer.begun || late {
+        let end = if offer.nested || late {
             offer.ends_at
         } else {
             offer.useful_until
         };
         let mut latest = end.saturating_sub(service.mul_f64(RUN_MARGIN));
-        if let Some(longest) = self.longest_wait(service).filter(|_| !offer.begun) {
+        if let Some(longest) = self.longest_wait(service).filter(|_| !offer.nested) {
             latest = latest.min(now + longest);
         }
         let planned = self.wait_before(key);
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -61,7 +61,7 @@
         self.check(&response, id.as_ref())?;
         if response.status().is_server_error() {
             let now = self.inner.clock.now();
-            self.calls.borrow_mut().run_failed(now);
+            self.nested_calls.borrow_mut().run_failed(now);
         }
         deliver(response, slot, sender).await
     }
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -17,8 +17,8 @@
 };
 
 use super::{
-    AdmissionQueue, CallBook, EndpointBreaker, EndpointTracker, InboundRefusal, InboundRequest,
-    QueueKey, RefusalReason,
+    AdmissionQueue, EndpointBreaker, EndpointTracker, InboundRefusal, InboundRequest,
+    NestedCallDetector, QueueKey, RefusalReason,
 };
 use crate::{
     answer_body::AnswerBody,
@@ -121,7 +121,7 @@
     /// Held while a request runs that was running when a backend server crashed.
     pub(super) suspect_turn: Semaphore,
     pub(super) breaker: RefCell<EndpointBreaker>,
-    pub(super) calls: RefCell<CallBook>,
+    pub(super) nested_calls: RefCell<NestedCallDetector>,
     stopping_since: Cell<Option<Duration>>,
 }
 
@@ -155,7 +155,7 @@
             crashes,
             suspect_turn: Semaphore::new(1),
             breaker: RefCell::default(),
-            calls: RefCell::default(),
+            nested_calls: RefCell::default(),
             stopping_since: Cell::new(None),
         }
     }
@@ -166,8 +166,8 @@
     }
 
     /// Returns what is known of the backend server's calls.
-    pub const fn calls(&self) -> &RefCell<CallBook> {
-        &self.calls
+    pub const fn nested_calls(&self) -> &RefCell<NestedCallDetector> {
+        &self.nested_calls
     }
 
     /// Whether the backend server has broken so many runs in a row that nothing but
--- a/crates/node/src/inbound/inbound_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -24,7 +24,7 @@
     /// Hash of the route.
     pub class: u64,
     /// Whether it belongs to a run that has begun.
-    pub begun: bool,
+    pub nested: bool,
     /// Whether it may wait for a slot.
     pub may_wait: bool,
     /// Time by which the answer is of full use.
--- a/crates/node/src/inbound/mod.rs
+++ b/crates/node/src/inbound/mod.rs
@@ -7,7 +7,6 @@
 //! them to the connections.
 
 mod admission_queue;
-mod call_book;
 mod class_books;
 mod crash_admission;
 mod endpoint_breaker;
@@ -20,11 +19,11 @@
 mod inbound_refusal;
 mod inbound_request;
 mod link_admission;
+mod nested_call_detector;
 mod run_slot;
 mod slot_wait;
 
 pub use admission_queue::{AdmissionDecision, AdmissionQueue, AdmissionRequest, QueueKey};
-pub use call_book::CallBook;
 pub use endpoint_breaker::EndpointBreaker;
 pub use endpoint_confirm::confirm_endpoint;
 pub use endpoint_health::HealthAnswer;
@@ -33,4 +32,5 @@
 pub use inbound_proxy::{InboundError, InboundProxy, InboundSettings};
 pub use inbound_refusal::{InboundRefusal, RefusalReason};
 pub use inbound_request::InboundRequest;
+pub use nested_call_detector::NestedCallDetector;
 pub use run_slot::RunSlot;
--- a/crates/node/src/inbound/call_book.rs
+++ b/crates/node/src/inbound/nested_call_detector.rs
@@ -36,7 +36,7 @@
 }
 
 impl CallShare {
-    fn is_call(&self) -> bool {
+    fn is_nested_call(&self) -> bool {
         self.seen >= SEEN_MIN && self.share.get().unwrap_or(0.0) >= CALL_SHARE
     }
 }
@@ -49,16 +49,16 @@
 /// call was turned away fails at once: a class of requests of which most that are turned
 /// away are followed by a failed run is one of calls.
 #[derive(Debug, Default)]
-pub struct CallBook {
+pub struct NestedCallDetector {
     pending: VecDeque<TurnedAway>,
     shares: HashMap<u64, CallShare>,
     learned: Option<u64>,
 }
 
-impl CallBook {
+impl NestedCallDetector {
     /// Notes that a request of `class`, sent on this machine, got no answer, and
     /// returns a class that has been found to be calls since.
-    pub fn turned_away(&mut self, now: Duration, class: u64) -> Option<u64> {
+    pub fn request_failed(&mut self, now: Duration, class: u64) -> Option<u64> {
         self.settle(now);
         if self.pending.len() < PENDING_MAX {
             self.pending.push_back(TurnedAway {
@@ -86,18 +86,20 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::inbound::CallBook;
+    /// use geranium_node::inbound::NestedCallDetector;
     ///
-    /// let mut book = CallBook::default();
+    /// let mut book = NestedCallDetector::default();
     /// for second in 1..5 {
-    ///     book.turned_away(Duration::from_secs(second), 7);
+    ///     book.request_failed(Duration::from_secs(second), 7);
     ///     book.run_failed(Duration::from_millis(second * 1_000 + 1));
     /// }
-    /// assert!(book.is_call(7));
-    /// assert!(!book.is_call(8));
+    /// assert!(book.is_nested_call(7));
+    /// assert!(!book.is_nested_call(8));
     /// ```
-    pub fn is_call(&self, class: u64) -> bool {
-        self.shares.get(&class).is_some_and(CallShare::is_call)
+    pub fn is_nested_call(&self, class: u64) -> bool {
+        self.shares
+            .get(&class)
+            .is_some_and(CallShare::is_nested_call)
     }
 
     /// Judges what was turned away long enough ago.
@@ -108,11 +110,11 @@
             }
             self.pending.pop_front();
             let known = self.shares.entry(away.class).or_default();
-            let before = known.is_call();
+            let before = known.is_nested_call();
             let followed = f64::from(u8::from(away.followed));
             known.share.observe(followed, SHARE_WEIGHT);
             known.seen = known.seen.saturating_add(1);
-            if known.is_call() && !before {
+            if known.is_nested_call() && !before {
                 self.learned = Some(away.class);
             }
         }
--- a/crates/node/src/inbound/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -46,7 +46,7 @@
         let offer = AdmissionRequest {
             rank: request.rank,
             class,
-            begun: request.begun,
+            nested: request.nested,
             may_wait: request.may_wait,
             useful_until: self.inner.clock.at(request.useful_until),
             ends_at: self.inner.clock.at(request.ends_at),
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -35,7 +35,7 @@
 
     /// Records that requests of `class`, sent on this machine, were found to be
     /// calls of its backend server.
-    pub fn note_calls(&self, class: u64) {
+    pub fn record_nested_calls(&self, class: u64) {
         let config = self.config.borrow();
         let route = config.as_ref().and_then(|config| config.route_of(class));
         info!(self.log.logger(), "calls of the backend server recognized";
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -345,7 +345,7 @@
             rank: 1,
             class: CLASS,
             may_wait,
-            begun: false,
+            nested: false,
             useful_until: request.target_at,
             ends_at: request.target_at + TARGET,
         };
--- a/crates/node/tests/all/queue.rs
+++ b/crates/node/tests/all/queue.rs
@@ -12,7 +12,7 @@
     AdmissionRequest {
         rank,
         class,
-        begun: false,
+        nested: false,
         may_wait: true,
         useful_until: at(useful_until),
         ends_at: at(useful_until + 1_000),
@@ -128,7 +128,7 @@
     queue.offer(at(0), offer(1, 1, 1_000));
     let order = waits(queue.offer(at(0), offer(1, 1, 1_000)));
     let call = AdmissionRequest {
-        begun: true,
+        nested: true,
         ..offer(1, 2, 50)
     };
     let call = waits(queue.offer(at(1), call));
@@ -166,7 +166,7 @@
         };
         for _ in 0..3 {
             let call = AdmissionRequest {
-                begun: true,
+                nested: true,
                 ..offer(1, 2, now + 50)
             };
             waits(queue.offer(at(now), call));
--- a/crates/node/tests/all/queue_load.rs
+++ b/crates/node/tests/all/queue_load.rs
@@ -108,7 +108,7 @@
             let offer = AdmissionRequest {
                 rank: class.rank,
                 class: number as u64,
-                begun: false,
+                nested: false,
                 may_wait: true,
                 useful_until: target_at,
                 ends_at: target_at + millis(500),
