--- a/crates/node/src/answer_body.rs
+++ b/crates/node/src/answer_body.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use serde::Serialize;
 
-use crate::{front::SentMark, inbound::RunSlot, link::LinkPromise, node_core::OpenMark};
+use crate::{inbound::RunSlot, link::LinkPromise, node_core::OpenMark, outbound::SentMark};
 
 #[derive(Debug)]
 enum BodySource {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! A node: the process beside each backend server.
 //!
 //! Callers on the node's machine send their requests to it. The
-//! [`front`] finds the route in the [`config`] in force, picks a backend
+//! [`outbound`] finds the route in the [`config`] in force, picks a backend
 //! server out of the [`member`] view and sends the request to the node beside
 //! that one, whose [`inbound`] admits it, runs it and answers. [`follow`] keeps
 //! configuration and members up to date from the metadata [`store`], and
@@ -21,7 +21,6 @@
 pub mod errand;
 pub mod event_log;
 pub mod follow;
-pub mod front;
 pub mod header_set;
 pub mod hop;
 pub mod hop_port;
@@ -35,6 +34,7 @@
 pub mod node_metrics;
 pub mod node_settings;
 pub mod operators;
+pub mod outbound;
 pub mod request_origin;
 pub mod result_code;
 pub mod retry;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -19,13 +19,13 @@
         ConfigSource, catch_up, follow_guide, keep_announced, look_for_store, watch_config,
         watch_eras, watch_members,
     },
-    front::FrontFlow,
     hop_port::HopPort,
     http_port::{PortError, PortLimits, open_port, serve_port},
     inbound::confirm_endpoint,
     node_core::{CALLERS_LEAVE, NodeCore, OpenMark},
     node_settings::ListenAddrs,
     operators::OperatorsPort,
+    outbound::OutboundProxy,
     request_origin::RequestOrigin,
     store::MetaStore,
 };
@@ -172,7 +172,7 @@
 }
 
 fn serve_callers(core: &Rc<NodeCore>, listener: TcpListener) {
-    let flow = FrontFlow::new(Rc::clone(core));
+    let flow = OutboundProxy::new(Rc::clone(core));
     let (counted, limited) = (Rc::clone(core), Rc::clone(core));
     let answer = move |request| {
         let (flow, open) = (flow.clone(), counted.open_mark(RequestOrigin::Caller));
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -9,17 +9,17 @@
 use super::NodeCore;
 use crate::{
     answer_body::AnswerBody,
-    front::{FrontAnswer, FrontRequest},
     inbound::InboundRefusal,
     member::MemberRecord,
     node_metrics::{RequestCount, RequestResult},
+    outbound::{LocalReply, OutboundRequest},
     result_code::ResultCode,
 };
 
 impl NodeCore {
     fn count(
         &self,
-        request: &FrontRequest,
+        request: &OutboundRequest,
         code: ResultCode,
         result: RequestResult,
         took: Duration,
@@ -46,7 +46,7 @@
     /// Records a request that got a backend server's answer.
     pub fn note_served(
         &self,
-        request: &FrontRequest,
+        request: &OutboundRequest,
         answer: &Response<AnswerBody>,
         at: Option<&MemberRecord>,
         tries: usize,
@@ -86,8 +86,8 @@
     /// Records a request that got an answer of this node's own.
     pub fn note_failed(
         &self,
-        request: &FrontRequest,
-        answer: &FrontAnswer,
+        request: &OutboundRequest,
+        answer: &LocalReply,
         tries: usize,
         cause: Option<&str>,
     ) {
@@ -110,7 +110,7 @@
     }
 
     /// Records that a caller left before its answer.
-    pub fn note_left(&self, request: &FrontRequest, tries: usize) {
+    pub fn note_left(&self, request: &OutboundRequest, tries: usize) {
         self.metrics.try_failed("caller-left");
         if let Some(log) = self.log.for_request(self.clock.now(), "caller left") {
             info!(log, "caller left";
@@ -122,7 +122,7 @@
     }
 
     /// Records a request that was refused before it had a route.
-    pub fn note_answer(&self, id: Option<&HeaderValue>, answer: &FrontAnswer) {
+    pub fn note_answer(&self, id: Option<&HeaderValue>, answer: &LocalReply) {
         let result = if answer.status.is_client_error() {
             RequestResult::CallerFault
         } else {
@@ -148,7 +148,7 @@
     /// Records that a door refused a try.
     pub fn note_refusal(
         &self,
-        request: &FrontRequest,
+        request: &OutboundRequest,
         at: &MemberRecord,
         refusal: &InboundRefusal,
     ) {
@@ -165,7 +165,7 @@
     }
 
     /// Records that a node couldn't be reached.
-    pub fn note_unreachable(&self, request: &FrontRequest, at: &MemberRecord, cause: &str) {
+    pub fn note_unreachable(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
         self.metrics.try_failed("unreachable");
         self.hops.forget(at.hop);
         if let Some(log) = self.log.for_request(self.clock.now(), "unreachable") {
@@ -178,7 +178,7 @@
     }
 
     /// Records that a member shows no sign of life.
-    pub fn note_silent(&self, request: &FrontRequest, at: &MemberRecord, patience: Duration) {
+    pub fn note_silent(&self, request: &OutboundRequest, at: &MemberRecord, patience: Duration) {
         self.metrics.try_failed("silent");
         if let Some(log) = self.log.for_request(self.clock.now(), "silent") {
             warn!(log, "member silent";
@@ -190,7 +190,7 @@
     }
 
     /// Records that a try broke after it was sent.
-    pub fn note_broke(&self, request: &FrontRequest, at: &MemberRecord, cause: &str) {
+    pub fn note_broke(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
         self.metrics.try_failed("broke");
         if let Some(log) = self.log.for_request(self.clock.now(), "broke") {
             warn!(log, "try broke";
--- a/crates/node/src/front/caller_input.rs
+++ b/crates/node/src/outbound/caller_input.rs
@@ -7,7 +7,7 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-use super::FrontAnswer;
+use super::LocalReply;
 use crate::config::MeshConfig;
 
 /// Returns the host that a request names, without its port.
@@ -26,7 +26,7 @@
     body: Incoming,
     config: &MeshConfig,
     ends_at: Instant,
-) -> Result<Bytes, FrontAnswer> {
+) -> Result<Bytes, LocalReply> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
@@ -35,15 +35,15 @@
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            Err(FrontAnswer::rejected(ResultCode::BodyTooLarge, status))
+            Err(LocalReply::rejected(ResultCode::BodyTooLarge, status))
         }
         Ok(Err(_)) => {
             let status = StatusCode::BAD_REQUEST;
-            Err(FrontAnswer::rejected(ResultCode::BadRequest, status))
+            Err(LocalReply::rejected(ResultCode::BadRequest, status))
         }
         Err(_elapsed) => {
             let status = StatusCode::REQUEST_TIMEOUT;
-            Err(FrontAnswer::rejected(ResultCode::RequestTimeout, status))
+            Err(LocalReply::rejected(ResultCode::RequestTimeout, status))
         }
     }
 }
--- a/crates/node/src/front/deadline_book.rs
+++ b/crates/node/src/outbound/deadline_book.rs
@@ -48,7 +48,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::front::DeadlineBook;
+    /// use geranium_node::outbound::DeadlineBook;
     ///
     /// let mut book = DeadlineBook::default();
     /// for _ in 0..20 {
--- a/crates/node/src/front/front_answer.rs
+++ b/crates/node/src/outbound/local_reply.rs
@@ -9,7 +9,7 @@
 
 /// An answer that a node gives of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FrontAnswer {
+pub struct LocalReply {
     /// Numbered reason.
     pub code: ResultCode,
     /// Status.
@@ -18,7 +18,7 @@
     pub retry_after: Option<Duration>,
 }
 
-impl FrontAnswer {
+impl LocalReply {
     /// The request hasn't run and won't; the caller may come back.
     pub const fn not_run(code: ResultCode, retry_after: Duration) -> Self {
         Self {
--- a/crates/node/src/front/front_flow.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -7,11 +7,11 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::{
-    FrontAnswer, FrontRequest,
-    attempt::path_only,
+    LocalReply, OutboundRequest,
     caller_input::{host_of, read_body},
     try_flow::TryFlow,
     try_record::{TryRecord, final_answer, late_answer},
+    try_sender::path_only,
 };
 use crate::{
     answer_body::AnswerBody,
@@ -37,11 +37,11 @@
 
 /// The path of a caller's request.
 #[derive(Debug, Clone)]
-pub struct FrontFlow {
+pub struct OutboundProxy {
     core: Rc<NodeCore>,
 }
 
-impl FrontFlow {
+impl OutboundProxy {
     /// Makes the path for the callers of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
@@ -77,14 +77,14 @@
         &self,
         incoming: Request<Incoming>,
         arrived: Instant,
-    ) -> Result<FrontRequest, FrontAnswer> {
+    ) -> Result<OutboundRequest, LocalReply> {
         if self.core.refuses_callers() {
-            return Err(FrontAnswer::not_run(ResultCode::Draining, RETRY_STOPPING));
+            return Err(LocalReply::not_run(ResultCode::Draining, RETRY_STOPPING));
         }
         let (mut head, body) = incoming.into_parts();
         let config = self.current_config().await?;
         let route = host_of(&head).and_then(|host| config.route(&host, head.uri.path()).cloned());
-        let no_route = FrontAnswer::rejected(ResultCode::NoRoute, StatusCode::NOT_FOUND);
+        let no_route = LocalReply::rejected(ResultCode::NoRoute, StatusCode::NOT_FOUND);
         let route = route.ok_or(no_route)?;
         let deadline = self.deadline_of(&head.headers);
         let ends_at = match deadline {
@@ -112,7 +112,7 @@
             .nested_calls()
             .borrow()
             .is_nested_call(route.class);
-        Ok(FrontRequest {
+        Ok(OutboundRequest {
             id: id.into(),
             method: head.method,
             uri: path_only(&head.uri),
@@ -136,7 +136,7 @@
     ///
     /// After a power cut callers ask again before any node has read its configuration,
     /// and most of them ask no third time.
-    async fn current_config(&self) -> Result<Rc<MeshConfig>, FrontAnswer> {
+    async fn current_config(&self) -> Result<Rc<MeshConfig>, LocalReply> {
         loop {
             let heard = self.core.news.notified();
             let config = self.core.config.borrow().clone();
@@ -146,18 +146,18 @@
             let left = FIRST_CONFIG_TIME.saturating_sub(self.core.clock.now());
             if left.is_zero() || self.core.open.get() > HELD_MAX {
                 let retry_after = left.max(RETRY_NOT_READY);
-                return Err(FrontAnswer::not_run(ResultCode::NotReady, retry_after));
+                return Err(LocalReply::not_run(ResultCode::NotReady, retry_after));
             }
             let _timed_out = timeout(left, heard).await;
         }
     }
 
     /// Refuses a request that has crashed backend servers.
-    fn check_print(&self, print: u64) -> Result<(), FrontAnswer> {
+    fn check_print(&self, print: u64) -> Result<(), LocalReply> {
         let now = self.core.clock.now();
         let refusal = self.core.crashes.borrow().refusal(now, print);
         refusal.map_or(Ok(()), |retry_after| {
-            Err(FrontAnswer::not_run(ResultCode::Poisoned, retry_after))
+            Err(LocalReply::not_run(ResultCode::Poisoned, retry_after))
         })
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Remembers a request that gets no answer: its caller may come again.
-    fn note_refused(&self, request: &FrontRequest) {
+    fn note_refused(&self, request: &OutboundRequest) {
         let Some(caller_end) = request.caller_end else {
             return;
         };
@@ -194,7 +194,7 @@
         returns.refused(request.print, first, end);
     }
 
-    async fn serve(&self, request: &FrontRequest) -> Response<AnswerBody> {
+    async fn serve(&self, request: &OutboundRequest) -> Response<AnswerBody> {
         let now = self.core.clock.now();
         self.core
             .retries
--- a/crates/node/src/front/front_request.rs
+++ b/crates/node/src/outbound/outbound_request.rs
@@ -10,7 +10,7 @@
 
 /// A caller's request, read and routed.
 #[derive(Debug, Clone)]
-pub struct FrontRequest {
+pub struct OutboundRequest {
     /// Identifier of the caller's attempt, for the log.
     pub id: Rc<str>,
     /// Method.
--- a/crates/node/src/front/return_book.rs
+++ b/crates/node/src/outbound/return_book.rs
@@ -55,7 +55,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::front::ReturnBook;
+    /// use geranium_node::outbound::ReturnBook;
     ///
     /// let mut book = ReturnBook::default();
     /// let (asked, end) = (Duration::from_millis(100), Duration::from_millis(1_100));
--- a/crates/node/src/front/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -10,7 +10,7 @@
 };
 
 use super::{
-    AttemptFlow, FrontRequest, TryFailure, TryResult,
+    OutboundRequest, TryFailure, TryResult, TrySender,
     try_record::{PROBES_MAX, TRIES_MAX, TryRecord},
 };
 use crate::{
@@ -33,11 +33,11 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TryFlow<'a> {
     pub(super) core: &'a Rc<NodeCore>,
-    pub(super) request: &'a FrontRequest,
+    pub(super) request: &'a OutboundRequest,
 }
 
 impl<'a> TryFlow<'a> {
-    pub(super) const fn new(core: &'a Rc<NodeCore>, request: &'a FrontRequest) -> Self {
+    pub(super) const fn new(core: &'a Rc<NodeCore>, request: &'a OutboundRequest) -> Self {
         Self { core, request }
     }
 
@@ -107,7 +107,7 @@
             let fleet = self.core.fleet.borrow();
             fleet.patience(sent_at, next.key, &self.query(tries))
         };
-        let mut first = Box::pin(self.attempt(&next).send(next.key, &next.record));
+        let mut first = Box::pin(self.try_sender(&next).send(next.key, &next.record));
         if let Ok(result) = timeout(patience, &mut first).await {
             drop(first);
             return (next, result);
@@ -130,7 +130,7 @@
             return (next, result);
         };
         tries.begin(other.key);
-        let mut second = Box::pin(self.attempt(&other).send(other.key, &other.record));
+        let mut second = Box::pin(self.try_sender(&other).send(other.key, &other.record));
         select! {
             biased;
             result = &mut second => match result {
@@ -160,8 +160,8 @@
         }
     }
 
-    fn attempt(self, next: &NextTry) -> AttemptFlow<'a> {
-        AttemptFlow {
+    fn try_sender(self, next: &NextTry) -> TrySender<'a> {
+        TrySender {
             core: self.core,
             request: self.request,
             may_wait: next.may_wait,
--- a/crates/node/src/front/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -5,7 +5,7 @@
 use http::Response;
 use smallvec::SmallVec;
 
-use super::{FrontAnswer, FrontRequest};
+use super::{LocalReply, OutboundRequest};
 use crate::{
     answer_body::AnswerBody,
     inbound::{InboundRefusal, RefusalReason},
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(super) struct TryRecord<'a> {
     pub(super) core: &'a NodeCore,
-    pub(super) request: &'a FrontRequest,
+    pub(super) request: &'a OutboundRequest,
     /// Whether the request has its answer.
     pub(super) settled: bool,
     /// Member of the last try.
@@ -53,7 +53,7 @@
 }
 
 impl<'a> TryRecord<'a> {
-    pub(super) fn new(core: &'a NodeCore, request: &'a FrontRequest) -> Self {
+    pub(super) fn new(core: &'a NodeCore, request: &'a OutboundRequest) -> Self {
         Self {
             core,
             request,
@@ -115,9 +115,9 @@
 }
 
 /// Returns the answer for a request that is given up.
-pub(super) fn final_answer(tries: &TryRecord<'_>) -> FrontAnswer {
+pub(super) fn final_answer(tries: &TryRecord<'_>) -> LocalReply {
     if tries.may_have_run() {
-        return FrontAnswer::maybe_run(ResultCode::BackendBroke);
+        return LocalReply::maybe_run(ResultCode::BackendBroke);
     }
     let Some(refusal) = tries.refusal else {
         let code = if tries.count() == 0 {
@@ -125,18 +125,18 @@
         } else {
             ResultCode::NodeUnreachable
         };
-        return FrontAnswer::not_run(code, RETRY_NO_BACKEND);
+        return LocalReply::not_run(code, RETRY_NO_BACKEND);
     };
     let retry_after = refusal.retry_after.max(RETRY_MIN);
-    FrontAnswer::not_run(code_of(refusal.reason), retry_after)
+    LocalReply::not_run(code_of(refusal.reason), retry_after)
 }
 
 /// Returns the answer for a request whose time is over.
-pub(super) fn late_answer(tries: &TryRecord<'_>) -> FrontAnswer {
+pub(super) fn late_answer(tries: &TryRecord<'_>) -> LocalReply {
     if tries.may_have_run() {
-        FrontAnswer::timed_out()
+        LocalReply::timed_out()
     } else {
-        FrontAnswer::not_run(ResultCode::DeadlineBeforeRun, RETRY_MIN)
+        LocalReply::not_run(ResultCode::DeadlineBeforeRun, RETRY_MIN)
     }
 }
 
--- a/crates/node/src/front/attempt.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use super::{FrontRequest, SentMark};
+use super::{OutboundRequest, SentMark};
 use crate::{
     answer_body::{AnswerBody, is_short},
     config::ConfigVersion,
@@ -46,16 +46,16 @@
 
 /// Sends requests to doors, the own one or those of other nodes.
 #[derive(Debug, Clone, Copy)]
-pub struct AttemptFlow<'a> {
+pub struct TrySender<'a> {
     /// Node.
     pub core: &'a Rc<NodeCore>,
     /// Request.
-    pub request: &'a FrontRequest,
+    pub request: &'a OutboundRequest,
     /// Whether it may wait for a slot; it probes for a free one otherwise.
     pub may_wait: bool,
 }
 
-impl AttemptFlow<'_> {
+impl TrySender<'_> {
     /// Sends the request to the door of `key`.
     ///
     /// # Errors
--- a/crates/node/tests/all/deadlines.rs
+++ b/crates/node/tests/all/deadlines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use geranium_node::front::{DeadlineBook, ReturnBook};
+use geranium_node::outbound::{DeadlineBook, ReturnBook};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 const CLASS: u64 = 7;
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -63,7 +63,7 @@
 /// A request of one front.
 #[derive(Debug, Clone, Copy)]
 struct Request {
-    front: usize,
+    sender: usize,
     receiver: usize,
     key: MemberKey,
     target_at: Duration,
@@ -132,7 +132,7 @@
     /// What fronts take a refusal of a node without a backend server for.
     shut_end: TryEnd,
     rng: StdRng,
-    fronts: Vec<FleetView>,
+    senders: Vec<FleetView>,
     /// What each front last heard of each door.
     heard: Vec<HashMap<usize, LoadReport>>,
     receivers: Vec<Door>,
@@ -147,8 +147,8 @@
     /// Makes a fleet whose fronts and doors are spread over data centres evenly.
     fn spread(picker: Picker, load: f64, data_centres: usize) -> Self {
         let mut rng = StdRng::seed_from_u64(23);
-        let fronts = (0..FRONTS).map(|front| {
-            let mut view = FleetView::new(place(front, data_centres));
+        let senders = (0..FRONTS).map(|sender| {
+            let mut view = FleetView::new(place(sender, data_centres));
             for receiver in 0..DOORS {
                 let record = record(receiver, data_centres);
                 view.announce(Duration::ZERO, record, Revision(receiver as u64 + 1));
@@ -163,14 +163,14 @@
             waiting: HashMap::new(),
             shut: false,
         });
-        let (fronts, receivers) = (fronts.collect(), receivers.collect());
+        let (senders, receivers) = (senders.collect(), receivers.collect());
         Self {
             picker,
             load,
             data_centres,
             crowd: 0.0,
             shut_end: TryEnd::Shut,
-            fronts,
+            senders,
             heard: vec![HashMap::new(); FRONTS],
             receivers,
             result: LoadResult::default(),
@@ -194,11 +194,11 @@
     }
 
     fn draw_front(&mut self) -> usize {
-        let front = self.rng.random_range(0..FRONTS);
+        let sender = self.rng.random_range(0..FRONTS);
         if self.crowd > 0.0 && self.rng.random_bool(self.crowd) {
-            front - front % self.data_centres
+            sender - sender % self.data_centres
         } else {
-            front
+            sender
         }
     }
 
@@ -240,7 +240,7 @@
                     .queue
                     .finish(now, CLASS, Some(took));
                 self.hear(now, run.request);
-                let view = &mut self.fronts[run.request.front];
+                let view = &mut self.senders[run.request.sender];
                 view.judged(now, run.request.key, TryEnd::Answered { failed: false });
                 view.ended(run.request.key);
                 for key in granted {
@@ -266,13 +266,13 @@
         for key in late {
             receiver.queue.expire(key);
             let (request, _) = receiver.waiting.remove(&key).expect("it waited");
-            self.fronts[request.front].ended(request.key);
+            self.senders[request.sender].ended(request.key);
             self.result.refused += 1;
         }
     }
 
     fn begin(&mut self, now: Duration, request: Request) {
-        let far = request.front % self.data_centres != request.receiver % self.data_centres;
+        let far = request.sender % self.data_centres != request.receiver % self.data_centres;
         self.result.far += u32::from(far);
         let spread = 0.5 + self.rng.random::<f64>();
         let receiver = &mut self.receivers[request.receiver];
@@ -285,26 +285,30 @@
 
     fn hear(&mut self, now: Duration, request: Request) {
         let report = self.receivers[request.receiver].report();
-        self.fronts[request.front].loaded(now, request.key, CLASS, report);
-        self.heard[request.front].insert(request.receiver, report);
+        self.senders[request.sender].loaded(now, request.key, CLASS, report);
+        self.heard[request.sender].insert(request.receiver, report);
     }
 
     /// Sends a request of a random front, as the node does: a probe where a slot
     /// may be free, then a place in a queue.
     fn ask(&mut self, now: Duration) {
         self.result.offered += 1;
-        let front = self.draw_front();
+        let sender = self.draw_front();
         let (mut tried, mut probed) = (Vec::new(), Vec::new());
         while tried.len() + probed.len() < TRIES {
             let may_wait = self.picker == Picker::BestKnown
                 || probed.len() == PROBES
-                || !self.fronts[front].may_probe(&query(&tried, &probed));
-            let Some(key) = self.pick(now, front, &tried, &probed, may_wait) else {
+                || !self.senders[sender].may_probe(&query(&tried, &probed));
+            let Some(key) = self.pick(now, sender, &tried, &probed, may_wait) else {
                 break;
             };
-            let address = self.fronts[front].get(key).expect("it is known").record.hop;
+            let address = self.senders[sender]
+                .get(key)
+                .expect("it is known")
+                .record
+                .hop;
             let request = Request {
-                front,
+                sender,
                 receiver: (0..DOORS)
                     .find(|&receiver| hop(receiver) == address)
                     .expect("it is one"),
@@ -313,11 +317,11 @@
             };
             self.result.asked += 1;
             if self.receivers[request.receiver].shut {
-                self.fronts[front].judged(now, key, self.shut_end);
+                self.senders[sender].judged(now, key, self.shut_end);
                 tried.push(key);
                 continue;
             }
-            self.fronts[front].sent(key);
+            self.senders[sender].sent(key);
             match self.offer(now, request, may_wait) {
                 AdmissionDecision::Run => return self.begin(now, request),
                 AdmissionDecision::Wait { key, latest } => {
@@ -330,11 +334,11 @@
                 }
                 AdmissionDecision::Refuse { retry_after } => {
                     let end = TryEnd::Refused { retry_after };
-                    self.fronts[front].judged(now, key, end);
+                    self.senders[sender].judged(now, key, end);
                     tried.push(key);
                 }
             }
-            self.fronts[front].ended(key);
+            self.senders[sender].ended(key);
             self.hear(now, request);
         }
         self.result.refused += 1;
@@ -355,25 +359,25 @@
     fn pick(
         &mut self,
         now: Duration,
-        front: usize,
+        sender: usize,
         tried: &[MemberKey],
         probed: &[MemberKey],
         may_wait: bool,
     ) -> Option<MemberKey> {
         let query = query(tried, probed);
         match (self.picker, may_wait) {
-            (Picker::BestKnown, _) => self.best_known(front, tried),
-            (Picker::Node, false) => self.fronts[front].pick(now, &query, &mut self.rng),
-            (Picker::Node, true) => self.fronts[front].pick_queue(now, &query, &mut self.rng),
+            (Picker::BestKnown, _) => self.best_known(sender, tried),
+            (Picker::Node, false) => self.senders[sender].pick(now, &query, &mut self.rng),
+            (Picker::Node, true) => self.senders[sender].pick_queue(now, &query, &mut self.rng),
         }
     }
 
     /// The least time to an answer of all that a front knows.
-    fn best_known(&mut self, front: usize, tried: &[MemberKey]) -> Option<MemberKey> {
+    fn best_known(&mut self, sender: usize, tried: &[MemberKey]) -> Option<MemberKey> {
         let mut best: Option<(f64, MemberKey)> = None;
         for receiver in 0..DOORS {
-            let key = self.fronts[front].key_of(hop(receiver))?;
-            let heard = self.heard[front].get(&receiver);
+            let key = self.senders[sender].key_of(hop(receiver))?;
+            let heard = self.heard[sender].get(&receiver);
             let wait = heard.map_or(0.0, |report| {
                 let held = f64::from(report.running + report.waiting) + 1.0;
                 let excess = (held - f64::from(SLOTS)).max(0.0) / f64::from(SLOTS);
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use geranium_node::{
-    front::ReturnBook,
     link::{LinkOffer, LinkSchedule, LinkTurn, LinkVerdict, LoadKey},
+    outbound::ReturnBook,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -103,8 +103,8 @@
     /// Runs the simulation. Nodes that don't know their data centre treat every member as
     /// remote.
     fn simulate(knows_data_centre: bool) -> SimulationResult {
-        let fronts = (0..FRONTS_PER_DATA_CENTRE * 2).map(|front| {
-            let data_centre = DATA_CENTRES[front % 2];
+        let fronts = (0..FRONTS_PER_DATA_CENTRE * 2).map(|outbound| {
+            let data_centre = DATA_CENTRES[outbound % 2];
             view_from(if knows_data_centre { data_centre } else { "" })
         });
         let mut simulation = Self {
@@ -116,9 +116,9 @@
         };
         let mut now = Duration::ZERO;
         while now < LENGTH {
-            for front in 0..simulation.fronts.len() {
+            for outbound in 0..simulation.fronts.len() {
                 if simulation.rng.random::<f64>() < FILES_PER_S * STEP.as_secs_f64() {
-                    simulation.request_file(now, front);
+                    simulation.request_file(now, outbound);
                 }
             }
             (0..2).for_each(|link| simulation.transmit(now, link));
@@ -128,14 +128,14 @@
     }
 
     /// Asks members in turn until one promises a file.
-    fn request_file(&mut self, now: Duration, front: usize) {
+    fn request_file(&mut self, now: Duration, outbound: usize) {
         let mut tried = Vec::new();
         loop {
             let query = PickQuery {
                 tried: &tried,
                 ..LONG
             };
-            let fleet = &mut self.fronts[front];
+            let fleet = &mut self.fronts[outbound];
             if fleet.link_wait(now, &query).is_some() {
                 return;
             }
@@ -143,7 +143,7 @@
             let Some(key) = home.or_else(|| fleet.pick(now, &query, &mut self.rng)) else {
                 return;
             };
-            if self.offer(now, front, key) {
+            if self.offer(now, outbound, key) {
                 return;
             }
             tried.push(key);
@@ -151,8 +151,8 @@
     }
 
     /// Returns whether the member's link promised the file.
-    fn offer(&mut self, now: Duration, front: usize, key: MemberKey) -> bool {
-        let link = usize::from(self.fronts[front].key_of(hop(2)) == Some(key));
+    fn offer(&mut self, now: Duration, outbound: usize, key: MemberKey) -> bool {
+        let link = usize::from(self.fronts[outbound].key_of(hop(2)) == Some(key));
         let offer = LinkOffer {
             bytes: FILE_BYTES,
             made_in: RUN,
@@ -167,7 +167,7 @@
             run: RUN,
             link: self.links[link].backlog(now),
         };
-        let fleet = &mut self.fronts[front];
+        let fleet = &mut self.fronts[outbound];
         fleet.loaded(now, key, LONG.class, report);
         match verdict {
             LinkVerdict::Promised(load) => {
@@ -177,7 +177,7 @@
                     made_at: now + RUN,
                     remaining: FILE_BYTES,
                 });
-                if link != front % 2 {
+                if link != outbound % 2 {
                     self.result.remote_bytes += FILE_BYTES;
                 }
                 true
