--- a/crates/node/src/answer_body.rs
+++ b/crates/node/src/answer_body.rs
@@ -10,7 +10,9 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use serde::Serialize;
 
-use crate::{inbound::RunSlot, link::LinkPromise, node_core::OpenMark, outbound::SentMark};
+use crate::{
+    inbound::RunSlot, link::LinkPromise, node_core::OpenRequestGuard, outbound::InFlightGuard,
+};
 
 #[derive(Debug)]
 enum BodySource {
@@ -30,8 +32,8 @@
 pub struct AnswerBody {
     source: BodySource,
     slot: Option<RunSlot>,
-    mark: Option<SentMark>,
-    open: Option<OpenMark>,
+    guard: Option<InFlightGuard>,
+    open: Option<OpenRequestGuard>,
     promise: Option<LinkPromise>,
 }
 
@@ -109,8 +111,8 @@
 
     /// Holds the note of an open request until the end.
     #[must_use]
-    pub fn with_mark(mut self, mark: SentMark) -> Self {
-        self.mark = Some(mark);
+    pub fn with_in_flight_guard(mut self, guard: InFlightGuard) -> Self {
+        self.guard = Some(guard);
         self
     }
 
@@ -127,7 +129,7 @@
 
     /// Counts the request as open until the end.
     #[must_use]
-    pub fn with_open(mut self, open: OpenMark) -> Self {
+    pub fn with_open_request_guard(mut self, open: OpenRequestGuard) -> Self {
         self.open = Some(open);
         self
     }
@@ -136,7 +138,7 @@
         Self {
             source,
             slot: None,
-            mark: None,
+            guard: None,
             open: None,
             promise: None,
         }
@@ -182,8 +184,8 @@
         if let Some(slot) = self.slot.take() {
             slot.complete();
         }
-        if let Some(mark) = self.mark.take() {
-            mark.complete();
+        if let Some(guard) = self.guard.take() {
+            guard.complete();
         }
         if let Some(promise) = self.promise.take() {
             promise.complete();
--- a/crates/node/src/http_port.rs
+++ b/crates/node/src/http_port.rs
@@ -84,15 +84,15 @@
     F: Future<Output = Response<AnswerBody>> + 'static,
 {
     let mut closing = core.closing.subscribe();
-    let _port_mark = core.connection_mark();
+    let _port_mark = core.connection_guard();
     let serve = |stream: TcpStream| {
         tune_socket(&stream);
         let closing = core.closing.subscribe();
-        let mark = core.connection_mark();
+        let guard = core.connection_guard();
         let connection = serve_connection(stream, limits(), answer.clone(), closing);
         tokio::task::spawn_local(async move {
             connection.await;
-            drop(mark);
+            drop(guard);
         });
     };
     loop {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -22,7 +22,7 @@
     hop_port::HopPort,
     http_port::{PortError, PortLimits, open_port, serve_port},
     inbound::confirm_endpoint,
-    node_core::{CALLERS_LEAVE, NodeCore, OpenMark},
+    node_core::{CALLERS_LEAVE, NodeCore, OpenRequestGuard},
     node_settings::ListenAddrs,
     operators::OperatorsPort,
     outbound::OutboundProxy,
@@ -110,7 +110,7 @@
         let port = HopPort::new(Rc::clone(core));
         let core = Rc::clone(core);
         move |request| {
-            let (port, open) = (port.clone(), core.open_mark(RequestOrigin::Node));
+            let (port, open) = (port.clone(), core.open_request_guard(RequestOrigin::Node));
             async move { opened(port.answer(request).await, open) }
         }
     });
@@ -166,16 +166,19 @@
 }
 
 /// Counts an answer as open, and on the link, until its end.
-fn opened(answer: Response<AnswerBody>, open: OpenMark) -> Response<AnswerBody> {
+fn opened(answer: Response<AnswerBody>, open: OpenRequestGuard) -> Response<AnswerBody> {
     open.sent_head(answer.headers());
-    answer.map(|body| body.with_open(open))
+    answer.map(|body| body.with_open_request_guard(open))
 }
 
 fn serve_callers(core: &Rc<NodeCore>, listener: TcpListener) {
     let flow = OutboundProxy::new(Rc::clone(core));
     let (counted, limited) = (Rc::clone(core), Rc::clone(core));
     let answer = move |request| {
-        let (flow, open) = (flow.clone(), counted.open_mark(RequestOrigin::Caller));
+        let (flow, open) = (
+            flow.clone(),
+            counted.open_request_guard(RequestOrigin::Caller),
+        );
         async move { opened(flow.answer(request).await, open) }
     };
     let limits = move || match &*limited.config.borrow() {
--- a/crates/node/src/node_core/connection_mark.rs
+++ b/crates/node/src/node_core/connection_guard.rs
@@ -6,9 +6,9 @@
 
 /// Counts a connection or a port as open until dropped.
 #[derive(Debug)]
-pub struct ConnectionMark(pub(super) Rc<NodeCore>);
+pub struct ConnectionGuard(pub(super) Rc<NodeCore>);
 
-impl Drop for ConnectionMark {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let open = self.0.connections.get();
         self.0.connections.set(open.saturating_sub(1));
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -1,9 +1,9 @@
 //! What the parts of a node share.
 
-mod connection_mark;
+mod connection_guard;
 mod crash_notes;
 mod endpoint_reports;
-mod open_mark;
+mod open_request_guard;
 mod request_notes;
 mod store_contact;
 
@@ -18,8 +18,8 @@
 use slog::info;
 use tokio::sync::{Notify, watch};
 
-pub use connection_mark::ConnectionMark;
-pub use open_mark::OpenMark;
+pub use connection_guard::ConnectionGuard;
+pub use open_request_guard::OpenRequestGuard;
 
 use crate::{
     config::{ConfigVersion, MeshConfig},
@@ -210,15 +210,15 @@
     }
 
     /// Counts a request as open until the mark is dropped.
-    pub fn open_mark(self: &Rc<Self>, origin: RequestOrigin) -> OpenMark {
+    pub fn open_request_guard(self: &Rc<Self>, origin: RequestOrigin) -> OpenRequestGuard {
         self.open.set(self.open.get() + 1);
-        OpenMark::new(Rc::clone(self), origin)
+        OpenRequestGuard::new(Rc::clone(self), origin)
     }
 
     /// Counts a connection or a port as open until the mark is dropped.
-    pub fn connection_mark(self: &Rc<Self>) -> ConnectionMark {
+    pub fn connection_guard(self: &Rc<Self>) -> ConnectionGuard {
         self.connections.set(self.connections.get() + 1);
-        ConnectionMark(Rc::clone(self))
+        ConnectionGuard(Rc::clone(self))
     }
 
     /// Returns the version in force; 0 for none.
--- a/crates/node/src/node_core/open_mark.rs
+++ b/crates/node/src/node_core/open_request_guard.rs
@@ -13,12 +13,12 @@
 
 /// Counts a request as open until dropped.
 #[derive(Debug)]
-pub struct OpenMark {
+pub struct OpenRequestGuard {
     core: Rc<NodeCore>,
     origin: RequestOrigin,
 }
 
-impl OpenMark {
+impl OpenRequestGuard {
     pub(super) const fn new(core: Rc<NodeCore>, origin: RequestOrigin) -> Self {
         Self { core, origin }
     }
@@ -47,7 +47,7 @@
     }
 }
 
-impl Drop for OpenMark {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         let open = &self.core.open;
         open.set(open.get().saturating_sub(1));
--- a/crates/node/src/outbound/sent_mark.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -7,13 +7,13 @@
 /// Counts a request as open at a member until dropped, and gives its
 /// connection back after a whole answer.
 #[derive(Debug)]
-pub struct SentMark {
+pub struct InFlightGuard {
     core: Rc<NodeCore>,
     key: MemberKey,
     sender: Option<PooledSender>,
 }
 
-impl SentMark {
+impl InFlightGuard {
     /// Notes that a request goes to `key`.
     pub fn new(core: &Rc<NodeCore>, key: MemberKey) -> Self {
         core.fleet.borrow_mut().sent(key);
@@ -42,7 +42,7 @@
     }
 }
 
-impl Drop for SentMark {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.core.fleet.borrow_mut().ended(self.key);
     }
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use super::{OutboundRequest, SentMark};
+use super::{InFlightGuard, OutboundRequest};
 use crate::{
     answer_body::{AnswerBody, is_short},
     config::ConfigVersion,
@@ -62,15 +62,15 @@
     ///
     /// How the try ended without an answer of the backend server.
     pub async fn send(self, key: MemberKey, record: &MemberRecord) -> TryResult {
-        let mark = SentMark::new(self.core, key);
+        let guard = InFlightGuard::new(self.core, key);
         if record.hop == self.core.settings.hop {
-            self.send_home(mark, record).await
+            self.send_home(guard, record).await
         } else {
-            self.send_away(mark, key, record).await
+            self.send_away(guard, key, record).await
         }
     }
 
-    async fn send_home(self, mark: SentMark, record: &MemberRecord) -> TryResult {
+    async fn send_home(self, guard: InFlightGuard, record: &MemberRecord) -> TryResult {
         let request = self.request;
         let inbound_request = InboundRequest {
             origin: RequestOrigin::Caller,
@@ -91,9 +91,11 @@
         let answer = self.core.inbound.run(inbound_request, idempotent).await;
         let class = request.route.class;
         let load = self.core.inbound.load(class);
-        self.core.loaded(mark.key(), class, load);
+        self.core.loaded(guard.key(), class, load);
         match answer {
-            Ok(response) => Ok(Box::new(response.map(|body| body.with_mark(mark)))),
+            Ok(response) => Ok(Box::new(
+                response.map(|body| body.with_in_flight_guard(guard)),
+            )),
             Err(InboundError::Refused { refusal }) => Err(TryFailure::Refused(refusal)),
             Err(InboundError::Broke { reason, finding }) => {
                 Err(TryFailure::Broke { reason, finding })
@@ -103,7 +105,7 @@
 
     async fn send_away(
         self,
-        mut mark: SentMark,
+        mut guard: InFlightGuard,
         key: MemberKey,
         record: &MemberRecord,
     ) -> TryResult {
@@ -124,7 +126,7 @@
             }
             Err(ExchangeError::Broke { reason }) => return Err(unexplained(reason)),
         };
-        mark.hold(sender);
+        guard.hold(sender);
         self.learn(key, record, response.headers());
         let refusal = parsed::<InboundRefusal>(response.headers(), &HOP_REFUSAL);
         let broke = header_text(response.headers(), &HOP_BROKE).map(ToOwned::to_owned);
@@ -134,10 +136,10 @@
         strip_connection(&mut head.headers);
         strip_hop(&mut head.headers);
         if !is_short(&body) {
-            let body = AnswerBody::stream(body).with_mark(mark);
+            let body = AnswerBody::stream(body).with_in_flight_guard(guard);
             return Ok(Box::new(Response::from_parts(head, body)));
         }
-        let whole = match whole(body, mark).await {
+        let whole = match whole(body, guard).await {
             Ok(whole) => whole,
             Err(reason) => return Err(unexplained(reason)),
         };
@@ -208,10 +210,10 @@
     TryFailure::Broke { reason, finding }
 }
 
-async fn whole(body: Incoming, mark: SentMark) -> Result<Bytes, String> {
+async fn whole(body: Incoming, guard: InFlightGuard) -> Result<Bytes, String> {
     match body.collect().await {
         Ok(whole) => {
-            mark.complete();
+            guard.complete();
             Ok(whole.to_bytes())
         }
         Err(error) => Err(error.to_string()),
