--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -35,7 +35,7 @@
     node_clock::NodeClock,
     node_metrics::NodeMetrics,
     node_settings::NodeSettings,
-    outbound::{DeadlineBook, ReturnBook},
+    outbound::{DeadlineTracker, ResendTracker},
     request_origin::RequestOrigin,
     retry::RetryBudget,
     store::{EraTracker, LeaseId},
@@ -121,9 +121,9 @@
     /// Whether ports are being shut and connections closed.
     pub closing: watch::Sender<bool>,
     /// When callers that come again first asked.
-    pub returns: RefCell<ReturnBook>,
+    pub resends: RefCell<ResendTracker>,
     /// How long ago callers first asked.
-    pub deadlines: RefCell<DeadlineBook>,
+    pub deadlines: RefCell<DeadlineTracker>,
     sizes: RefCell<AnswerSizes>,
     caller_service: RefCell<HeaderValue>,
     stopping_since: Cell<Option<Duration>>,
@@ -197,7 +197,7 @@
             open: Cell::new(0),
             connections: Cell::new(0),
             closing: watch::Sender::new(false),
-            returns: RefCell::default(),
+            resends: RefCell::default(),
             deadlines: RefCell::default(),
             sizes: RefCell::default(),
             caller_service: RefCell::new(caller_service),
@@ -302,7 +302,7 @@
     pub fn sweep(&self, now: Duration) {
         self.hops.sweep();
         self.inbound.sweep();
-        self.returns.borrow_mut().sweep(now);
+        self.resends.borrow_mut().sweep(now);
         self.link.tell_load(now);
         let gone = self.fleet.borrow_mut().sweep(now);
         for record in gone {
--- a/crates/node/src/outbound/deadline_book.rs
+++ b/crates/node/src/outbound/deadline_tracker.rs
@@ -36,11 +36,11 @@
 /// route name the same few deadlines; one that is none of these is what is left of the
 /// next greater one.
 #[derive(Debug, Default)]
-pub struct DeadlineBook {
+pub struct DeadlineTracker {
     routes: HashMap<u64, RouteDeadlines>,
 }
 
-impl DeadlineBook {
+impl DeadlineTracker {
     /// Takes in the deadline of a request on the route with this hash, and
     /// returns how long ago its caller first asked, as far as can be told.
     ///
@@ -48,19 +48,19 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::outbound::DeadlineBook;
+    /// use geranium_node::outbound::DeadlineTracker;
     ///
-    /// let mut book = DeadlineBook::default();
+    /// let mut book = DeadlineTracker::default();
     /// for _ in 0..20 {
     ///     assert_eq!(book.spent(7, Duration::from_secs(1)), Duration::ZERO);
     /// }
     /// let left = Duration::from_millis(700);
     /// assert_eq!(book.spent(7, left), Duration::from_millis(300));
     /// ```
-    pub fn spent(&mut self, class: u64, deadline: Duration) -> Duration {
+    pub fn time_since_first_attempt(&mut self, class: u64, deadline: Duration) -> Duration {
         let route = self.routes.entry(class).or_default();
         route.observe(deadline);
-        route.spent(deadline)
+        route.time_since_first_attempt(deadline)
     }
 }
 
@@ -88,14 +88,18 @@
         });
     }
 
-    fn spent(&self, deadline: Duration) -> Duration {
+    fn time_since_first_attempt(&self, deadline: Duration) -> Duration {
         let least = self.total * USUAL_SHARE;
         let usual = self.seen.iter().filter(|seen| seen.count >= least);
         let from = usual.map(|seen| seen.deadline);
         let from = from.filter(|usual| *usual + SAME >= deadline).min();
         from.map_or(Duration::ZERO, |usual| {
-            let spent = usual.saturating_sub(deadline);
-            if spent > SAME { spent } else { Duration::ZERO }
+            let time_since_first_attempt = usual.saturating_sub(deadline);
+            if time_since_first_attempt > SAME {
+                time_since_first_attempt
+            } else {
+                Duration::ZERO
+            }
         })
     }
 }
--- a/crates/node/src/outbound/mod.rs
+++ b/crates/node/src/outbound/mod.rs
@@ -7,21 +7,21 @@
 //! tries in [`retry`](crate::retry).
 
 mod caller_input;
-mod deadline_book;
+mod deadline_tracker;
 mod failed_try;
 mod in_flight_guard;
 mod local_reply;
 mod outbound_proxy;
 mod outbound_request;
-mod return_book;
+mod resend_tracker;
 mod try_flow;
 mod try_record;
 mod try_sender;
 
-pub use deadline_book::DeadlineBook;
+pub use deadline_tracker::DeadlineTracker;
 pub use in_flight_guard::InFlightGuard;
 pub use local_reply::LocalReply;
 pub use outbound_proxy::OutboundProxy;
 pub use outbound_request::OutboundRequest;
-pub use return_book::ReturnBook;
+pub use resend_tracker::ResendTracker;
 pub use try_sender::{TryFailure, TryResult, TrySender};
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -104,8 +104,8 @@
         self.check_print(print)?;
         let service = route.shares.draw();
         let caller_end = deadline.map(|deadline| arrived + deadline);
-        let first_asked = self.first_asked(arrived, &route, print, deadline);
-        let useful_until = first_asked + route.target;
+        let first_attempt_at = self.first_attempt_at(arrived, &route, print, deadline);
+        let useful_until = first_attempt_at + route.target;
         let nested = self
             .core
             .inbound
@@ -119,7 +119,7 @@
             headers: head.headers,
             body,
             print,
-            first_asked,
+            first_attempt_at,
             caller_end,
             useful_until,
             nested,
@@ -163,7 +163,7 @@
 
     /// Returns when the caller first asked: by what it was refused here or, where it
     /// wasn't, by what is left of its time.
-    fn first_asked(
+    fn first_attempt_at(
         &self,
         arrived: Instant,
         route: &RouteRule,
@@ -174,13 +174,15 @@
             return arrived;
         };
         let clock = self.core.clock;
-        let returns = self.core.returns.borrow();
-        if let Some(first) = returns.first_asked(print, clock.at(arrived + deadline)) {
+        let resends = self.core.resends.borrow();
+        if let Some(first) = resends.first_attempt_at(print, clock.at(arrived + deadline)) {
             return clock.instant(first);
         }
         let mut deadlines = self.core.deadlines.borrow_mut();
-        let spent = deadlines.spent(route.class, deadline);
-        arrived.checked_sub(spent).unwrap_or(arrived)
+        let time_since_first_attempt = deadlines.time_since_first_attempt(route.class, deadline);
+        arrived
+            .checked_sub(time_since_first_attempt)
+            .unwrap_or(arrived)
     }
 
     /// Remembers a request that gets no answer: its caller may come again.
@@ -189,9 +191,9 @@
             return;
         };
         let clock = self.core.clock;
-        let (first, end) = (clock.at(request.first_asked), clock.at(caller_end));
-        let mut returns = self.core.returns.borrow_mut();
-        returns.refused(request.print, first, end);
+        let (first, end) = (clock.at(request.first_attempt_at), clock.at(caller_end));
+        let mut resends = self.core.resends.borrow_mut();
+        resends.refused(request.print, first, end);
     }
 
     async fn serve(&self, request: &OutboundRequest) -> Response<AnswerBody> {
--- a/crates/node/src/outbound/outbound_request.rs
+++ b/crates/node/src/outbound/outbound_request.rs
@@ -35,7 +35,7 @@
     /// Arrival.
     pub arrived: Instant,
     /// When its caller first asked, as far as is known.
-    pub first_asked: Instant,
+    pub first_attempt_at: Instant,
     /// When its caller stops waiting, if it says so.
     pub caller_end: Option<Instant>,
     /// Time by which the answer is of full use.
--- a/crates/node/src/outbound/return_book.rs
+++ b/crates/node/src/outbound/resend_tracker.rs
@@ -15,7 +15,7 @@
 /// A request that was refused, and may come again.
 #[derive(Debug, Clone, Copy)]
 struct RefusedRequest {
-    first_asked: Duration,
+    first_attempt_at: Duration,
     /// When its caller stops waiting.
     caller_end: Duration,
 }
@@ -28,20 +28,20 @@
 /// have been in time. The same request whose caller stops waiting at the same moment is
 /// the same caller's; it is remembered until then.
 #[derive(Debug, Default)]
-pub struct ReturnBook {
+pub struct ResendTracker {
     refused: HashMap<u64, RefusedRequest>,
     /// The same in the order in which they were refused.
     order: VecDeque<(u64, Duration)>,
 }
 
-impl ReturnBook {
+impl ResendTracker {
     /// Notes that the request with this hash got no answer.
-    pub fn refused(&mut self, print: u64, first_asked: Duration, caller_end: Duration) {
+    pub fn refused(&mut self, print: u64, first_attempt_at: Duration, caller_end: Duration) {
         while self.order.len() >= KEPT {
             self.forget_oldest();
         }
         let request = RefusedRequest {
-            first_asked,
+            first_attempt_at,
             caller_end,
         };
         self.refused.insert(print, request);
@@ -55,19 +55,19 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::outbound::ReturnBook;
+    /// use geranium_node::outbound::ResendTracker;
     ///
-    /// let mut book = ReturnBook::default();
+    /// let mut book = ResendTracker::default();
     /// let (asked, end) = (Duration::from_millis(100), Duration::from_millis(1_100));
     /// book.refused(7, asked, end);
-    /// assert_eq!(book.first_asked(7, end + Duration::from_millis(3)), Some(asked));
+    /// assert_eq!(book.first_attempt_at(7, end + Duration::from_millis(3)), Some(asked));
     /// // Another caller asks for the same.
-    /// assert_eq!(book.first_asked(7, end + Duration::from_millis(400)), None);
+    /// assert_eq!(book.first_attempt_at(7, end + Duration::from_millis(400)), None);
     /// ```
-    pub fn first_asked(&self, print: u64, caller_end: Duration) -> Option<Duration> {
+    pub fn first_attempt_at(&self, print: u64, caller_end: Duration) -> Option<Duration> {
         let request = self.refused.get(&print)?;
         let same = request.caller_end.abs_diff(caller_end) <= SAME_END;
-        same.then_some(request.first_asked)
+        same.then_some(request.first_attempt_at)
     }
 
     /// Forgets callers that have stopped waiting.
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -4,7 +4,7 @@
 
 use geranium_node::{
     link::{LinkOffer, LinkSchedule, LinkTurn, LinkVerdict, LoadKey},
-    outbound::ReturnBook,
+    outbound::ResendTracker,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Caller {
     print: u64,
-    first_asked: Duration,
+    first_attempt_at: Duration,
     end: Duration,
     attempts: u32,
     asks_at: Duration,
@@ -99,7 +99,7 @@
     link: LinkSchedule,
     /// Bytes that wait at the real link.
     queue: f64,
-    returns: ReturnBook,
+    returns: ResendTracker,
     per_second: f64,
     /// Files for callers on the instance, a second.
     local_per_s: f64,
@@ -115,7 +115,7 @@
             sight,
             link: LinkSchedule::new(LINK_MBPS),
             queue: 0.0,
-            returns: ReturnBook::default(),
+            returns: ResendTracker::default(),
             per_second,
             local_per_s: 0.0,
             rng: StdRng::seed_from_u64(23),
@@ -145,7 +145,7 @@
             let patience = Duration::from_millis(self.rng.random_range(PATIENCE));
             self.callers.push(Caller {
                 print: self.rng.random(),
-                first_asked: now,
+                first_attempt_at: now,
                 end: now + patience,
                 attempts: 0,
                 asks_at: now,
@@ -179,12 +179,12 @@
 
     fn offer(&mut self, now: Duration, mut caller: Caller) {
         self.result.offered += 1;
-        let known = self.returns.first_asked(caller.print, caller.end);
-        let first_asked = known.filter(|_| self.sight.returns).unwrap_or(now);
+        let known = self.returns.first_attempt_at(caller.print, caller.end);
+        let first_attempt_at = known.filter(|_| self.sight.returns).unwrap_or(now);
         let offer = LinkOffer {
             bytes: FILE_BYTES as u64,
             made_in: RUN,
-            useful_until: first_asked + TARGET,
+            useful_until: first_attempt_at + TARGET,
             ends_at: caller.end,
         };
         match self.link.offer(now, offer) {
@@ -192,7 +192,8 @@
             LinkVerdict::Refused { retry_after } => {
                 self.result.refused += 1;
                 self.send_head(now);
-                self.returns.refused(caller.print, first_asked, caller.end);
+                self.returns
+                    .refused(caller.print, first_attempt_at, caller.end);
                 caller.attempts += 1;
                 caller.asks_at = now + retry_after.max(PAUSE);
                 if caller.attempts < ATTEMPTS && caller.asks_at < caller.end {
@@ -283,7 +284,7 @@
     fn end(&mut self, now: Duration) {
         let there = now + Duration::from_secs_f64(self.queue / LINK_RATE);
         for file in self.files.extract_if(.., |file| file.left == 0) {
-            if there <= file.caller.first_asked + TARGET {
+            if there <= file.caller.first_attempt_at + TARGET {
                 self.result.in_time += 1;
             } else {
                 self.result.late += 1;
