--- a/crates/node/src/crash/crash_port.rs
+++ b/crates/node/src/crash/crash_port.rs
@@ -9,8 +9,8 @@
 
 use super::CrashRow;
 use crate::{
-    answer_body::{AnswerBody, empty_answer},
     node_core::NodeCore,
+    response_body::{ResponseBody, empty_response},
     store::Revision,
 };
 
@@ -32,7 +32,7 @@
     }
 
     /// Takes in crashes, and answers once they count here.
-    pub async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Limited::new(request.into_body(), BODY_MAX).collect().await;
         let body = body.map(Collected::to_bytes).unwrap_or_default();
         match serde_json::from_slice::<Vec<CrashRow>>(&body) {
@@ -40,11 +40,11 @@
                 for row in rows {
                     self.core.heard_crash(row, Revision(0));
                 }
-                empty_answer(StatusCode::OK)
+                empty_response(StatusCode::OK)
             }
             Err(cause) => {
                 warn!(self.core.log.logger(), "crash unreadable"; "cause" => %cause);
-                empty_answer(StatusCode::BAD_REQUEST)
+                empty_response(StatusCode::BAD_REQUEST)
             }
         }
     }
--- a/crates/node/src/crash/crash_watch.rs
+++ b/crates/node/src/crash/crash_watch.rs
@@ -132,7 +132,7 @@
     let path = path.unwrap_or_else(|| "/".to_owned());
     let until = Instant::now() + PROBE_TIME;
     loop {
-        let answer = timeout_at(until, core.inbound.ask_health(&path)).await;
+        let answer = timeout_at(until, core.inbound.check_health(&path)).await;
         match answer {
             Ok(Ok(health)) => {
                 return match health.instance {
--- a/crates/node/src/errand/errand_port.rs
+++ b/crates/node/src/errand/errand_port.rs
@@ -9,8 +9,8 @@
 
 use super::{ErrandOutcome, StoreErrand};
 use crate::{
-    answer_body::{AnswerBody, empty_answer, json_answer},
     node_core::NodeCore,
+    response_body::{ResponseBody, empty_response, json_response},
 };
 
 /// Path at which a node takes errands of others.
@@ -31,22 +31,22 @@
     }
 
     /// Answers an errand with what became of it.
-    pub async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Limited::new(request.into_body(), BODY_MAX).collect().await;
         let errand = body
             .ok()
             .and_then(|body| serde_json::from_slice::<StoreErrand>(&body.to_bytes()).ok());
         let Some(errand) = errand.filter(StoreErrand::is_allowed) else {
             warn!(self.core.log.logger(), "errand refused"; "cause" => "not one of a node");
-            return empty_answer(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         let outcome = match self.core.errands.submit(errand) {
             Some(outcome) => outcome.await.unwrap_or(ErrandOutcome::Failed),
             None => ErrandOutcome::Failed,
         };
-        json_answer(&outcome).unwrap_or_else(|cause| {
+        json_response(&outcome).unwrap_or_else(|cause| {
             error!(self.core.log.logger(), "outcome not written"; "cause" => %cause);
-            empty_answer(StatusCode::INTERNAL_SERVER_ERROR)
+            empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         })
     }
 }
--- a/crates/node/src/follow/follow_port.rs
+++ b/crates/node/src/follow/follow_port.rs
@@ -6,10 +6,10 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::{
-    answer_body::{AnswerBody, empty_answer, json_answer},
     config::ConfigVersion,
     distribution::{ConfigNews, FollowAnswer, FollowQuestion},
     node_core::NodeCore,
+    response_body::{ResponseBody, empty_response, json_response},
 };
 
 /// Path at which a node tells others what they ask.
@@ -28,19 +28,19 @@
     }
 
     /// Answers a question.
-    pub async fn answer(&self, uri: &Uri) -> Response<AnswerBody> {
+    pub async fn answer(&self, uri: &Uri) -> Response<ResponseBody> {
         let question = uri.query().unwrap_or_default().parse::<FollowQuestion>();
         let Ok(question) = question else {
-            return empty_answer(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         // Whoever waits follows this node; who doesn't asks in passing.
         if !question.wait.is_zero() {
             self.core.asked();
         }
         let answer = self.wait_for_news(question).await;
-        json_answer(&answer).unwrap_or_else(|cause| {
+        json_response(&answer).unwrap_or_else(|cause| {
             slog::error!(self.core.log.logger(), "news not written"; "cause" => %cause);
-            empty_answer(StatusCode::INTERNAL_SERVER_ERROR)
+            empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         })
     }
 
--- a/crates/node/src/hop_port.rs
+++ b/crates/node/src/hop_port.rs
@@ -10,7 +10,6 @@
 use tokio::time::Instant;
 
 use crate::{
-    answer_body::{AnswerBody, empty_answer},
     crash::{BreakFinding, CRASH_PATH, CrashPort, request_print},
     errand::{ERRAND_PATH, ErrandPort},
     follow::{FOLLOW_PATH, FollowPort},
@@ -22,6 +21,7 @@
     inbound::{InboundError, InboundRefusal, InboundRequest, RefusalReason},
     node_core::NodeCore,
     request_origin::RequestOrigin,
+    response_body::{ResponseBody, empty_response},
 };
 
 /// Longest time that another node may take to send a request: bodies are
@@ -41,7 +41,7 @@
     }
 
     /// Answers a request.
-    pub async fn answer(&self, incoming: Request<Incoming>) -> Response<AnswerBody> {
+    pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let mut response = if incoming.uri().path() == FOLLOW_PATH {
             let port = FollowPort::new(Rc::clone(&self.core));
             port.answer(incoming.uri()).await
@@ -59,12 +59,12 @@
         response
     }
 
-    async fn run(&self, incoming: Request<Incoming>) -> Response<AnswerBody> {
+    async fn run(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let (head, body) = incoming.into_parts();
         let note =
             header_text(&head.headers, &HOP_NOTE).and_then(|text| text.parse::<HopNote>().ok());
         let Some(note) = note else {
-            return empty_answer(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         if self.core.inbound.refuses_peers() {
             return refused(&InboundRefusal {
@@ -76,7 +76,7 @@
         let now = Instant::now();
         let body = match tokio::time::timeout(BODY_TIME, body.collect()).await {
             Ok(Ok(whole)) => whole.to_bytes(),
-            _ => return empty_answer(StatusCode::BAD_REQUEST),
+            _ => return empty_response(StatusCode::BAD_REQUEST),
         };
         let request = self.inbound_request(head, body, &note, now);
         let mut response = match self.core.inbound.run(request, note.idempotent).await {
@@ -122,14 +122,14 @@
     }
 }
 
-fn refused(refusal: &InboundRefusal) -> Response<AnswerBody> {
-    let mut response = empty_answer(StatusCode::SERVICE_UNAVAILABLE);
+fn refused(refusal: &InboundRefusal) -> Response<ResponseBody> {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     set_header(response.headers_mut(), &HOP_REFUSAL, &refusal.to_string());
     response
 }
 
-fn broke(reason: &str, finding: Option<&BreakFinding>) -> Response<AnswerBody> {
-    let mut response = empty_answer(StatusCode::BAD_GATEWAY);
+fn broke(reason: &str, finding: Option<&BreakFinding>) -> Response<ResponseBody> {
+    let mut response = empty_response(StatusCode::BAD_GATEWAY);
     let reason = if reason.is_empty() { "unknown" } else { reason };
     set_header(response.headers_mut(), &HOP_BROKE, reason);
     if let Some(Ok(finding)) = finding.map(serde_json::to_string) {
--- a/crates/node/src/http_port.rs
+++ b/crates/node/src/http_port.rs
@@ -14,7 +14,7 @@
     time::{sleep, timeout},
 };
 
-use crate::{answer_body::AnswerBody, hop::tune_socket, node_core::NodeCore};
+use crate::{hop::tune_socket, node_core::NodeCore, response_body::ResponseBody};
 
 /// Connections that may wait to be accepted: a burst of a second's new callers
 /// at twenty times today's rate. Beyond it the kernel drops opening packets,
@@ -81,7 +81,7 @@
     limits: impl Fn() -> PortLimits,
     answer: impl Fn(Request<Incoming>) -> F + Clone + 'static,
 ) where
-    F: Future<Output = Response<AnswerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let mut closing = core.closing.subscribe();
     let _port_mark = core.connection_guard();
@@ -136,7 +136,7 @@
     answer: impl Fn(Request<Incoming>) -> F,
     mut closing: watch::Receiver<bool>,
 ) where
-    F: Future<Output = Response<AnswerBody>>,
+    F: Future<Output = Response<ResponseBody>>,
 {
     let asked = Rc::new(Notify::new());
     let service = service_fn({
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -11,11 +11,11 @@
     inbound_proxy::{IDLE_ONCE, IDLE_REPEATABLE, RETRY_ELSEWHERE, broke, refused},
 };
 use crate::{
-    answer_body::{AnswerBody, is_short},
     crash::CrashRow,
     header_set::{header_text, set_header, strip_connection, strip_hop},
     hop::{ExchangeError, PooledSender},
     member::EndpointStart,
+    response_body::{ResponseBody, is_short},
 };
 
 impl InboundProxy {
@@ -25,7 +25,7 @@
         idempotent: bool,
         slot: RunSlot,
         start: EndpointStart,
-    ) -> Result<Response<AnswerBody>, InboundError> {
+    ) -> Result<Response<ResponseBody>, InboundError> {
         let id = request.headers.get(&self.headers.request_id).cloned();
         let print = request.print;
         let outgoing = self.outgoing(request, start.instance());
@@ -123,7 +123,7 @@
     response: Response<Incoming>,
     mut slot: RunSlot,
     sender: PooledSender,
-) -> Result<Response<AnswerBody>, InboundError> {
+) -> Result<Response<ResponseBody>, InboundError> {
     let (mut head, body) = response.into_parts();
     strip_connection(&mut head.headers);
     strip_hop(&mut head.headers);
@@ -132,7 +132,7 @@
         slot.made();
         return Ok(Response::from_parts(
             head,
-            AnswerBody::stream(body).with_slot(slot),
+            ResponseBody::stream(body).with_slot(slot),
         ));
     }
     match body.collect().await {
@@ -140,7 +140,7 @@
             slot.complete();
             Ok(Response::from_parts(
                 head,
-                AnswerBody::whole(whole.to_bytes()),
+                ResponseBody::whole(whole.to_bytes()),
             ))
         }
         Err(error) => broke(error.to_string()),
--- a/crates/node/src/inbound/endpoint_health.rs
+++ b/crates/node/src/inbound/endpoint_health.rs
@@ -15,7 +15,7 @@
 const HEALTH_TIME: Duration = Duration::from_secs(1);
 /// What the backend server said when its health was checked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HealthAnswer {
+pub struct HealthCheckResponse {
     /// Whether it is healthy and not leaving.
     pub healthy: bool,
     /// Start that it says it is.
@@ -26,7 +26,7 @@
     /// Asks the backend server whether it is healthy and not leaving, and
     /// returns the start that says so.
     pub async fn health(&self, path: &str) -> Option<String> {
-        let asked = timeout(HEALTH_TIME, self.ask_health(path)).await;
+        let asked = timeout(HEALTH_TIME, self.check_health(path)).await;
         let answer = asked.ok()?.ok()?;
         answer.instance.filter(|_| answer.healthy)
     }
@@ -36,7 +36,7 @@
     /// # Errors
     ///
     /// When there is no answer.
-    pub async fn ask_health(&self, path: &str) -> Result<HealthAnswer, ExchangeError> {
+    pub async fn check_health(&self, path: &str) -> Result<HealthCheckResponse, ExchangeError> {
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = path.parse().unwrap_or_default();
         if let Ok(host) = HeaderValue::from_str(&self.settings.endpoint.to_string()) {
@@ -45,7 +45,7 @@
         let endpoints = &self.inner.endpoints;
         let exchange = endpoints.exchange(self.settings.endpoint, request, IDLE_ONCE);
         let (response, sender) = exchange.await?;
-        let answer = HealthAnswer {
+        let answer = HealthCheckResponse {
             healthy: response.status() == StatusCode::OK,
             instance: header_text(response.headers(), &self.headers.instance)
                 .map(ToOwned::to_owned),
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -21,13 +21,13 @@
     NestedCallDetector, QueueKey, RefusalReason,
 };
 use crate::{
-    answer_body::AnswerBody,
     crash::{BreakFinding, BrokenRuns, CrashBook},
     header_set::HeaderSet,
     hop::{ConnectionPool, PoolSettings},
     link::LinkLine,
-    member::{AnswerSizes, EndpointStart, LoadReport},
+    member::{EndpointStart, LoadReport, ResponseSizes},
     node_clock::NodeClock,
+    response_body::ResponseBody,
 };
 
 /// Longest time to open a connection to the backend server on this machine;
@@ -83,7 +83,7 @@
     pub(super) endpoints: ConnectionPool,
     pub(super) clock: NodeClock,
     pub(super) link: Rc<LinkLine>,
-    pub(super) sizes: RefCell<AnswerSizes>,
+    pub(super) response_sizes: RefCell<ResponseSizes>,
     pub(super) queue: RefCell<AdmissionQueue>,
     pub(super) waiters: RefCell<HashMap<QueueKey, oneshot::Sender<()>>>,
 }
@@ -142,7 +142,7 @@
             endpoints,
             clock,
             link,
-            sizes: RefCell::default(),
+            response_sizes: RefCell::default(),
             queue: RefCell::new(AdmissionQueue::new(settings.slots)),
             waiters: RefCell::default(),
         };
@@ -240,7 +240,7 @@
         &self,
         request: InboundRequest,
         idempotent: bool,
-    ) -> Result<Response<AnswerBody>, InboundError> {
+    ) -> Result<Response<ResponseBody>, InboundError> {
         let turn = self.admit_print(&request).await?;
         let start = self.admit(&request)?;
         let promise = self.promise_link(&request)?;
@@ -265,7 +265,7 @@
         }
         let bytes = answer.body().size_hint().exact();
         if let Some(bytes) = bytes {
-            self.inner.sizes.borrow_mut().observe(class, bytes);
+            self.inner.response_sizes.borrow_mut().observe(class, bytes);
         }
         let promise = promise.or_else(|| self.take_link(unscheduled?, bytes?));
         Ok(answer.map(|body| body.with_promise(promise)))
@@ -277,7 +277,7 @@
     }
 
     /// Tells the breaker how a run ended. A refusal says nothing.
-    fn note_run(&self, result: &Result<Response<AnswerBody>, InboundError>) {
+    fn note_run(&self, result: &Result<Response<ResponseBody>, InboundError>) {
         let mut breaker = self.breaker.borrow_mut();
         match result {
             Ok(_) => breaker.answered(),
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -7,9 +7,9 @@
 
 use super::{InboundError, InboundProxy, InboundRequest, RefusalReason, inbound_proxy::refused};
 use crate::{
-    answer_body::SHORT_MAX,
     link::{LinkOffer, LinkPromise},
     request_origin::RequestOrigin,
+    response_body::SHORT_RESPONSE_MAX_BYTES,
 };
 
 /// Data kept from a request to schedule its answer if that turns out long.
@@ -28,8 +28,8 @@
         &self,
         request: &InboundRequest,
     ) -> Result<Option<LinkPromise>, InboundError> {
-        let bytes = self.inner.sizes.borrow().get(request.class);
-        if bytes <= SHORT_MAX || request.origin == RequestOrigin::Caller {
+        let bytes = self.inner.response_sizes.borrow().get(request.class);
+        if bytes <= SHORT_RESPONSE_MAX_BYTES || request.origin == RequestOrigin::Caller {
             return Ok(None);
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
@@ -50,7 +50,7 @@
     /// After a start nobody knows which answers are long. Sent all at once, the first
     /// ones fill the link for so long that the node seems dead to the others.
     pub(super) fn take_link(&self, answer: UnscheduledAnswer, bytes: u64) -> Option<LinkPromise> {
-        if bytes <= SHORT_MAX {
+        if bytes <= SHORT_RESPONSE_MAX_BYTES {
             return None;
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
--- a/crates/node/src/inbound/mod.rs
+++ b/crates/node/src/inbound/mod.rs
@@ -26,7 +26,7 @@
 pub use admission_queue::{AdmissionDecision, AdmissionQueue, AdmissionRequest, QueueKey};
 pub use endpoint_breaker::EndpointBreaker;
 pub use endpoint_confirm::confirm_endpoint;
-pub use endpoint_health::HealthAnswer;
+pub use endpoint_health::HealthCheckResponse;
 pub use endpoint_report::{EndpointReport, ReportState};
 pub use endpoint_tracker::{EndpointTracker, LocalEndpoint, ReportOutcome};
 pub use inbound_proxy::{InboundError, InboundProxy, InboundSettings};
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -14,7 +14,6 @@
 //! [`member::FleetView`], [`inbound::AdmissionQueue`], [`inbound::EndpointTracker`],
 //! [`retry::RetryBudget`], [`config::MeshConfig`].
 
-pub mod answer_body;
 pub mod config;
 pub mod crash;
 pub mod distribution;
@@ -36,6 +35,7 @@
 pub mod operators;
 pub mod outbound;
 pub mod request_origin;
+pub mod response_body;
 pub mod result_code;
 pub mod retry;
 pub mod store;
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -5,7 +5,6 @@
 //! seen of them; how it picks stands in `member_choice`. Neither does I/O, and
 //! both take the time as an argument.
 
-mod answer_sizes;
 mod endpoint_start;
 mod fleet_view;
 mod load_report;
@@ -19,9 +18,9 @@
 mod moving_mean;
 mod pick_cost;
 mod pick_query;
+mod response_sizes;
 mod service_pool;
 
-pub use answer_sizes::AnswerSizes;
 pub use endpoint_start::{EndpointStart, StartError, StartInput, StartOrder};
 pub use fleet_view::{FleetView, TryEnd};
 pub use load_report::LoadReport;
@@ -31,3 +30,4 @@
 pub use member_view::MemberView;
 pub use moving_mean::MovingMean;
 pub use pick_query::PickQuery;
+pub use response_sizes::ResponseSizes;
--- a/crates/node/src/member/pick_cost.rs
+++ b/crates/node/src/member/pick_cost.rs
@@ -156,7 +156,7 @@
     /// Seconds for which its instance's link carries a long answer.
     fn carried_s(self, member: &MemberView) -> f64 {
         let rate = f64::from(member.record.link_mbps.max(1)) * BYTES_PER_MBIT;
-        self.query.answer_bytes as f64 / rate
+        self.query.response_bytes as f64 / rate
     }
 
     /// Price of the way to a member, in seconds of waiting.
@@ -164,10 +164,10 @@
         if member.is_near() {
             return 0.0;
         }
-        let bytes = if self.query.answer_bytes == 0 {
+        let bytes = if self.query.response_bytes == 0 {
             BYTES_UNKNOWN
         } else {
-            self.query.answer_bytes
+            self.query.response_bytes
         };
         bytes as f64 / 1_000.0 * FAR_KB_COST_S
     }
--- a/crates/node/src/member/pick_query.rs
+++ b/crates/node/src/member/pick_query.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::MemberKey;
-use crate::answer_body::SHORT_MAX;
+use crate::response_body::SHORT_RESPONSE_MAX_BYTES;
 
 /// What is asked of a pick.
 #[derive(Debug, Clone, Copy)]
@@ -19,12 +19,12 @@
     /// Members that had no free slot for it.
     pub probed: &'a [MemberKey],
     /// Bytes of a usual answer on this route; 0 when unknown.
-    pub answer_bytes: u64,
+    pub response_bytes: u64,
 }
 
 impl PickQuery<'_> {
     /// Whether a long answer is expected.
     pub const fn is_long(&self) -> bool {
-        self.answer_bytes > SHORT_MAX
+        self.response_bytes > SHORT_RESPONSE_MAX_BYTES
     }
 }
--- a/crates/node/src/member/answer_sizes.rs
+++ b/crates/node/src/member/response_sizes.rs
@@ -9,11 +9,11 @@
 
 /// How long the answers on each route usually are.
 #[derive(Debug, Default)]
-pub struct AnswerSizes {
+pub struct ResponseSizes {
     sizes: HashMap<u64, MovingMean>,
 }
 
-impl AnswerSizes {
+impl ResponseSizes {
     /// Notes the bytes of an answer on the route with this hash.
     pub fn observe(&mut self, class: u64, bytes: u64) {
         let size = self.sizes.entry(class).or_default();
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -12,7 +12,6 @@
 };
 
 use crate::{
-    answer_body::AnswerBody,
     crash::watch_crashes,
     errand::run_errands,
     follow::{
@@ -27,6 +26,7 @@
     operators::OperatorsPort,
     outbound::OutboundProxy,
     request_origin::RequestOrigin,
+    response_body::ResponseBody,
     store::MetaStore,
 };
 
@@ -86,10 +86,10 @@
 /// What the platform asks of a node, as its adapter answers it.
 pub trait PlatformPort: Clone + 'static {
     /// Answers a readiness check.
-    fn readiness(self, request: Request<Incoming>) -> impl Future<Output = Response<AnswerBody>>;
+    fn readiness(self, request: Request<Incoming>) -> impl Future<Output = Response<ResponseBody>>;
 
     /// Answers a heartbeat or farewell of the backend server.
-    fn report(self, request: Request<Incoming>) -> impl Future<Output = Response<AnswerBody>>;
+    fn report(self, request: Request<Incoming>) -> impl Future<Output = Response<ResponseBody>>;
 }
 
 /// Starts every task of a node on the current thread's executor.
@@ -166,7 +166,7 @@
 }
 
 /// Counts an answer as open, and on the link, until its end.
-fn opened(answer: Response<AnswerBody>, open: OpenRequestGuard) -> Response<AnswerBody> {
+fn opened(answer: Response<ResponseBody>, open: OpenRequestGuard) -> Response<ResponseBody> {
     open.sent_head(answer.headers());
     answer.map(|body| body.with_open_request_guard(open))
 }
@@ -199,7 +199,7 @@
     listener: TcpListener,
     answer: impl Fn(Request<Incoming>) -> F + Clone + 'static,
 ) where
-    F: Future<Output = Response<AnswerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let limits = || PortLimits {
         idle_time: INNER_IDLE,
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -31,7 +31,7 @@
     hop::{ConnectionPool, PoolSettings},
     inbound::{InboundProxy, InboundSettings},
     link::{LinkLine, LinkNotes},
-    member::{AnswerSizes, FleetView, LoadReport, MemberKey, MemberRecord},
+    member::{FleetView, LoadReport, MemberKey, MemberRecord, ResponseSizes},
     node_clock::NodeClock,
     node_metrics::NodeMetrics,
     node_settings::NodeSettings,
@@ -124,7 +124,7 @@
     pub resends: RefCell<ResendTracker>,
     /// How long ago callers first asked.
     pub deadlines: RefCell<DeadlineTracker>,
-    sizes: RefCell<AnswerSizes>,
+    response_sizes: RefCell<ResponseSizes>,
     caller_service: RefCell<HeaderValue>,
     stopping_since: Cell<Option<Duration>>,
     /// When the members of this data centre were first read.
@@ -199,7 +199,7 @@
             closing: watch::Sender::new(false),
             resends: RefCell::default(),
             deadlines: RefCell::default(),
-            sizes: RefCell::default(),
+            response_sizes: RefCell::default(),
             caller_service: RefCell::new(caller_service),
             stopping_since: Cell::new(None),
             home_listed_at: Cell::new(None),
@@ -264,8 +264,8 @@
     }
 
     /// Returns the bytes of a usual answer on a route; 0 when unknown.
-    pub fn answer_bytes(&self, class: u64) -> u64 {
-        self.sizes.borrow().get(class)
+    pub fn response_bytes(&self, class: u64) -> u64 {
+        self.response_sizes.borrow().get(class)
     }
 
     /// Whether the node was told to stop.
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -8,11 +8,11 @@
 
 use super::NodeCore;
 use crate::{
-    answer_body::AnswerBody,
     inbound::InboundRefusal,
     member::MemberRecord,
     node_metrics::{RequestCount, RequestResult},
     outbound::{LocalReply, OutboundRequest},
+    response_body::ResponseBody,
     result_code::ResultCode,
 };
 
@@ -47,13 +47,15 @@
     pub fn note_served(
         &self,
         request: &OutboundRequest,
-        answer: &Response<AnswerBody>,
+        answer: &Response<ResponseBody>,
         at: Option<&MemberRecord>,
         tries: usize,
     ) {
         let bytes = answer.body().size_hint().exact();
         if let Some(bytes) = bytes.filter(|_| answer.status().is_success()) {
-            self.sizes.borrow_mut().observe(request.route.class, bytes);
+            self.response_sizes
+                .borrow_mut()
+                .observe(request.route.class, bytes);
         }
         // The door here counts what it answered itself.
         let away = at.is_some_and(|at| at.hop != self.settings.hop);
--- a/crates/node/src/operators/operators_port.rs
+++ b/crates/node/src/operators/operators_port.rs
@@ -9,9 +9,9 @@
 
 use super::NodeStatus;
 use crate::{
-    answer_body::{AnswerBody, json_answer},
     member::MemberRecord,
     node_core::NodeCore,
+    response_body::{ResponseBody, json_response},
 };
 
 /// Path of the metrics, in the Prometheus text format.
@@ -35,7 +35,7 @@
     }
 
     /// Answers a request.
-    pub fn answer(&self, request: &Request<Incoming>) -> Response<AnswerBody> {
+    pub fn answer(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             METRICS_PATH => self.metrics(),
             STATUS_PATH => self.status(),
@@ -44,7 +44,7 @@
         }
     }
 
-    fn metrics(&self) -> Response<AnswerBody> {
+    fn metrics(&self) -> Response<ResponseBody> {
         let load = self.core.inbound.load(0);
         let metrics = &self.core.metrics;
         metrics.members(self.core.fleet.borrow().len());
@@ -56,7 +56,7 @@
         }
     }
 
-    fn status(&self) -> Response<AnswerBody> {
+    fn status(&self) -> Response<ResponseBody> {
         let settings = &self.core.settings;
         let load = self.core.inbound.load(0);
         let tracker = self.core.inbound.tracker().borrow();
@@ -79,24 +79,24 @@
         self.json("status", &status)
     }
 
-    fn members(&self) -> Response<AnswerBody> {
+    fn members(&self) -> Response<ResponseBody> {
         let fleet = self.core.fleet.borrow();
         let records: Vec<&MemberRecord> = fleet.records().collect();
         self.json("members", &records)
     }
 
-    fn json(&self, what: &str, value: &impl Serialize) -> Response<AnswerBody> {
-        json_answer(value).unwrap_or_else(|cause| self.failed(what, &cause))
+    fn json(&self, what: &str, value: &impl Serialize) -> Response<ResponseBody> {
+        json_response(value).unwrap_or_else(|cause| self.failed(what, &cause))
     }
 
-    fn failed(&self, what: &str, cause: &dyn std::error::Error) -> Response<AnswerBody> {
+    fn failed(&self, what: &str, cause: &dyn std::error::Error) -> Response<ResponseBody> {
         error!(self.core.log.logger(), "page not shown"; "page" => what, "cause" => %cause);
         page(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", Vec::new())
     }
 }
 
-fn page(status: StatusCode, kind: &'static str, text: Vec<u8>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(text));
+fn page(status: StatusCode, kind: &'static str, text: Vec<u8>) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(text));
     *response.status_mut() = status;
     let kind = HeaderValue::from_static(kind);
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
--- a/crates/node/src/outbound/local_reply.rs
+++ b/crates/node/src/outbound/local_reply.rs
@@ -5,7 +5,7 @@
 use crate::result_code::ResultCode;
 use http::{HeaderValue, Response, StatusCode, header};
 
-use crate::answer_body::AnswerBody;
+use crate::response_body::ResponseBody;
 
 /// An answer that a node gives of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,10 +56,10 @@
     }
 
     /// Makes the HTTP answer.
-    pub fn into_response(self) -> Response<AnswerBody> {
+    pub fn into_response(self) -> Response<ResponseBody> {
         let name: &'static str = self.code.into();
         let text = format!("{{\"code\":{},\"error\":\"{name}\"}}", self.code.number());
-        let mut response = Response::new(AnswerBody::whole(text));
+        let mut response = Response::new(ResponseBody::whole(text));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         let json = HeaderValue::from_static("application/json");
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -14,11 +14,11 @@
     try_sender::path_only,
 };
 use crate::{
-    answer_body::AnswerBody,
     config::{MeshConfig, RouteRule},
     crash::request_print,
     header_set::{strip_connection, strip_hop},
     node_core::NodeCore,
+    response_body::ResponseBody,
     result_code::ResultCode,
 };
 
@@ -48,7 +48,7 @@
     }
 
     /// Answers a request.
-    pub async fn answer(&self, incoming: Request<Incoming>) -> Response<AnswerBody> {
+    pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = Instant::now();
         let id = incoming
             .headers()
@@ -196,7 +196,7 @@
         resends.refused(request.print, first, end);
     }
 
-    async fn serve(&self, request: &OutboundRequest) -> Response<AnswerBody> {
+    async fn serve(&self, request: &OutboundRequest) -> Response<ResponseBody> {
         let now = self.core.clock.now();
         self.core
             .retries
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -14,10 +14,10 @@
     try_record::{PROBES_MAX, TRIES_MAX, TryRecord},
 };
 use crate::{
-    answer_body::AnswerBody,
     inbound::{InboundRefusal, RefusalReason},
     member::{MemberKey, MemberRecord, PickQuery, TryEnd},
     node_core::NodeCore,
+    response_body::ResponseBody,
     retry::RetryNeed,
 };
 
@@ -45,7 +45,7 @@
     pub(super) async fn answer(
         self,
         tries: &mut TryRecord<'_>,
-    ) -> Option<Box<Response<AnswerBody>>> {
+    ) -> Option<Box<Response<ResponseBody>>> {
         loop {
             let next = self.next_try(tries)?;
             tries.begin(next.key);
@@ -77,8 +77,8 @@
         self,
         tries: &mut TryRecord<'_>,
         key: MemberKey,
-        response: Box<Response<AnswerBody>>,
-    ) -> Option<Box<Response<AnswerBody>>> {
+        response: Box<Response<ResponseBody>>,
+    ) -> Option<Box<Response<ResponseBody>>> {
         let failed = response.status().is_server_error();
         let now = self.core.clock.now();
         let end = TryEnd::Answered { failed };
@@ -279,7 +279,7 @@
             target: self.request.route.target,
             tried: &tries.tried,
             probed: &tries.probed,
-            answer_bytes: self.core.answer_bytes(self.request.route.class),
+            response_bytes: self.core.response_bytes(self.request.route.class),
         }
     }
 }
--- a/crates/node/src/outbound/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -7,10 +7,10 @@
 
 use super::{LocalReply, OutboundRequest};
 use crate::{
-    answer_body::AnswerBody,
     inbound::{InboundRefusal, RefusalReason},
     member::{MemberKey, MemberRecord},
     node_core::NodeCore,
+    response_body::ResponseBody,
     result_code::ResultCode,
 };
 
@@ -49,7 +49,7 @@
     /// Whether it crashes backend servers, or may do so: no other one may be tried.
     pub(super) crashes_servers: bool,
     /// A failure that a backend server answered, while another is tried.
-    pub(super) kept: Option<Box<Response<AnswerBody>>>,
+    pub(super) kept: Option<Box<Response<ResponseBody>>>,
 }
 
 impl<'a> TryRecord<'a> {
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -10,7 +10,6 @@
 
 use super::{InFlightGuard, OutboundRequest};
 use crate::{
-    answer_body::{AnswerBody, is_short},
     config::ConfigVersion,
     crash::BreakFinding,
     header_set::{
@@ -23,6 +22,7 @@
     member::{LoadReport, MemberKey, MemberRecord},
     node_core::NodeCore,
     request_origin::RequestOrigin,
+    response_body::{ResponseBody, is_short},
 };
 
 /// How a try ended without an answer of the backend server.
@@ -42,7 +42,7 @@
 }
 
 /// How a try ended: with the backend server's answer, good or not, or without.
-pub type TryResult = Result<Box<Response<AnswerBody>>, TryFailure>;
+pub type TryResult = Result<Box<Response<ResponseBody>>, TryFailure>;
 
 /// Sends requests to doors, the own one or those of other nodes.
 #[derive(Debug, Clone, Copy)]
@@ -136,7 +136,7 @@
         strip_connection(&mut head.headers);
         strip_hop(&mut head.headers);
         if !is_short(&body) {
-            let body = AnswerBody::stream(body).with_in_flight_guard(guard);
+            let body = ResponseBody::stream(body).with_in_flight_guard(guard);
             return Ok(Box::new(Response::from_parts(head, body)));
         }
         let whole = match whole(body, guard).await {
@@ -147,7 +147,7 @@
             (Some(refusal), _) => Err(TryFailure::Refused(refusal)),
             (None, Some(reason)) => Err(TryFailure::Broke { reason, finding }),
             (None, None) => {
-                let answer = Response::from_parts(head, AnswerBody::whole(whole));
+                let answer = Response::from_parts(head, ResponseBody::whole(whole));
                 Ok(Box::new(answer))
             }
         }
--- a/crates/node/src/answer_body.rs
+++ b/crates/node/src/response_body.rs
@@ -29,7 +29,7 @@
 /// A stream that breaks ends with an error, upon which the server closes the
 /// connection: a broken answer never looks complete.
 #[derive(Debug)]
-pub struct AnswerBody {
+pub struct ResponseBody {
     source: BodySource,
     slot: Option<RunSlot>,
     guard: Option<InFlightGuard>,
@@ -40,13 +40,13 @@
 /// Longest answer that counts as short: it is read whole before its head is passed
 /// on, so that a break in it is known while another try is still possible. Longer
 /// ones cost memory, fill links, and are passed on as they come.
-pub const SHORT_MAX: u64 = 32 * 1024;
+pub const SHORT_RESPONSE_MAX_BYTES: u64 = 32 * 1024;
 
 /// Whether a body is known to be short.
 pub fn is_short(body: &impl Body) -> bool {
     body.size_hint()
         .exact()
-        .is_some_and(|bytes| bytes <= SHORT_MAX)
+        .is_some_and(|bytes| bytes <= SHORT_RESPONSE_MAX_BYTES)
 }
 
 /// Makes an answer that says nothing but its status.
@@ -54,14 +54,14 @@
 /// # Examples
 ///
 /// ```
-/// use geranium_node::answer_body::empty_answer;
+/// use geranium_node::response_body::empty_response;
 /// use http::StatusCode;
 ///
-/// let answer = empty_answer(StatusCode::BAD_REQUEST);
+/// let answer = empty_response(StatusCode::BAD_REQUEST);
 /// assert_eq!(answer.status(), StatusCode::BAD_REQUEST);
 /// ```
-pub fn empty_answer(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+pub fn empty_response(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(Bytes::new()));
     *response.status_mut() = status;
     response
 }
@@ -75,22 +75,22 @@
 /// # Examples
 ///
 /// ```
-/// use geranium_node::answer_body::json_answer;
+/// use geranium_node::response_body::json_response;
 /// use http::StatusCode;
 ///
-/// let answer = json_answer(&[1, 2])?;
+/// let answer = json_response(&[1, 2])?;
 /// assert_eq!(answer.status(), StatusCode::OK);
 /// # Ok::<(), serde_json::Error>(())
 /// ```
-pub fn json_answer(value: &impl Serialize) -> Result<Response<AnswerBody>, serde_json::Error> {
+pub fn json_response(value: &impl Serialize) -> Result<Response<ResponseBody>, serde_json::Error> {
     let text = serde_json::to_vec(value)?;
-    let mut response = Response::new(AnswerBody::whole(text));
+    let mut response = Response::new(ResponseBody::whole(text));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     Ok(response)
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Makes a body that is there in full.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::from_source(BodySource::Whole(Some(bytes.into())))
@@ -194,7 +194,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -40,7 +40,7 @@
     target: Duration::from_millis(400),
     tried: &[],
     probed: &[],
-    answer_bytes: 5_000,
+    response_bytes: 5_000,
 };
 
 /// A load of which every run takes `run`.
@@ -86,7 +86,7 @@
     fleet.loaded(at(0), near, QUERY.class, load(12, 4, at(100)));
     fleet.loaded(at(0), far, QUERY.class, load(0, 0, at(100)));
     let long = PickQuery {
-        answer_bytes: 90_000,
+        response_bytes: 90_000,
         ..QUERY
     };
     assert!(picks(&fleet, at(0), &QUERY).contains_key(&far));
@@ -101,7 +101,7 @@
     let near = fleet.key_of(hop(1)).expect("it is known");
     fleet.loaded(at(0), near, QUERY.class, load(11, 0, at(100)));
     let long = PickQuery {
-        answer_bytes: 90_000,
+        response_bytes: 90_000,
         ..QUERY
     };
     let mut rng = StdRng::seed_from_u64(7);
@@ -136,7 +136,7 @@
         fleet.judged(at(0), other, refused);
     }
     let long = PickQuery {
-        answer_bytes: 90_000,
+        response_bytes: 90_000,
         ..QUERY
     };
     assert_eq!(fleet.link_wait(at(10), &long), None);
@@ -171,7 +171,7 @@
     }
     let own = fleet.key_of(hop(1)).expect("the member is known");
     let long = PickQuery {
-        answer_bytes: 90_000,
+        response_bytes: 90_000,
         ..QUERY
     };
     let mut rng = StdRng::seed_from_u64(7);
@@ -359,7 +359,7 @@
     let mut fleet = view(3, 0);
     let keys = [1, 2, 3].map(|number| fleet.key_of(hop(number)).expect("it is known"));
     let query = PickQuery {
-        answer_bytes: 280_000,
+        response_bytes: 280_000,
         ..QUERY
     };
     let retry_after = Duration::from_millis(120);
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -399,7 +399,7 @@
         target: TARGET,
         tried,
         probed,
-        answer_bytes: 2_000,
+        response_bytes: 2_000,
     }
 }
 
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -28,7 +28,7 @@
     target: TARGET,
     tried: &[],
     probed: &[],
-    answer_bytes: FILE_BYTES,
+    response_bytes: FILE_BYTES,
 };
 
 /// Guards against repeated requests to remote members whose links are full, and against
@@ -52,7 +52,7 @@
     assert!(!fleet.has_open(at(2_000), &near_tried));
     assert!(fleet.has_open(at(5_000), &near_tried));
     let short = PickQuery {
-        answer_bytes: 5_000,
+        response_bytes: 5_000,
         ..near_tried
     };
     assert!(fleet.has_open(at(50), &short));
--- a/crates/node/tests/all/starts.rs
+++ b/crates/node/tests/all/starts.rs
@@ -49,7 +49,7 @@
         target: Duration::from_millis(400),
         tried: &[],
         probed: &[],
-        answer_bytes: 400,
+        response_bytes: 400,
     };
     assert!(!fleet.has_open(NOW, &query));
     fleet.announce(NOW, record(born("i-1", 9_000)), Revision(2));
--- a/crates/rig/src/rig_endpoint.rs
+++ b/crates/rig/src/rig_endpoint.rs
@@ -262,7 +262,7 @@
             instance: self.instance(machine),
             born_ms: self.born_ms,
             work: self.work,
-            answer_bytes: ANSWER_BYTES,
+            response_bytes: ANSWER_BYTES,
             healthy: true,
             fault: with_crashes(self.fault),
         }
--- a/crates/standins/src/endpoint_server.rs
+++ b/crates/standins/src/endpoint_server.rs
@@ -32,7 +32,7 @@
     /// Time of a run.
     pub work: Duration,
     /// Bytes of an answer.
-    pub answer_bytes: usize,
+    pub response_bytes: usize,
     /// Whether its health check is good.
     pub healthy: bool,
     /// What it does wrong.
@@ -209,7 +209,7 @@
     let asked = |name| figure(&head.uri, name);
     sleep(asked("work").map_or(options.work, Duration::from_millis)).await;
     mark.finished = true;
-    let bytes = asked("bytes").map_or(options.answer_bytes, |bytes| bytes as usize);
+    let bytes = asked("bytes").map_or(options.response_bytes, |bytes| bytes as usize);
     run_answer(options.fault, bytes, &id, &body.to_bytes())
 }
 
