--- a/crates/burn/src/sampling/fleet_sampler.rs
+++ b/crates/burn/src/sampling/fleet_sampler.rs
@@ -67,7 +67,7 @@
         for seed in &self.seeds {
             match AdminClient::new(*seed).members() {
                 Ok(members) => {
-                    let addrs = members.iter().map(|member| member.hop.ip());
+                    let addrs = members.iter().map(|member| member.peer_addr.ip());
                     let pages = addrs.map(|ip| SocketAddr::new(ip, seed.port()));
                     return Ok(pages.chain(self.seeds.iter().copied()).collect());
                 }
--- a/crates/ctl/src/commands/status_command.rs
+++ b/crates/ctl/src/commands/status_command.rs
@@ -18,7 +18,7 @@
 /// What the store says of the fleet.
 struct StoreView {
     version: ConfigVersion,
-    hops: Vec<SocketAddr>,
+    peer_addrs: Vec<SocketAddr>,
 }
 
 /// Asks every node that the store names. While the store is away, the nodes
@@ -32,8 +32,8 @@
         Ok(view) => (view, None),
         Err(error) => (named_by_nodes(session)?, Some(error.to_string())),
     };
-    let pages = view.hops.iter();
-    let pages = pages.map(|hop| SocketAddr::new(hop.ip(), session.status_port));
+    let pages = view.peer_addrs.iter();
+    let pages = pages.map(|peer_addr| SocketAddr::new(peer_addr.ip(), session.status_port));
     let pages: BTreeSet<SocketAddr> = pages.chain(session.nodes.iter().copied()).collect();
     Ok(FleetStatus::new(fleet::survey(pages), view.version, store))
 }
@@ -60,7 +60,7 @@
         .context(StoreSnafu)?;
     Ok(StoreView {
         version,
-        hops: members.items.iter().filter_map(hop_of).collect(),
+        peer_addrs: members.items.iter().filter_map(peer_addr_of).collect(),
     })
 }
 
@@ -74,7 +74,7 @@
             Ok(members) => {
                 return Ok(StoreView {
                     version: ConfigVersion(0),
-                    hops: members.iter().map(|member| member.hop).collect(),
+                    peer_addrs: members.iter().map(|member| member.peer_addr).collect(),
                 });
             }
             Err(error) => failure = error,
@@ -83,6 +83,6 @@
     Err(failure)
 }
 
-fn hop_of(item: &StoreItem) -> Option<SocketAddr> {
-    AnnouncementKey::hop_in(&item.key)
+fn peer_addr_of(item: &StoreItem) -> Option<SocketAddr> {
+    AnnouncementKey::peer_addr_in(&item.key)
 }
--- a/crates/ctl/tests/all/fleet.rs
+++ b/crates/ctl/tests/all/fleet.rs
@@ -36,10 +36,10 @@
 }
 
 fn status(ip: [u8; 4], version: u64) -> Value {
-    let hop = SocketAddr::from((ip, 7600));
+    let peer_addr = SocketAddr::from((ip, 7600));
     json!({
         "instance": format!("till-{}", ip[3]), "data_centre": "hofdi", "service": "verdskra",
-        "hop": hop, "version": version, "members": 3, "store_age_ms": 40, "backend": "i-1",
+        "hop": peer_addr, "version": version, "members": 3, "store_age_ms": 40, "backend": "i-1",
         "running": 0, "waiting": 0, "ready": version > 0,
     })
 }
--- a/crates/node/src/crash/crash_news.rs
+++ b/crates/node/src/crash/crash_news.rs
@@ -12,9 +12,9 @@
 
 use super::{CRASH_PATH, CRASH_PREFIX, CrashRow};
 use crate::{
-    hop::NodeCall,
     node_core::NodeCore,
     store::{MetaStore, Revision, StoreError, StoreWrite},
+    transport::NodeCall,
 };
 
 /// Time for which a crash stands in the store. Every node reads it within a second or two
@@ -71,7 +71,7 @@
 /// Tells nodes of crashes, all at once, and returns those that couldn't be told.
 async fn tell(core: &Rc<NodeCore>, peers: Vec<SocketAddr>, body: &Bytes) -> Vec<SocketAddr> {
     let mut calls = JoinSet::new();
-    for hop in peers {
+    for peer_addr in peers {
         let core = Rc::clone(core);
         let call = NodeCall {
             method: Method::POST,
@@ -80,8 +80,14 @@
             time: TELL_TIME,
         };
         calls.spawn_local(async move {
-            let told = call.send(&core.hops, hop, core.settings.hop_idle).await;
-            told.is_err().then_some(hop)
+            let told = call
+                .send(
+                    &core.peer_connections,
+                    peer_addr,
+                    core.settings.peer_idle_timeout,
+                )
+                .await;
+            told.is_err().then_some(peer_addr)
         });
     }
     let missed = calls.join_all().await;
--- a/crates/node/src/crash/crash_watch.rs
+++ b/crates/node/src/crash/crash_watch.rs
@@ -14,10 +14,10 @@
     crash_news::{store_crash, tell_peers},
 };
 use crate::{
-    hop::ExchangeError,
     member::EndpointStart,
     node_core::NodeCore,
     store::{MetaStore, Revision},
+    transport::ExchangeError,
 };
 
 /// Time after a break in which further ones gather: a process that crashes drops all its
--- a/crates/node/src/distribution/guide.rs
+++ b/crates/node/src/distribution/guide.rs
@@ -97,22 +97,22 @@
         self.asked_until = now + ASKED_TIME;
     }
 
-    /// Notes that the node at `hop` gave no answer.
-    pub fn failed(&mut self, now: Duration, hop: SocketAddr) {
-        self.out_until.insert(hop, now + GUIDE_OUT);
+    /// Notes that the node at `peer_addr` gave no answer.
+    pub fn failed(&mut self, now: Duration, peer_addr: SocketAddr) {
+        self.out_until.insert(peer_addr, now + GUIDE_OUT);
     }
 
-    /// Takes in what the node at `hop` told of its contact with the store, and returns
+    /// Takes in what the node at `peer_addr` told of its contact with the store, and returns
     /// whether this node should check its own. A node that is cut off from the store is
     /// passed over, unless this one is as well.
     #[must_use]
-    pub fn told(&mut self, now: Duration, hop: SocketAddr, contact: StoreContact) -> bool {
+    pub fn told(&mut self, now: Duration, peer_addr: SocketAddr, contact: StoreContact) -> bool {
         let cut_off = contact.lost || contact.age > STORE_STALE;
         self.asked_cut_off = cut_off;
         if !cut_off || self.is_cut_off(now) {
             return false;
         }
-        self.cut_until.insert(hop, now + GUIDE_OUT);
+        self.cut_until.insert(peer_addr, now + GUIDE_OUT);
         self.cut_nodes(now) >= LOST_FOR_ALL
     }
 
@@ -147,20 +147,20 @@
     pub fn choose(&self, now: Duration, carriers: &[&MemberRecord]) -> GuideChoice {
         let cut_off = self.is_cut_off(now);
         let skips_cut = !self.is_lost_for_all(now);
-        let holds = |marks: &HashMap<SocketAddr, Duration>, hop| {
-            marks.get(hop).is_some_and(|&until| now < until)
+        let holds = |marks: &HashMap<SocketAddr, Duration>, peer_addr| {
+            marks.get(peer_addr).is_some_and(|&until| now < until)
         };
         for record in carriers {
-            if record.hop == self.own {
+            if record.peer_addr == self.own {
                 if cut_off {
                     continue;
                 }
                 return GuideChoice::Store;
             }
-            let out = holds(&self.out_until, &record.hop);
-            let cut = skips_cut && holds(&self.cut_until, &record.hop);
+            let out = holds(&self.out_until, &record.peer_addr);
+            let cut = skips_cut && holds(&self.cut_until, &record.peer_addr);
             if !out && !cut {
-                return GuideChoice::Node(record.hop);
+                return GuideChoice::Node(record.peer_addr);
             }
         }
         GuideChoice::Store
--- a/crates/node/src/errand/store_way.rs
+++ b/crates/node/src/errand/store_way.rs
@@ -9,9 +9,9 @@
 
 use super::{ERRAND_PATH, ErrandOutcome, StoreErrand};
 use crate::{
-    hop::{CallError, NodeCall},
     node_core::NodeCore,
     store::{LeaseGrant, LeaseId, MetaStore, Revision, StoreError, StoreWrite},
+    transport::{CallError, NodeCall},
 };
 
 /// Longest time for an errand: the store's call takes one at most.
@@ -147,18 +147,18 @@
 
     /// Sends an errand to a few nodes in turn, first to the one that made the last.
     async fn send(&self, errand: &StoreErrand) -> Result<ErrandOutcome, StoreError> {
-        for hop in self.helpers() {
-            match self.ask(hop, errand).await {
+        for peer_addr in self.helpers() {
+            match self.ask(peer_addr, errand).await {
                 Ok(ErrandOutcome::Failed) => {}
                 Ok(outcome) => {
-                    if self.helper.replace(Some(hop)) != Some(hop) {
+                    if self.helper.replace(Some(peer_addr)) != Some(peer_addr) {
                         info!(self.core.log.logger(), "store reached through another node";
-                            "at" => %hop);
+                            "at" => %peer_addr);
                     }
                     return Ok(outcome);
                 }
                 Err(cause) => info!(self.core.log.logger(), "errand not taken";
-                    "at" => %hop, "cause" => %cause),
+                    "at" => %peer_addr, "cause" => %cause),
             }
         }
         self.helper.set(None);
@@ -170,16 +170,16 @@
     fn helpers(&self) -> Vec<SocketAddr> {
         let last = self.helper.get();
         let fleet = self.core.fleet.borrow();
-        let own = self.core.settings.hop;
+        let own = self.core.settings.peer_addr;
         let others = fleet.reachable(self.core.clock.now());
-        let others = others.filter(|hop| *hop != own && Some(*hop) != last);
+        let others = others.filter(|peer_addr| *peer_addr != own && Some(*peer_addr) != last);
         let drawn = others.sample(&mut rand::rng(), ASKED_MAX);
         last.into_iter().chain(drawn).take(ASKED_MAX).collect()
     }
 
     async fn ask(
         &self,
-        hop: SocketAddr,
+        peer_addr: SocketAddr,
         errand: &StoreErrand,
     ) -> Result<ErrandOutcome, ErrandError> {
         let call = NodeCall {
@@ -188,8 +188,10 @@
             body: serde_json::to_vec(errand)?.into(),
             time: ERRAND_TIME,
         };
-        let idle_time = self.core.settings.hop_idle;
-        let whole = call.send(&self.core.hops, hop, idle_time).await?;
+        let idle_time = self.core.settings.peer_idle_timeout;
+        let whole = call
+            .send(&self.core.peer_connections, peer_addr, idle_time)
+            .await?;
         Ok(serde_json::from_slice(&whole)?)
     }
 }
--- a/crates/node/src/follow/announcement_key.rs
+++ b/crates/node/src/follow/announcement_key.rs
@@ -17,7 +17,7 @@
 }
 
 impl AnnouncementKey {
-    /// Makes the key of the node at `hop`.
+    /// Makes the key of the node at `peer_addr`.
     ///
     /// # Examples
     ///
@@ -25,13 +25,13 @@
     /// use std::net::SocketAddr;
     /// use geranium_node::follow::AnnouncementKey;
     ///
-    /// let hop = SocketAddr::from(([10, 1, 0, 4], 7600));
-    /// let key = AnnouncementKey::new("hofdi", hop);
+    /// let peer_addr = SocketAddr::from(([10, 1, 0, 4], 7600));
+    /// let key = AnnouncementKey::new("hofdi", peer_addr);
     /// assert_eq!(key.as_str(), "geranium/member/hofdi/10.1.0.4:7600");
-    /// assert_eq!(AnnouncementKey::hop_in(key.as_str()), Some(hop));
+    /// assert_eq!(AnnouncementKey::peer_addr_in(key.as_str()), Some(peer_addr));
     /// ```
-    pub fn new(data_centre: &str, hop: SocketAddr) -> Self {
-        let text = format!("{}{hop}", Self::prefix(data_centre));
+    pub fn new(data_centre: &str, peer_addr: SocketAddr) -> Self {
+        let text = format!("{}{peer_addr}", Self::prefix(data_centre));
         Self { text }
     }
 
@@ -53,8 +53,8 @@
 
     /// Returns the address of the node whose announcement stands at `key`; none when it
     /// is another kind of key.
-    pub fn hop_in(key: &str) -> Option<SocketAddr> {
-        let (_, hop) = key.strip_prefix(MEMBER_PREFIX)?.rsplit_once('/')?;
-        hop.parse().ok()
+    pub fn peer_addr_in(key: &str) -> Option<SocketAddr> {
+        let (_, peer_addr) = key.strip_prefix(MEMBER_PREFIX)?.rsplit_once('/')?;
+        peer_addr.parse().ok()
     }
 }
--- a/crates/node/src/follow/announcer.rs
+++ b/crates/node/src/follow/announcer.rs
@@ -143,7 +143,7 @@
         renewed?;
         core.own_lease.set(None);
         let fleet = core.fleet.borrow();
-        let member = fleet.at(core.settings.hop);
+        let member = fleet.at(core.settings.peer_addr);
         let standing = member.filter(|member| !member.has_lapsed());
         self.record = standing.map(|member| member.record.clone());
         self.lease = Some(lease);
@@ -215,7 +215,9 @@
             Ok(revision) => {
                 self.record = None;
                 self.revision = Revision(0);
-                core.fleet.borrow_mut().remove(core.settings.hop, revision);
+                core.fleet
+                    .borrow_mut()
+                    .remove(core.settings.peer_addr, revision);
                 info!(core.log.logger(), "announcement withdrawn");
                 Ok(())
             }
@@ -252,7 +254,7 @@
     /// write.
     fn see(&mut self, core: &NodeCore) {
         let fleet = core.fleet.borrow();
-        let Some(member) = fleet.at(core.settings.hop) else {
+        let Some(member) = fleet.at(core.settings.peer_addr) else {
             return;
         };
         if member.revision() <= self.seen {
@@ -289,7 +291,7 @@
     let leaving = current.leaving_since.is_some() || core.is_stopping();
     let report = &current.report;
     Some(MemberRecord {
-        hop: core.settings.hop,
+        peer_addr: core.settings.peer_addr,
         start: report.start.clone(),
         service: report.service.clone(),
         data_centre: core.settings.data_centre.clone(),
--- a/crates/node/src/follow/fleet_follower.rs
+++ b/crates/node/src/follow/fleet_follower.rs
@@ -11,8 +11,8 @@
 use super::{FOLLOW_PATH, news_intake::take_answer};
 use crate::{
     distribution::{FollowAnswer, FollowQuestion, GuideChoice, StoreContact},
-    hop::{CallError, NodeCall},
     node_core::NodeCore,
+    transport::{CallError, NodeCall},
 };
 
 /// Longest time that a question waits for news. Within it the guide tells how
@@ -62,9 +62,9 @@
             GuideChoice::Store => {
                 let _idle = timeout(IDLE_LOOK, core.duty_changed.notified()).await;
             }
-            GuideChoice::Node(hop) => {
-                let told_lost = follow(&core, hop, lost == Some(hop)).await;
-                lost = told_lost.then_some(hop);
+            GuideChoice::Node(peer_addr) => {
+                let told_lost = follow(&core, peer_addr, lost == Some(peer_addr)).await;
+                lost = told_lost.then_some(peer_addr);
                 sleep(FOLLOW_PAUSE).await;
             }
         }
@@ -72,14 +72,14 @@
 }
 
 /// Asks a guide once, and returns whether it has lost the store.
-async fn follow(core: &NodeCore, hop: SocketAddr, lost_known: bool) -> bool {
+async fn follow(core: &NodeCore, peer_addr: SocketAddr, lost_known: bool) -> bool {
     let wait = if core.version().0 == 0 {
         FIRST_WAIT
     } else {
         FOLLOW_WAIT
     };
     let question = question(core, wait, lost_known);
-    let answer = ask(core, hop, question).await;
+    let answer = ask(core, peer_addr, question).await;
     let now = core.clock.now();
     let lost = match answer {
         Ok(answer) => {
@@ -89,22 +89,22 @@
             };
             if contact.lost && !lost_known {
                 warn!(core.log.logger(), "guide has lost the store";
-                    "at" => %hop, "version" => core.version().0,
+                    "at" => %peer_addr, "version" => core.version().0,
                     "answered_ms_ago" => answer.store_age_ms);
             }
             if lost_known && !contact.lost {
-                core.store_found(hop);
+                core.store_found(peer_addr);
             }
-            if core.guide.borrow_mut().told(now, hop, contact) {
+            if core.guide.borrow_mut().told(now, peer_addr, contact) {
                 core.doubt_store();
             }
-            take_answer(core, hop, answer);
+            take_answer(core, peer_addr, answer);
             contact.lost
         }
         Err(cause) => {
             warn!(core.log.logger(), "guide lost";
-                "at" => %hop, "version" => core.version().0, "cause" => %cause);
-            core.guide.borrow_mut().failed(now, hop);
+                "at" => %peer_addr, "version" => core.version().0, "cause" => %cause);
+            core.guide.borrow_mut().failed(now, peer_addr);
             false
         }
     };
@@ -124,16 +124,16 @@
         if core.version().0 > 0 {
             sleep(GUIDE_FIRST).await;
         }
-        let Some((version, hop)) = core.ahead.borrow_mut().take() else {
+        let Some((version, peer_addr)) = core.ahead.borrow_mut().take() else {
             continue;
         };
         if version <= core.version() {
             continue;
         }
-        match ask(&core, hop, question(&core, Duration::ZERO, true)).await {
-            Ok(answer) => take_answer(&core, hop, answer),
+        match ask(&core, peer_addr, question(&core, Duration::ZERO, true)).await {
+            Ok(answer) => take_answer(&core, peer_addr, answer),
             Err(cause) => warn!(core.log.logger(), "node ahead not reached";
-                "at" => %hop, "version" => version.0, "cause" => %cause),
+                "at" => %peer_addr, "version" => version.0, "cause" => %cause),
         }
     }
 }
@@ -149,7 +149,7 @@
 
 async fn ask(
     core: &NodeCore,
-    hop: SocketAddr,
+    peer_addr: SocketAddr,
     question: FollowQuestion,
 ) -> Result<FollowAnswer, FollowError> {
     let call = NodeCall {
@@ -158,6 +158,12 @@
         body: Bytes::new(),
         time: question.wait + ANSWER_TIME,
     };
-    let whole = call.send(&core.hops, hop, core.settings.hop_idle).await?;
+    let whole = call
+        .send(
+            &core.peer_connections,
+            peer_addr,
+            core.settings.peer_idle_timeout,
+        )
+        .await?;
     Ok(serde_json::from_slice(&whole)?)
 }
--- a/crates/node/src/follow/member_notes.rs
+++ b/crates/node/src/follow/member_notes.rs
@@ -16,7 +16,7 @@
 /// What the log tells of one announcement.
 #[derive(Debug)]
 pub(super) struct MemberRow {
-    hop: SocketAddr,
+    peer_addr: SocketAddr,
     start: EndpointStart,
     service: String,
     state: MemberState,
@@ -26,7 +26,7 @@
 impl MemberRow {
     pub(super) fn new(record: &MemberRecord, revision: Revision) -> Self {
         Self {
-            hop: record.hop,
+            peer_addr: record.peer_addr,
             start: record.start.clone(),
             service: record.service.clone(),
             state: record.state,
@@ -38,10 +38,10 @@
 impl fmt::Display for MemberRow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let state: &'static str = self.state.into();
-        let (hop, revision) = (self.hop, self.revision);
+        let (peer_addr, revision) = (self.peer_addr, self.revision);
         write!(
             f,
-            "{hop} {revision} {state} {} {}",
+            "{peer_addr} {revision} {state} {} {}",
             self.service, self.start
         )
     }
@@ -76,7 +76,7 @@
 fn write_one(logger: &Logger, row: &MemberRow) {
     let state: &'static str = row.state.into();
     info!(logger, "member announced";
-        "at" => %row.hop,
+        "at" => %row.peer_addr,
         "instance" => %row.start,
         "service" => &*row.service,
         "state" => state,
--- a/crates/node/src/follow/member_watcher.rs
+++ b/crates/node/src/follow/member_watcher.rs
@@ -79,7 +79,7 @@
     let own = list.items.iter().find(|item| item.key == key.as_str());
     core.own_lease.set(own.and_then(|item| item.lease));
     core.store_answered();
-    if !present.contains(&core.settings.hop) {
+    if !present.contains(&core.settings.peer_addr) {
         core.announce.notify_one();
     }
     Ok(())
@@ -91,9 +91,9 @@
     let present: HashSet<SocketAddr> = take_items(core, &list.items).into_iter().collect();
     let now = core.clock.now();
     let mut fleet = core.fleet.borrow_mut();
-    fleet.listed(now, list.revision, |hop| present.contains(hop));
+    fleet.listed(now, list.revision, |peer_addr| present.contains(peer_addr));
     drop(fleet);
-    if !present.contains(&core.settings.hop) {
+    if !present.contains(&core.settings.peer_addr) {
         core.announce.notify_one();
     }
     Ok(())
@@ -133,9 +133,9 @@
     let taken = items
         .iter()
         .filter_map(|item| take_item(core, item, &mut notes));
-    let hops = taken.collect();
+    let peer_addrs = taken.collect();
     notes.write(core.log.logger());
-    hops
+    peer_addrs
 }
 
 /// Takes in an item, and returns whose announcement it is.
@@ -151,11 +151,11 @@
     }
     let cause = match parse_record(item) {
         Ok(record) if key_of(&record).as_str() == item.key => {
-            let hop = record.hop;
+            let peer_addr = record.peer_addr;
             take_record(core, record, item.revision, notes);
-            return Some(hop);
+            return Some(peer_addr);
         }
-        Ok(record) => format!("it is of {}", record.hop),
+        Ok(record) => format!("it is of {}", record.peer_addr),
         Err(cause) => cause.to_string(),
     };
     error!(core.log.logger(), "announcement unreadable";
@@ -167,20 +167,20 @@
 /// Takes in that there is no announcement at a key. A key at which its node wouldn't
 /// announce itself says nothing of a member.
 fn take_removal(core: &NodeCore, key: &str, revision: Revision) {
-    let Some(hop) = AnnouncementKey::hop_in(key) else {
+    let Some(peer_addr) = AnnouncementKey::peer_addr_in(key) else {
         return;
     };
     let known = {
         let fleet = core.fleet.borrow();
-        fleet.at(hop).map(|member| key_of(&member.record))
+        fleet.at(peer_addr).map(|member| key_of(&member.record))
     };
     if known.is_none_or(|known| known.as_str() == key) {
-        take_lapse(core, hop, revision);
+        take_lapse(core, peer_addr, revision);
     }
 }
 
 fn key_of(record: &MemberRecord) -> AnnouncementKey {
-    AnnouncementKey::new(&record.data_centre, record.hop)
+    AnnouncementKey::new(&record.data_centre, record.peer_addr)
 }
 
 fn parse_record(item: &StoreItem) -> Result<MemberRecord, serde_json::Error> {
--- a/crates/node/src/follow/mod.rs
+++ b/crates/node/src/follow/mod.rs
@@ -39,7 +39,7 @@
 
 /// Returns the key of a node's own announcement.
 pub(crate) fn own_key(core: &NodeCore) -> AnnouncementKey {
-    AnnouncementKey::new(&core.settings.data_centre, core.settings.hop)
+    AnnouncementKey::new(&core.settings.data_centre, core.settings.peer_addr)
 }
 
 /// Prefix of all that nodes keep in the store.
--- a/crates/node/src/follow/news_intake.rs
+++ b/crates/node/src/follow/news_intake.rs
@@ -56,11 +56,14 @@
     core.eras.hear(revision.era());
     if news.whole {
         let now = core.clock.now();
-        let present: HashSet<SocketAddr> =
-            news.written.iter().map(|(record, _)| record.hop).collect();
+        let present: HashSet<SocketAddr> = news
+            .written
+            .iter()
+            .map(|(record, _)| record.peer_addr)
+            .collect();
         let mut fleet = core.fleet.borrow_mut();
-        fleet.listed(now, revision, |hop| present.contains(hop));
-        if !present.contains(&core.settings.hop) {
+        fleet.listed(now, revision, |peer_addr| present.contains(peer_addr));
+        if !present.contains(&core.settings.peer_addr) {
             core.announce.notify_one();
         }
     }
@@ -69,8 +72,8 @@
         take_record(core, record, Revision(revision), &mut notes);
     }
     notes.write(core.log.logger());
-    for (hop, revision) in news.lapsed {
-        take_lapse(core, hop, Revision(revision));
+    for (peer_addr, revision) in news.lapsed {
+        take_lapse(core, peer_addr, Revision(revision));
     }
     core.fleet.borrow_mut().advance(revision);
     core.news.notify_waiters();
@@ -84,7 +87,7 @@
     notes: &mut MemberNotes,
 ) {
     let now = core.clock.now();
-    if record.hop == core.settings.hop {
+    if record.peer_addr == core.settings.peer_addr {
         core.inbound.tracker().borrow_mut().restore(now, &record);
         if core.inbound.tracker().borrow().current().is_none() {
             *core.own_record.borrow_mut() = Some(record.clone());
@@ -99,16 +102,16 @@
 }
 
 /// Takes in that an announcement is missing.
-pub(super) fn take_lapse(core: &NodeCore, hop: SocketAddr, revision: Revision) {
+pub(super) fn take_lapse(core: &NodeCore, peer_addr: SocketAddr, revision: Revision) {
     let known = core
         .fleet
         .borrow_mut()
-        .lapse(core.clock.now(), hop, revision);
+        .lapse(core.clock.now(), peer_addr, revision);
     if known {
         info!(core.log.logger(), "announcement missing";
-            "at" => %hop, "revision" => revision.0);
+            "at" => %peer_addr, "revision" => revision.0);
     }
-    if hop == core.settings.hop {
+    if peer_addr == core.settings.peer_addr {
         core.announce.notify_one();
     }
 }
--- a/crates/node/src/header_set.rs
+++ b/crates/node/src/header_set.rs
@@ -24,20 +24,20 @@
 }
 
 /// What one node tells another of a request: see
-/// [`HopNote`](crate::hop::HopNote).
-pub const HOP_NOTE: HeaderName = HeaderName::from_static("geranium-hop");
+/// [`PeerRequestHeader`](crate::transport::PeerRequestHeader).
+pub const PEER_REQUEST_HEADER: HeaderName = HeaderName::from_static("geranium-hop");
 /// Load of the backend server: see [`LoadReport`](crate::member::LoadReport).
-pub const HOP_LOAD: HeaderName = HeaderName::from_static("geranium-load");
+pub const PEER_LOAD_HEADER: HeaderName = HeaderName::from_static("geranium-load");
 /// The request certainly didn't run: see
 /// [`InboundRefusal`](crate::inbound::InboundRefusal).
-pub const HOP_REFUSAL: HeaderName = HeaderName::from_static("geranium-refusal");
+pub const PEER_REFUSAL_HEADER: HeaderName = HeaderName::from_static("geranium-refusal");
 /// The request may have run and has no usable answer.
-pub const HOP_BROKE: HeaderName = HeaderName::from_static("geranium-broke");
+pub const PEER_FAILURE_HEADER: HeaderName = HeaderName::from_static("geranium-broke");
 /// What was found of a backend server whose connection broke: see
 /// [`BreakFinding`](crate::crash::BreakFinding), as JSON.
-pub const HOP_FINDING: HeaderName = HeaderName::from_static("geranium-finding");
+pub const PEER_DIAGNOSIS_HEADER: HeaderName = HeaderName::from_static("geranium-finding");
 /// Version of the configuration that the answering node holds.
-pub const HOP_VERSION: HeaderName = HeaderName::from_static("geranium-version");
+pub const PEER_VERSION_HEADER: HeaderName = HeaderName::from_static("geranium-version");
 
 /// Headers that concern one connection only.
 const CONNECTION_HEADERS: [HeaderName; 8] = [
@@ -52,12 +52,12 @@
 ];
 /// Headers by which nodes speak to one another.
 const HOP_HEADERS: [HeaderName; 6] = [
-    HOP_NOTE,
-    HOP_LOAD,
-    HOP_REFUSAL,
-    HOP_BROKE,
-    HOP_FINDING,
-    HOP_VERSION,
+    PEER_REQUEST_HEADER,
+    PEER_LOAD_HEADER,
+    PEER_REFUSAL_HEADER,
+    PEER_FAILURE_HEADER,
+    PEER_DIAGNOSIS_HEADER,
+    PEER_VERSION_HEADER,
 ];
 
 /// Bytes of a head beside the headers that are told: the first line, and what the
@@ -104,7 +104,7 @@
 
 /// Removes the headers by which nodes speak to one another: what comes from
 /// outside must not be taken for a node's word.
-pub fn strip_hop(headers: &mut HeaderMap) {
+pub fn strip_peer_headers(headers: &mut HeaderMap) {
     for name in &HOP_HEADERS {
         headers.remove(name);
     }
--- a/crates/node/src/http_port.rs
+++ b/crates/node/src/http_port.rs
@@ -14,7 +14,7 @@
     time::{sleep, timeout},
 };
 
-use crate::{hop::tune_socket, node_core::NodeCore, response_body::ResponseBody};
+use crate::{node_core::NodeCore, response_body::ResponseBody, transport::tune_socket};
 
 /// Connections that may wait to be accepted: a burst of a second's new callers
 /// at twenty times today's rate. Beyond it the kernel drops opening packets,
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -12,10 +12,10 @@
 };
 use crate::{
     crash::CrashRow,
-    header_set::{header_text, set_header, strip_connection, strip_hop},
-    hop::{ExchangeError, PooledSender},
+    header_set::{header_text, set_header, strip_connection, strip_peer_headers},
     member::EndpointStart,
     response_body::{ResponseBody, is_short},
+    transport::{ExchangeError, PooledSender},
 };
 
 impl InboundProxy {
@@ -68,7 +68,7 @@
 
     fn outgoing(&self, request: InboundRequest, instance: &str) -> Request<Full<Bytes>> {
         let mut headers = request.headers;
-        strip_hop(&mut headers);
+        strip_peer_headers(&mut headers);
         let left = request.ends_at.saturating_duration_since(Instant::now());
         headers.insert(
             &self.headers.deadline_ms,
@@ -126,7 +126,7 @@
 ) -> Result<Response<ResponseBody>, InboundError> {
     let (mut head, body) = response.into_parts();
     strip_connection(&mut head.headers);
-    strip_hop(&mut head.headers);
+    strip_peer_headers(&mut head.headers);
     slot.hold(sender);
     if !is_short(&body) {
         slot.made();
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -23,11 +23,11 @@
 use crate::{
     crash::{BreakFinding, BrokenRuns, CrashBook},
     header_set::HeaderSet,
-    hop::{ConnectionPool, PoolSettings},
     link::LinkLine,
     member::{EndpointStart, LoadReport, ResponseSizes},
     node_clock::NodeClock,
     response_body::ResponseBody,
+    transport::{ConnectionPool, PoolSettings},
 };
 
 /// Longest time to open a connection to the backend server on this machine;
--- a/crates/node/src/inbound/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::inbound_proxy::InboundState;
-use crate::hop::PooledSender;
+use crate::transport::PooledSender;
 
 /// A slot of the backend server, held by one request until its answer is made.
 ///
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -85,7 +85,7 @@
     }
 
     /// Makes an empty view for a node in `data_centre` whose own backend server is
-    /// announced at `hop`.
+    /// announced at `peer_addr`.
     ///
     /// # Examples
     ///
@@ -96,13 +96,16 @@
     /// assert!(fleet.is_empty());
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
-    pub fn with_local_endpoint(data_centre: impl Into<String>, hop: SocketAddr) -> Self {
-        Self::with_location(data_centre.into(), Some(hop))
+    pub fn with_local_endpoint(data_centre: impl Into<String>, peer_addr: SocketAddr) -> Self {
+        Self::with_location(data_centre.into(), Some(peer_addr))
     }
 
-    fn with_location(data_centre: String, hop: Option<SocketAddr>) -> Self {
+    fn with_location(data_centre: String, peer_addr: Option<SocketAddr>) -> Self {
         Self {
-            location: NodeLocation { data_centre, hop },
+            location: NodeLocation {
+                data_centre,
+                peer_addr,
+            },
             members: Slab::new(),
             keys: HashMap::new(),
             services: HashMap::new(),
@@ -119,7 +122,7 @@
     /// News come over several ways, the node's own writes among them; an
     /// announcement older than the one known changes nothing.
     pub fn announce(&mut self, now: Duration, record: MemberRecord, revision: Revision) -> bool {
-        let Some(&key) = self.keys.get(&record.hop) else {
+        let Some(&key) = self.keys.get(&record.peer_addr) else {
             self.insert(now, record, revision);
             return true;
         };
@@ -142,8 +145,8 @@
     ///
     /// The member is kept for a moment: the store drops announcements while it
     /// is away, and a node that lives writes its own again.
-    pub fn lapse(&mut self, now: Duration, hop: SocketAddr, revision: Revision) -> bool {
-        let key = self.keys.get(&hop);
+    pub fn lapse(&mut self, now: Duration, peer_addr: SocketAddr, revision: Revision) -> bool {
+        let key = self.keys.get(&peer_addr);
         key.is_some_and(|key| self.members[key.index as usize].lapse(now, revision))
     }
 
@@ -159,7 +162,7 @@
         present: impl Fn(&SocketAddr) -> bool,
     ) {
         for (_, member) in &mut self.members {
-            if !present(&member.record.hop) {
+            if !present(&member.record.peer_addr) {
                 member.lapse(now, revision);
             }
         }
@@ -178,8 +181,8 @@
         let mut records = Vec::with_capacity(gone.len());
         for index in gone {
             let member = self.members.remove(index);
-            self.keys.remove(&member.record.hop);
-            self.note_drop(member.record.hop, member.revision);
+            self.keys.remove(&member.record.peer_addr);
+            self.note_drop(member.record.peer_addr, member.revision);
             records.push(member.record);
         }
         if !records.is_empty() {
@@ -189,10 +192,10 @@
     }
 
     /// Drops a member that said farewell.
-    pub fn remove(&mut self, hop: SocketAddr, revision: Revision) {
-        if let Some(key) = self.keys.remove(&hop) {
+    pub fn remove(&mut self, peer_addr: SocketAddr, revision: Revision) {
+        if let Some(key) = self.keys.remove(&peer_addr) {
             self.members.remove(key.index as usize);
-            self.note_drop(hop, revision);
+            self.note_drop(peer_addr, revision);
             self.index_services();
         }
     }
@@ -217,7 +220,7 @@
         let dropped = self.dropped.iter().filter(|(_, revision)| fresh(*revision));
         let lapsed = lapsed
             .into_iter()
-            .map(|member| (member.record.hop, member.revision));
+            .map(|member| (member.record.peer_addr, member.revision));
         let lapsed = lapsed.chain(dropped.copied());
         let written = written.into_iter();
         MemberNews {
@@ -226,7 +229,9 @@
             written: written
                 .map(|member| (member.record.clone(), member.revision.0))
                 .collect(),
-            lapsed: lapsed.map(|(hop, revision)| (hop, revision.0)).collect(),
+            lapsed: lapsed
+                .map(|(peer_addr, revision)| (peer_addr, revision.0))
+                .collect(),
         }
     }
 
@@ -237,7 +242,7 @@
         let near = near.filter(|member| member.is_near() && !member.has_lapsed());
         let mut records: Vec<&MemberRecord> = near.map(|member| &member.record).collect();
         records.sort_by_key(|record| {
-            let place = xxh3_64(record.hop.to_string().as_bytes());
+            let place = xxh3_64(record.peer_addr.to_string().as_bytes());
             (Reverse(record.link_mbps), place)
         });
         records
@@ -247,7 +252,7 @@
     pub fn reachable(&self, now: Duration) -> impl Iterator<Item = SocketAddr> {
         let open = self.members.iter().map(|(_, member)| member);
         let open = open.filter(move |member| !member.has_lapsed() && member.is_open(now));
-        open.map(|member| member.record.hop)
+        open.map(|member| member.record.peer_addr)
     }
 
     /// Returns a member, unless it has gone.
@@ -256,14 +261,14 @@
         (member.generation == key.generation).then_some(member)
     }
 
-    /// Returns the key of the member at `hop`.
-    pub fn key_of(&self, hop: SocketAddr) -> Option<MemberKey> {
-        self.keys.get(&hop).copied()
+    /// Returns the key of the member at `peer_addr`.
+    pub fn key_of(&self, peer_addr: SocketAddr) -> Option<MemberKey> {
+        self.keys.get(&peer_addr).copied()
     }
 
-    /// Returns the member at `hop`, if one is known.
-    pub fn at(&self, hop: SocketAddr) -> Option<&MemberView> {
-        self.get(self.key_of(hop)?)
+    /// Returns the member at `peer_addr`, if one is known.
+    pub fn at(&self, peer_addr: SocketAddr) -> Option<&MemberView> {
+        self.get(self.key_of(peer_addr)?)
     }
 
     /// Returns the members' announcements.
@@ -354,23 +359,23 @@
     fn insert(&mut self, now: Duration, record: MemberRecord, revision: Revision) {
         self.generation += 1;
         let distance = self.location.distance(&record);
-        let (hop, service) = (record.hop, record.service.clone());
+        let (peer_addr, service) = (record.peer_addr, record.service.clone());
         let mut member = MemberView::new(now, record, distance, self.generation);
         member.revision = revision;
         let index = self.members.insert(member) as u32;
         let generation = self.generation;
         let key = MemberKey { index, generation };
-        self.keys.insert(hop, key);
+        self.keys.insert(peer_addr, key);
         self.services.entry(service).or_default().keys.push(key);
     }
 
-    fn note_drop(&mut self, hop: SocketAddr, revision: Revision) {
+    fn note_drop(&mut self, peer_addr: SocketAddr, revision: Revision) {
         if self.dropped.len() == DROPS_KEPT
             && let Some((_, forgotten)) = self.dropped.pop_front()
         {
             self.forgotten = self.forgotten.max(forgotten);
         }
-        self.dropped.push_back((hop, revision));
+        self.dropped.push_back((peer_addr, revision));
     }
 
     fn index_services(&mut self) {
--- a/crates/node/src/member/member_distance.rs
+++ b/crates/node/src/member/member_distance.rs
@@ -20,13 +20,13 @@
 pub(super) struct NodeLocation {
     pub(super) data_centre: String,
     /// Address at which its own backend server is announced, if it has one.
-    pub(super) hop: Option<SocketAddr>,
+    pub(super) peer_addr: Option<SocketAddr>,
 }
 
 impl NodeLocation {
     /// Returns the distance of a member from this node.
     pub(super) fn distance(&self, record: &MemberRecord) -> MemberDistance {
-        if self.hop == Some(record.hop) {
+        if self.peer_addr == Some(record.peer_addr) {
             MemberDistance::SameInstance
         } else if record.data_centre == self.data_centre {
             MemberDistance::SameDataCentre
--- a/crates/node/src/member/member_record.rs
+++ b/crates/node/src/member/member_record.rs
@@ -24,7 +24,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Address at which the node takes requests of other nodes.
-    pub hop: SocketAddr,
+    #[serde(rename = "hop")]
+    pub peer_addr: SocketAddr,
     /// Start of the backend server that this is of: `instance` and `born_ms` where
     /// it is written.
     #[serde(flatten)]
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -18,13 +18,13 @@
         ConfigSource, catch_up, follow_guide, keep_announced, look_for_store, watch_config,
         watch_eras, watch_members,
     },
-    hop_port::HopPort,
     http_port::{PortError, PortLimits, open_port, serve_port},
     inbound::confirm_endpoint,
     node_core::{CALLERS_LEAVE, NodeCore, OpenRequestGuard},
     node_settings::ListenAddrs,
     operators::OperatorsPort,
     outbound::OutboundProxy,
+    peer_handler::PeerHandler,
     request_origin::RequestOrigin,
     response_body::ResponseBody,
     store::MetaStore,
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct NodePorts {
     callers: TcpListener,
-    hop: TcpListener,
+    peers: TcpListener,
     readiness: TcpListener,
     reports: TcpListener,
     metrics: Option<TcpListener>,
@@ -75,7 +75,7 @@
         });
         Ok(Self {
             callers: open_port(addrs.callers)?,
-            hop: open_port(addrs.hop)?,
+            peers: open_port(addrs.peers)?,
             readiness: open_port(addrs.readiness)?,
             reports: open_port(addrs.reports)?,
             metrics,
@@ -101,13 +101,13 @@
     source: ConfigSource,
 ) {
     info!(core.log.logger(), "started";
-        "hop" => %core.settings.hop,
+        "hop" => %core.settings.peer_addr,
         "endpoint" => %core.settings.endpoint,
         "service" => &*core.settings.service,
         "data_centre" => &*core.settings.data_centre);
     serve_callers(core, ports.callers);
-    serve_inner(core, ports.hop, {
-        let port = HopPort::new(Rc::clone(core));
+    serve_inner(core, ports.peers, {
+        let port = PeerHandler::new(Rc::clone(core));
         let core = Rc::clone(core);
         move |request| {
             let (port, open) = (port.clone(), core.open_request_guard(RequestOrigin::Node));
--- a/crates/node/src/node_core/crash_notes.rs
+++ b/crates/node/src/node_core/crash_notes.rs
@@ -48,7 +48,7 @@
         let fleet = self.fleet.borrow();
         let others = fleet
             .records()
-            .filter(|record| record.hop != self.settings.hop);
+            .filter(|record| record.peer_addr != self.settings.peer_addr);
         let peers = others.filter(|record| {
             let known = sharing.get(&record.service).copied();
             known.unwrap_or_else(|| {
@@ -57,6 +57,6 @@
                 together
             })
         });
-        peers.map(|record| record.hop).collect()
+        peers.map(|record| record.peer_addr).collect()
     }
 }
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -28,7 +28,6 @@
     errand::ErrandDesk,
     event_log::EventLog,
     header_set::HeaderSet,
-    hop::{ConnectionPool, PoolSettings},
     inbound::{InboundProxy, InboundSettings},
     link::{LinkLine, LinkNotes},
     member::{FleetView, LoadReport, MemberKey, MemberRecord, ResponseSizes},
@@ -39,6 +38,7 @@
     request_origin::RequestOrigin,
     retry::RetryBudget,
     store::{EraTracker, LeaseId},
+    transport::{ConnectionPool, PoolSettings},
 };
 
 /// Slots assumed until the backend server tells: the usual size of one.
@@ -73,7 +73,7 @@
     /// Link of the instance.
     pub link: Rc<LinkLine>,
     /// Connections to other nodes.
-    pub hops: ConnectionPool,
+    pub peer_connections: ConnectionPool,
     /// Retries.
     pub retries: RefCell<RetryBudget>,
     /// Log.
@@ -148,9 +148,9 @@
             slots: SLOTS_UNKNOWN,
             leaving_grace: settings.leaving_time.mul_f64(LEAVING_PART),
         };
-        let hops = ConnectionPool::new(PoolSettings {
-            connect_time: settings.hop_connect,
-            idle_time: settings.hop_idle,
+        let peer_connections = ConnectionPool::new(PoolSettings {
+            connect_time: settings.peer_connect_timeout,
+            idle_time: settings.peer_idle_timeout,
         });
         let metrics = NodeMetrics::new(&settings)?;
         let notes = LinkNotes::new(log.clone(), metrics.link());
@@ -172,9 +172,9 @@
             crashes,
             fleet: RefCell::new(FleetView::with_local_endpoint(
                 settings.data_centre.clone(),
-                settings.hop,
+                settings.peer_addr,
             )),
-            hops,
+            peer_connections,
             retries: RefCell::new(RetryBudget::new(settings.retries)),
             log,
             announce: Notify::new(),
@@ -192,7 +192,7 @@
             store_lost: Notify::new(),
             store_back: Notify::new(),
             errands: ErrandDesk::default(),
-            guide: RefCell::new(Guide::new(settings.hop)),
+            guide: RefCell::new(Guide::new(settings.peer_addr)),
             history: RefCell::default(),
             open: Cell::new(0),
             connections: Cell::new(0),
@@ -247,12 +247,12 @@
         true
     }
 
-    /// Takes in that the node at `hop` holds `version`.
-    pub fn heard_version(&self, version: ConfigVersion, hop: SocketAddr) {
+    /// Takes in that the node at `peer_addr` holds `version`.
+    pub fn heard_version(&self, version: ConfigVersion, peer_addr: SocketAddr) {
         if version <= self.version() {
             return;
         }
-        *self.ahead.borrow_mut() = Some((version, hop));
+        *self.ahead.borrow_mut() = Some((version, peer_addr));
         self.ahead_heard.notify_one();
     }
 
@@ -300,14 +300,14 @@
     /// Does what is due now and then: closes idle connections forgets
     /// members that vanished, and tells what the link carried.
     pub fn sweep(&self, now: Duration) {
-        self.hops.sweep();
+        self.peer_connections.sweep();
         self.inbound.sweep();
         self.resends.borrow_mut().sweep(now);
         self.link.tell_load(now);
         let gone = self.fleet.borrow_mut().sweep(now);
         for record in gone {
             info!(self.log.logger(), "member gone";
-                "at" => %record.hop,
+                "at" => %record.peer_addr,
                 "instance" => %record.start,
                 "service" => record.service,
                 "cause" => "announcement missing");
--- a/crates/node/src/node_core/open_request_guard.rs
+++ b/crates/node/src/node_core/open_request_guard.rs
@@ -6,7 +6,7 @@
 
 use super::NodeCore;
 use crate::{
-    header_set::{HOP_REFUSAL, head_bytes},
+    header_set::{PEER_REFUSAL_HEADER, head_bytes},
     link::LinkUse,
     request_origin::RequestOrigin,
 };
@@ -25,7 +25,7 @@
 
     /// Notes the head of the answer, which goes out with its first bytes.
     pub fn sent_head(&self, headers: &HeaderMap) {
-        let purpose = if headers.contains_key(&HOP_REFUSAL) {
+        let purpose = if headers.contains_key(&PEER_REFUSAL_HEADER) {
             LinkUse::Refusal
         } else {
             LinkUse::Overhead
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -58,7 +58,7 @@
                 .observe(request.route.class, bytes);
         }
         // The door here counts what it answered itself.
-        let away = at.is_some_and(|at| at.hop != self.settings.hop);
+        let away = at.is_some_and(|at| at.peer_addr != self.settings.peer_addr);
         if away && answer.status().is_success() {
             self.crashes.borrow_mut().completed(request.print);
         }
@@ -77,7 +77,7 @@
                 "request" => &*request.id,
                 "route" => &*request.route.name,
                 "status" => answer.status().as_u16(),
-                "at" => at.map(|at| at.hop.to_string()),
+                "at" => at.map(|at| at.peer_addr.to_string()),
                 "instance" => at.map(|at| at.start.to_string()),
                 "tries" => tries,
                 "target_ms" => request.route.target.as_millis() as u64,
@@ -159,7 +159,7 @@
         if let Some(log) = self.log.for_request(self.clock.now(), "door refused") {
             info!(log, "door refused";
                 "request" => &*request.id,
-                "at" => %at.hop,
+                "at" => %at.peer_addr,
                 "instance" => %at.start,
                 "reason" => reason,
                 "retry_after_ms" => refusal.retry_after.as_millis() as u64);
@@ -169,11 +169,11 @@
     /// Records that a node couldn't be reached.
     pub fn note_unreachable(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
         self.metrics.try_failed("unreachable");
-        self.hops.forget(at.hop);
+        self.peer_connections.forget(at.peer_addr);
         if let Some(log) = self.log.for_request(self.clock.now(), "unreachable") {
             warn!(log, "node unreachable";
                 "request" => &*request.id,
-                "at" => %at.hop,
+                "at" => %at.peer_addr,
                 "instance" => %at.start,
                 "cause" => cause);
         }
@@ -185,7 +185,7 @@
         if let Some(log) = self.log.for_request(self.clock.now(), "silent") {
             warn!(log, "member silent";
                 "request" => &*request.id,
-                "at" => %at.hop,
+                "at" => %at.peer_addr,
                 "instance" => %at.start,
                 "patience_ms" => patience.as_millis() as u64);
         }
@@ -197,7 +197,7 @@
         if let Some(log) = self.log.for_request(self.clock.now(), "broke") {
             warn!(log, "try broke";
                 "request" => &*request.id,
-                "at" => %at.hop,
+                "at" => %at.peer_addr,
                 "instance" => %at.start,
                 "cause" => cause);
         }
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Takes in that the node at `hop`, which had lost the store, reaches it again.
-    pub fn store_found(&self, hop: SocketAddr) {
+    /// Takes in that the node at `peer_addr`, which had lost the store, reaches it again.
+    pub fn store_found(&self, peer_addr: SocketAddr) {
         if self.store_access.borrow().is_open() {
             return;
         }
-        info!(self.log.logger(), "store heard of"; "from" => %hop);
+        info!(self.log.logger(), "store heard of"; "from" => %peer_addr);
         self.store_access.borrow_mut().looked();
         self.store_back.notify_waiters();
         self.duty_changed.notify_waiters();
--- a/crates/node/src/node_settings.rs
+++ b/crates/node/src/node_settings.rs
@@ -10,7 +10,7 @@
     /// Callers on this machine, the backend server among them.
     pub callers: SocketAddr,
     /// Other nodes.
-    pub hop: SocketAddr,
+    pub peers: SocketAddr,
     /// Readiness checks.
     pub readiness: SocketAddr,
     /// Heartbeats of the backend server.
@@ -33,13 +33,13 @@
     /// Whether the whole fleet starts for the first time.
     pub first_start: bool,
     /// Address at which other nodes reach this one.
-    pub hop: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// Addresses to listen on.
     pub listen: ListenAddrs,
     /// Longest time that a connection to another node may take to open.
-    pub hop_connect: Duration,
+    pub peer_connect_timeout: Duration,
     /// Longest use of an idle connection to another node.
-    pub hop_idle: Duration,
+    pub peer_idle_timeout: Duration,
     /// Time after the acknowledgment of its leaving in which a backend server
     /// may get new work.
     pub leaving_time: Duration,
--- a/crates/node/src/operators/node_status.rs
+++ b/crates/node/src/operators/node_status.rs
@@ -14,7 +14,8 @@
     /// Service of its backend server.
     pub service: String,
     /// Address at which other nodes reach it.
-    pub hop: SocketAddr,
+    #[serde(rename = "hop")]
+    pub peer_addr: SocketAddr,
     /// Version of the configuration in force; 0 before the first.
     pub version: u64,
     /// Members that it knows.
--- a/crates/node/src/operators/operators_port.rs
+++ b/crates/node/src/operators/operators_port.rs
@@ -65,7 +65,7 @@
             instance: settings.instance.clone(),
             data_centre: settings.data_centre.clone(),
             service: settings.service.clone(),
-            hop: settings.hop,
+            peer_addr: settings.peer_addr,
             version: self.core.version().0,
             members: self.core.fleet.borrow().len(),
             store_age_ms: self.core.guide.borrow().store_age(now).as_millis() as u64,
--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use crate::{hop::PooledSender, member::MemberKey, node_core::NodeCore};
+use crate::{member::MemberKey, node_core::NodeCore, transport::PooledSender};
 
 /// Counts a request as open at a member until dropped, and gives its
 /// connection back after a whole answer.
@@ -37,7 +37,7 @@
     /// Ends the note after a whole answer.
     pub fn complete(mut self) {
         if let Some(sender) = self.sender.take() {
-            self.core.hops.give_back(sender);
+            self.core.peer_connections.give_back(sender);
         }
     }
 }
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -16,7 +16,7 @@
 use crate::{
     config::{MeshConfig, RouteRule},
     crash::request_print,
-    header_set::{strip_connection, strip_hop},
+    header_set::{strip_connection, strip_peer_headers},
     node_core::NodeCore,
     response_body::ResponseBody,
     result_code::ResultCode,
@@ -93,7 +93,7 @@
         };
         let body = read_body(body, &config, ends_at).await?;
         strip_connection(&mut head.headers);
-        strip_hop(&mut head.headers);
+        strip_peer_headers(&mut head.headers);
         head.headers.insert(
             &self.core.headers.caller_service,
             self.core.caller_service(),
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -13,16 +13,17 @@
     config::ConfigVersion,
     crash::BreakFinding,
     header_set::{
-        HOP_BROKE, HOP_FINDING, HOP_LOAD, HOP_NOTE, HOP_REFUSAL, HOP_VERSION, head_bytes,
-        header_text, set_header, strip_connection, strip_hop,
+        PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
+        PEER_REQUEST_HEADER, PEER_VERSION_HEADER, head_bytes, header_text, set_header,
+        strip_connection, strip_peer_headers,
     },
-    hop::{ExchangeError, HopNote},
     inbound::{InboundError, InboundRefusal, InboundRequest},
     link::LinkUse,
     member::{LoadReport, MemberKey, MemberRecord},
     node_core::NodeCore,
     request_origin::RequestOrigin,
     response_body::{ResponseBody, is_short},
+    transport::{ExchangeError, PeerRequestHeader},
 };
 
 /// How a try ended without an answer of the backend server.
@@ -63,7 +64,7 @@
     /// How the try ended without an answer of the backend server.
     pub async fn send(self, key: MemberKey, record: &MemberRecord) -> TryResult {
         let guard = InFlightGuard::new(self.core, key);
-        if record.hop == self.core.settings.hop {
+        if record.peer_addr == self.core.settings.peer_addr {
             self.send_home(guard, record).await
         } else {
             self.send_away(guard, key, record).await
@@ -113,11 +114,11 @@
         let bytes = head_bytes(outgoing.headers()) + self.request.body.len() as u64;
         let link = &self.core.link;
         link.sent(self.core.clock.now(), LinkUse::Request, bytes);
-        let idle_time = self.core.settings.hop_idle;
+        let idle_time = self.core.settings.peer_idle_timeout;
         let exchange = self
             .core
-            .hops
-            .exchange(record.hop, outgoing, idle_time)
+            .peer_connections
+            .exchange(record.peer_addr, outgoing, idle_time)
             .await;
         let (response, sender) = match exchange {
             Ok(answer) => answer,
@@ -128,13 +129,13 @@
         };
         guard.hold(sender);
         self.learn(key, record, response.headers());
-        let refusal = parsed::<InboundRefusal>(response.headers(), &HOP_REFUSAL);
-        let broke = header_text(response.headers(), &HOP_BROKE).map(ToOwned::to_owned);
-        let finding = header_text(response.headers(), &HOP_FINDING);
+        let refusal = parsed::<InboundRefusal>(response.headers(), &PEER_REFUSAL_HEADER);
+        let broke = header_text(response.headers(), &PEER_FAILURE_HEADER).map(ToOwned::to_owned);
+        let finding = header_text(response.headers(), &PEER_DIAGNOSIS_HEADER);
         let finding = finding.and_then(|text| serde_json::from_str(text).ok());
         let (mut head, body) = response.into_parts();
         strip_connection(&mut head.headers);
-        strip_hop(&mut head.headers);
+        strip_peer_headers(&mut head.headers);
         if !is_short(&body) {
             let body = ResponseBody::stream(body).with_in_flight_guard(guard);
             return Ok(Box::new(Response::from_parts(head, body)));
@@ -157,7 +158,7 @@
         let request = self.request;
         let names = &self.core.headers;
         let now = Instant::now();
-        let note = HopNote {
+        let note = PeerRequestHeader {
             rank: request.route.rank,
             class: request.route.class,
             nested: request.nested,
@@ -165,7 +166,7 @@
             may_wait: self.may_wait,
             useful: request.useful_until.saturating_duration_since(now),
             version: self.core.version(),
-            from: self.core.settings.hop,
+            from: self.core.settings.peer_addr,
         };
         let left = request.ends_at.saturating_duration_since(now);
         let mut headers = request.headers.clone();
@@ -178,7 +179,7 @@
             &names.expected_instance,
             record.start.instance(),
         );
-        set_header(&mut headers, &HOP_NOTE, &note.to_string());
+        set_header(&mut headers, &PEER_REQUEST_HEADER, &note.to_string());
         let mut outgoing = Request::new(Full::new(request.body.clone()));
         *outgoing.method_mut() = request.method.clone();
         *outgoing.uri_mut() = path_only(&request.uri);
@@ -188,12 +189,14 @@
 
     /// Takes in what the other node says of itself.
     fn learn(self, key: MemberKey, record: &MemberRecord, headers: &HeaderMap) {
-        if let Some(load) = parsed::<LoadReport>(headers, &HOP_LOAD) {
+        if let Some(load) = parsed::<LoadReport>(headers, &PEER_LOAD_HEADER) {
             self.core.loaded(key, self.request.route.class, load);
         }
-        if let Some(version) = header_text(headers, &HOP_VERSION).and_then(|text| text.parse().ok())
+        if let Some(version) =
+            header_text(headers, &PEER_VERSION_HEADER).and_then(|text| text.parse().ok())
         {
-            self.core.heard_version(ConfigVersion(version), record.hop);
+            self.core
+                .heard_version(ConfigVersion(version), record.peer_addr);
         }
     }
 }
--- a/crates/node/src/hop_port.rs
+++ b/crates/node/src/peer_handler.rs
@@ -14,14 +14,14 @@
     errand::{ERRAND_PATH, ErrandPort},
     follow::{FOLLOW_PATH, FollowPort},
     header_set::{
-        HOP_BROKE, HOP_FINDING, HOP_LOAD, HOP_NOTE, HOP_REFUSAL, HOP_VERSION, header_text,
-        set_header, strip_connection,
+        PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
+        PEER_REQUEST_HEADER, PEER_VERSION_HEADER, header_text, set_header, strip_connection,
     },
-    hop::HopNote,
     inbound::{InboundError, InboundRefusal, InboundRequest, RefusalReason},
     node_core::NodeCore,
     request_origin::RequestOrigin,
     response_body::{ResponseBody, empty_response},
+    transport::PeerRequestHeader,
 };
 
 /// Longest time that another node may take to send a request: bodies are
@@ -30,11 +30,11 @@
 
 /// Answers requests of other nodes.
 #[derive(Debug, Clone)]
-pub struct HopPort {
+pub struct PeerHandler {
     core: Rc<NodeCore>,
 }
 
-impl HopPort {
+impl PeerHandler {
     /// Makes the port of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
@@ -55,14 +55,17 @@
             self.run(incoming).await
         };
         let headers = response.headers_mut();
-        headers.insert(HOP_VERSION, HeaderValue::from(self.core.version().0));
+        headers.insert(
+            PEER_VERSION_HEADER,
+            HeaderValue::from(self.core.version().0),
+        );
         response
     }
 
     async fn run(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let (head, body) = incoming.into_parts();
-        let note =
-            header_text(&head.headers, &HOP_NOTE).and_then(|text| text.parse::<HopNote>().ok());
+        let note = header_text(&head.headers, &PEER_REQUEST_HEADER)
+            .and_then(|text| text.parse::<PeerRequestHeader>().ok());
         let Some(note) = note else {
             return empty_response(StatusCode::BAD_REQUEST);
         };
@@ -85,7 +88,7 @@
             Err(InboundError::Broke { reason, finding }) => broke(&reason, finding.as_ref()),
         };
         let load = self.core.inbound.load(note.class);
-        set_header(response.headers_mut(), &HOP_LOAD, &load.to_string());
+        set_header(response.headers_mut(), &PEER_LOAD_HEADER, &load.to_string());
         response
     }
 
@@ -93,7 +96,7 @@
         &self,
         head: http::request::Parts,
         body: Bytes,
-        note: &HopNote,
+        note: &PeerRequestHeader,
         now: Instant,
     ) -> InboundRequest {
         let names = &self.core.headers;
@@ -124,16 +127,20 @@
 
 fn refused(refusal: &InboundRefusal) -> Response<ResponseBody> {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
-    set_header(response.headers_mut(), &HOP_REFUSAL, &refusal.to_string());
+    set_header(
+        response.headers_mut(),
+        &PEER_REFUSAL_HEADER,
+        &refusal.to_string(),
+    );
     response
 }
 
 fn broke(reason: &str, finding: Option<&BreakFinding>) -> Response<ResponseBody> {
     let mut response = empty_response(StatusCode::BAD_GATEWAY);
     let reason = if reason.is_empty() { "unknown" } else { reason };
-    set_header(response.headers_mut(), &HOP_BROKE, reason);
+    set_header(response.headers_mut(), &PEER_FAILURE_HEADER, reason);
     if let Some(Ok(finding)) = finding.map(serde_json::to_string) {
-        set_header(response.headers_mut(), &HOP_FINDING, &finding);
+        set_header(response.headers_mut(), &PEER_DIAGNOSIS_HEADER, &finding);
     }
     response
 }
--- a/crates/node/src/hop/node_call.rs
+++ b/crates/node/src/transport/node_call.rs
@@ -50,7 +50,7 @@
 }
 
 impl<P: AsRef<str>> NodeCall<P> {
-    /// Sends it to the node at `hop` and returns the body of the answer;
+    /// Sends it to the node at `peer_addr` and returns the body of the answer;
     /// `idle_time` bounds the age of a kept connection.
     ///
     /// # Errors
@@ -59,24 +59,24 @@
     pub async fn send(
         self,
         pool: &ConnectionPool,
-        hop: SocketAddr,
+        peer_addr: SocketAddr,
         idle_time: Duration,
     ) -> Result<Bytes, CallError> {
         let time = self.time;
-        let answered = timeout(time, self.exchange(pool, hop, idle_time)).await;
+        let answered = timeout(time, self.exchange(pool, peer_addr, idle_time)).await;
         answered.unwrap_or(Err(CallError::Late))
     }
 
     async fn exchange(
         self,
         pool: &ConnectionPool,
-        hop: SocketAddr,
+        peer_addr: SocketAddr,
         idle_time: Duration,
     ) -> Result<Bytes, CallError> {
         let mut request = Request::new(Full::new(self.body));
         *request.method_mut() = self.method;
         *request.uri_mut() = Uri::try_from(self.path.as_ref()).unwrap_or_default();
-        let (response, sender) = pool.exchange(hop, request, idle_time).await?;
+        let (response, sender) = pool.exchange(peer_addr, request, idle_time).await?;
         let status = response.status();
         let whole = response.into_body().collect().await?.to_bytes();
         pool.give_back(sender);
--- a/crates/node/src/hop/hop_note.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -13,7 +13,7 @@
 
 /// What one node tells another of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HopNote {
+pub struct PeerRequestHeader {
     /// Rank of the route.
     pub rank: u8,
     /// Hash of the route.
@@ -34,7 +34,7 @@
 
 /// A note that can't be read.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-pub enum HopNoteError {
+pub enum PeerRequestHeaderError {
     /// A figure is missing.
     #[snafu(display("a figure is missing"))]
     Missing,
@@ -52,7 +52,7 @@
     },
 }
 
-impl std::fmt::Display for HopNote {
+impl std::fmt::Display for PeerRequestHeader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let useful_ms = self.useful.as_millis();
         let flags = [self.nested, self.idempotent, self.may_wait];
@@ -66,26 +66,26 @@
     }
 }
 
-impl FromStr for HopNote {
-    type Err = HopNoteError;
+impl FromStr for PeerRequestHeader {
+    type Err = PeerRequestHeaderError;
 
     /// Reads what [`Display`](std::fmt::Display) wrote.
     ///
     /// # Examples
     ///
     /// ```
-    /// use geranium_node::hop::HopNote;
+    /// use geranium_node::transport::PeerRequestHeader;
     ///
-    /// let note: HopNote = "2,ff,0,1,0,380,12,10.1.0.4:7600".parse()?;
+    /// let note: PeerRequestHeader = "2,ff,0,1,0,380,12,10.1.0.4:7600".parse()?;
     /// assert_eq!((note.rank, note.class, note.version.0), (2, 255, 12));
     /// assert_eq!(note.to_string(), "2,ff,0,1,0,380,12,10.1.0.4:7600");
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
-    fn from_str(text: &str) -> Result<Self, HopNoteError> {
+    fn from_str(text: &str) -> Result<Self, PeerRequestHeaderError> {
         let mut figures = text.split(',');
-        let mut next = || figures.next().ok_or(HopNoteError::Missing);
+        let mut next = || figures.next().ok_or(PeerRequestHeaderError::Missing);
         let (rank, class) = (next()?.parse()?, u64::from_str_radix(next()?, 16)?);
-        let mut flag = || Ok::<_, HopNoteError>(next()?.parse::<u8>()? != 0);
+        let mut flag = || Ok::<_, PeerRequestHeaderError>(next()?.parse::<u8>()? != 0);
         Ok(Self {
             rank,
             class,
--- a/crates/node/tests/all/eras.rs
+++ b/crates/node/tests/all/eras.rs
@@ -30,9 +30,11 @@
     let mut fleet = FleetView::new("hofdi");
     fleet.announce(NOW, record(MemberState::Leaving), revision(2, 5));
     assert!(!fleet.announce(NOW, record(MemberState::Ready), revision(1, 900)));
-    assert!(!fleet.lapse(NOW, support::record(4).hop, revision(1, 901)));
+    assert!(!fleet.lapse(NOW, support::record(4).peer_addr, revision(1, 901)));
     fleet.listed(NOW, revision(1, 902), |_| false);
-    let member = fleet.at(support::record(4).hop).expect("it is announced");
+    let member = fleet
+        .at(support::record(4).peer_addr)
+        .expect("it is announced");
     assert_eq!(member.record.state, MemberState::Leaving);
     assert!(!member.has_lapsed());
 }
@@ -78,7 +80,7 @@
         }
         let last = news.iter().map(|&(era, number, _)| (era, number)).max();
         let (era, number) = last.expect("there are news");
-        let known = fleet.at(support::record(4).hop).expect("it is announced");
+        let known = fleet.at(support::record(4).peer_addr).expect("it is announced");
         prop_assert_eq!(known.revision(), revision(era, number));
         let latest = news.iter().rfind(|news| (news.0, news.1) == (era, number));
         let leaving = latest.expect("it is there").2;
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -8,7 +8,7 @@
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-use crate::support::{self, at, hop};
+use crate::support::{self, at, peer_addr};
 
 fn record(number: u8, data_centre: &str) -> MemberRecord {
     MemberRecord {
@@ -23,7 +23,11 @@
 
 /// A view for a node whose own backend server is the first of the `near` members.
 fn view_with_local_first(near: u8, far: u8) -> FleetView {
-    announce_members(FleetView::with_local_endpoint("hofdi", hop(1)), near, far)
+    announce_members(
+        FleetView::with_local_endpoint("hofdi", peer_addr(1)),
+        near,
+        far,
+    )
 }
 
 fn announce_members(mut fleet: FleetView, near: u8, far: u8) -> FleetView {
@@ -81,8 +85,8 @@
 #[test]
 fn long_answers_stay_at_home_longer() {
     let mut fleet = view(1, 1);
-    let near = fleet.key_of(hop(1)).expect("it is known");
-    let far = fleet.key_of(hop(2)).expect("it is known");
+    let near = fleet.key_of(peer_addr(1)).expect("it is known");
+    let far = fleet.key_of(peer_addr(2)).expect("it is known");
     fleet.loaded(at(0), near, QUERY.class, load(12, 4, at(100)));
     fleet.loaded(at(0), far, QUERY.class, load(0, 0, at(100)));
     let long = PickQuery {
@@ -98,7 +102,7 @@
 #[test]
 fn long_answers_are_asked_for_at_home_first() {
     let mut fleet = view(1, 7);
-    let near = fleet.key_of(hop(1)).expect("it is known");
+    let near = fleet.key_of(peer_addr(1)).expect("it is known");
     fleet.loaded(at(0), near, QUERY.class, load(11, 0, at(100)));
     let long = PickQuery {
         response_bytes: 90_000,
@@ -122,7 +126,7 @@
 #[test]
 fn long_answers_from_the_same_instance_use_no_link() {
     let mut fleet = view_with_local_first(3, 1);
-    let own = fleet.key_of(hop(1)).expect("the member is known");
+    let own = fleet.key_of(peer_addr(1)).expect("the member is known");
     let full = LoadReport {
         link: at(2_000),
         ..load(1, 0, at(100))
@@ -132,7 +136,9 @@
         retry_after: at(300),
     };
     for number in 2..=4 {
-        let other = fleet.key_of(hop(number)).expect("the member is known");
+        let other = fleet
+            .key_of(peer_addr(number))
+            .expect("the member is known");
         fleet.judged(at(0), other, refused);
     }
     let long = PickQuery {
@@ -162,14 +168,16 @@
 fn long_answers_prefer_the_same_instance_when_links_are_busy() {
     let mut fleet = view_with_local_first(8, 0);
     for number in 1..=8 {
-        let key = fleet.key_of(hop(number)).expect("the member is known");
+        let key = fleet
+            .key_of(peer_addr(number))
+            .expect("the member is known");
         let report = LoadReport {
             link: at(400),
             ..load(4, 0, at(100))
         };
         fleet.loaded(at(0), key, QUERY.class, report);
     }
-    let own = fleet.key_of(hop(1)).expect("the member is known");
+    let own = fleet.key_of(peer_addr(1)).expect("the member is known");
     let long = PickQuery {
         response_bytes: 90_000,
         ..QUERY
@@ -185,11 +193,11 @@
 fn a_slow_member_is_left() {
     let mut fleet = view(4, 0);
     for number in 1..=4 {
-        let key = fleet.key_of(hop(number)).expect("it is known");
+        let key = fleet.key_of(peer_addr(number)).expect("it is known");
         let service = if number == 1 { at(1_000) } else { at(100) };
         fleet.loaded(at(0), key, QUERY.class, load(1, 0, service));
     }
-    let slow = fleet.key_of(hop(1)).expect("it is known");
+    let slow = fleet.key_of(peer_addr(1)).expect("it is known");
     assert!(!picks(&fleet, at(0), &QUERY).contains_key(&slow));
 }
 
@@ -197,13 +205,13 @@
 #[test]
 fn an_unreachable_member_stays_out_for_longer_each_time() {
     let mut fleet = view(2, 0);
-    let dead = fleet.key_of(hop(1)).expect("it is known");
+    let dead = fleet.key_of(peer_addr(1)).expect("it is known");
     fleet.judged(at(0), dead, TryEnd::Unreachable);
     assert!(!picks(&fleet, at(100), &QUERY).contains_key(&dead));
     assert!(picks(&fleet, at(600), &QUERY).contains_key(&dead));
     fleet.judged(at(600), dead, TryEnd::Unreachable);
     assert!(!picks(&fleet, at(1_500), &QUERY).contains_key(&dead));
-    let other = fleet.key_of(hop(2)).expect("it is known");
+    let other = fleet.key_of(peer_addr(2)).expect("it is known");
     let alone = PickQuery {
         tried: &[other],
         ..QUERY
@@ -232,16 +240,16 @@
 fn a_missing_announcement_is_waited_for_and_then_believed() {
     let mut fleet = view(2, 0);
     let both: Vec<MemberKey> = (1..=2)
-        .filter_map(|number| fleet.key_of(hop(number)))
+        .filter_map(|number| fleet.key_of(peer_addr(number)))
         .collect();
-    assert!(fleet.lapse(at(0), hop(1), Revision(20)));
-    assert!(!fleet.lapse(at(0), hop(1), Revision(20)));
+    assert!(fleet.lapse(at(0), peer_addr(1), Revision(20)));
+    assert!(!fleet.lapse(at(0), peer_addr(1), Revision(20)));
     assert!(fleet.sweep(at(1_000)).is_empty());
     fleet.judged(at(1_000), both[0], TryEnd::Answered { failed: false });
     assert!(picks(&fleet, at(1_000), &QUERY).contains_key(&both[0]));
     assert!(fleet.announce(at(1_500), record(1, "hofdi"), Revision(21)));
     assert!(fleet.sweep(at(9_000)).is_empty());
-    assert!(fleet.lapse(at(9_000), hop(1), Revision(22)));
+    assert!(fleet.lapse(at(9_000), peer_addr(1), Revision(22)));
     assert_eq!(fleet.sweep(at(12_000)).len(), 1);
     assert!(fleet.get(both[0]).is_none());
     assert_eq!(fleet.len(), 1);
@@ -252,7 +260,7 @@
 fn a_second_try_needs_a_healthier_member() {
     let mut fleet = view(3, 0);
     let keys: Vec<MemberKey> = (1..=3)
-        .filter_map(|number| fleet.key_of(hop(number)))
+        .filter_map(|number| fleet.key_of(peer_addr(number)))
         .collect();
     for step in 0..20 {
         for &key in &keys {
@@ -284,7 +292,7 @@
 fn chance_makes_no_member_healthier() {
     let mut fleet = view(30, 0);
     let keys: Vec<MemberKey> = (1..=30)
-        .filter_map(|number| fleet.key_of(hop(number)))
+        .filter_map(|number| fleet.key_of(peer_addr(number)))
         .collect();
     let mut rng = StdRng::seed_from_u64(5);
     let (mut failures, mut tried_again) = (0, 0);
@@ -322,8 +330,8 @@
         },
         Revision(7),
     );
-    fleet.lapse(at(0), hop(1), Revision(8));
-    fleet.remove(hop(3), Revision(9));
+    fleet.lapse(at(0), peer_addr(1), Revision(8));
+    fleet.remove(peer_addr(3), Revision(9));
     fleet.advance(Revision(9));
     let news = fleet.news_since(Revision(3));
     assert!(!news.whole);
@@ -346,7 +354,7 @@
     assert!(news.whole, "what vanished before the list isn't known");
     assert_eq!(news.written.len(), 3);
     assert!(!fleet.news_since(Revision(70)).whole);
-    fleet.remove(hop(2), Revision(71));
+    fleet.remove(peer_addr(2), Revision(71));
     fleet.advance(Revision(71));
     assert!(!fleet.news_since(Revision(70)).whole);
     assert!(fleet.news_since(Revision(69)).whole);
@@ -357,7 +365,7 @@
 fn a_broken_member_draws_no_files_from_full_links() {
     let now = at(1_000);
     let mut fleet = view(3, 0);
-    let keys = [1, 2, 3].map(|number| fleet.key_of(hop(number)).expect("it is known"));
+    let keys = [1, 2, 3].map(|number| fleet.key_of(peer_addr(number)).expect("it is known"));
     let query = PickQuery {
         response_bytes: 280_000,
         ..QUERY
@@ -379,6 +387,6 @@
 #[test]
 fn a_member_of_unknown_pace_is_given_the_target_time() {
     let fleet = view(1, 1);
-    let key = fleet.key_of(hop(1)).expect("it is announced");
+    let key = fleet.key_of(peer_addr(1)).expect("it is announced");
     assert!(fleet.patience(at(10), key, &QUERY) >= QUERY.target);
 }
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -98,7 +98,7 @@
     }
 }
 
-fn hop(receiver: usize) -> SocketAddr {
+fn peer_addr(receiver: usize) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, receiver as u8 + 1], 7600))
 }
 
@@ -109,7 +109,7 @@
 
 fn record(receiver: usize, data_centres: usize) -> MemberRecord {
     MemberRecord {
-        hop: hop(receiver),
+        peer_addr: peer_addr(receiver),
         start: start(format!("i-{receiver}")),
         service: "orders".to_owned(),
         data_centre: place(receiver, data_centres),
@@ -306,11 +306,11 @@
                 .get(key)
                 .expect("it is known")
                 .record
-                .hop;
+                .peer_addr;
             let request = Request {
                 sender,
                 receiver: (0..DOORS)
-                    .find(|&receiver| hop(receiver) == address)
+                    .find(|&receiver| peer_addr(receiver) == address)
                     .expect("it is one"),
                 key,
                 target_at: now + TARGET,
@@ -376,7 +376,7 @@
     fn best_known(&mut self, sender: usize, tried: &[MemberKey]) -> Option<MemberKey> {
         let mut best: Option<(f64, MemberKey)> = None;
         for receiver in 0..DOORS {
-            let key = self.senders[sender].key_of(hop(receiver))?;
+            let key = self.senders[sender].key_of(peer_addr(receiver))?;
             let heard = self.heard[sender].get(&receiver);
             let wait = heard.map_or(0.0, |report| {
                 let held = f64::from(report.running + report.waiting) + 1.0;
--- a/crates/node/tests/all/guide.rs
+++ b/crates/node/tests/all/guide.rs
@@ -5,7 +5,7 @@
     member::MemberRecord,
 };
 
-use crate::support::{at, hop, record};
+use crate::support::{at, peer_addr, record};
 
 fn contact(age_ms: u64, lost: bool) -> StoreContact {
     let age = at(age_ms);
@@ -17,13 +17,13 @@
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
     let choice = |own| {
-        let mut guide = Guide::new(hop(own));
+        let mut guide = Guide::new(peer_addr(own));
         guide.store_answered(at(0));
         guide.choose(at(100), &order)
     };
     assert_eq!(choice(1), GuideChoice::Store);
     for own in 2..6 {
-        assert_eq!(choice(own), GuideChoice::Node(hop(1)));
+        assert_eq!(choice(own), GuideChoice::Node(peer_addr(1)));
     }
 }
 
@@ -33,14 +33,20 @@
 fn a_guide_that_fails_is_passed_over_for_a_while() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut guide = Guide::new(hop(3));
+    let mut guide = Guide::new(peer_addr(3));
     guide.store_answered(at(0));
-    guide.failed(at(0), hop(1));
-    assert_eq!(guide.choose(at(10), &order), GuideChoice::Node(hop(2)));
-    guide.failed(at(10), hop(2));
+    guide.failed(at(0), peer_addr(1));
+    assert_eq!(
+        guide.choose(at(10), &order),
+        GuideChoice::Node(peer_addr(2))
+    );
+    guide.failed(at(10), peer_addr(2));
     assert_eq!(guide.choose(at(20), &order), GuideChoice::Store);
     guide.store_answered(at(5_000));
-    assert_eq!(guide.choose(at(6_000), &order), GuideChoice::Node(hop(1)));
+    assert_eq!(
+        guide.choose(at(6_000), &order),
+        GuideChoice::Node(peer_addr(1))
+    );
 }
 
 /// Guards against following a guide with older news than this node has, and leaving one with newer.
@@ -48,14 +54,20 @@
 fn a_guide_with_old_news_is_passed_over_by_those_with_newer() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut guide = Guide::new(hop(3));
+    let mut guide = Guide::new(peer_addr(3));
     guide.store_answered(at(10_000));
-    assert!(!guide.told(at(10_100), hop(1), contact(6_000, false)));
-    assert_eq!(guide.choose(at(10_100), &order), GuideChoice::Node(hop(2)));
-    let mut away = Guide::new(hop(3));
+    assert!(!guide.told(at(10_100), peer_addr(1), contact(6_000, false)));
+    assert_eq!(
+        guide.choose(at(10_100), &order),
+        GuideChoice::Node(peer_addr(2))
+    );
+    let mut away = Guide::new(peer_addr(3));
     away.store_answered(at(1_000));
-    assert!(!away.told(at(10_100), hop(1), contact(6_000, false)));
-    assert_eq!(away.choose(at(10_100), &order), GuideChoice::Node(hop(1)));
+    assert!(!away.told(at(10_100), peer_addr(1), contact(6_000, false)));
+    assert_eq!(
+        away.choose(at(10_100), &order),
+        GuideChoice::Node(peer_addr(1))
+    );
 }
 
 /// The store turns the first node itself away. It asks the second, as
@@ -64,16 +76,19 @@
 fn a_node_that_is_cut_off_follows_another() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut guide = Guide::new(hop(1));
+    let mut guide = Guide::new(peer_addr(1));
     guide.store_answered(at(0));
     assert_eq!(guide.choose(at(3_000), &order), GuideChoice::Store);
-    assert_eq!(guide.choose(at(4_000), &order), GuideChoice::Node(hop(2)));
+    assert_eq!(
+        guide.choose(at(4_000), &order),
+        GuideChoice::Node(peer_addr(2))
+    );
     assert_eq!(guide.choose(at(4_000), &order[..1]), GuideChoice::Store);
 }
 
 #[test]
 fn a_question_makes_a_watcher_for_a_while() {
-    let mut guide = Guide::new(hop(4));
+    let mut guide = Guide::new(peer_addr(4));
     guide.asked(at(0));
     assert!(guide.is_asked(at(4_500)));
     assert!(!guide.is_asked(at(5_500)));
@@ -84,18 +99,21 @@
 fn a_guide_that_has_lost_the_store_is_passed_over_at_once() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut follower = Guide::new(hop(3));
+    let mut follower = Guide::new(peer_addr(3));
     follower.store_answered(at(10_000));
-    assert!(!follower.told(at(10_100), hop(1), contact(200, true)));
+    assert!(!follower.told(at(10_100), peer_addr(1), contact(200, true)));
     assert_eq!(
         follower.choose(at(10_100), &order),
-        GuideChoice::Node(hop(2))
+        GuideChoice::Node(peer_addr(2))
     );
-    let mut itself = Guide::new(hop(1));
+    let mut itself = Guide::new(peer_addr(1));
     itself.store_answered(at(10_000));
     assert!(itself.store_lost());
     assert!(!itself.store_lost());
-    assert_eq!(itself.choose(at(10_100), &order), GuideChoice::Node(hop(2)));
+    assert_eq!(
+        itself.choose(at(10_100), &order),
+        GuideChoice::Node(peer_addr(2))
+    );
     itself.store_answered(at(10_200));
     assert_eq!(itself.choose(at(10_200), &order), GuideChoice::Store);
 }
@@ -105,11 +123,17 @@
 fn one_guide_looks_for_a_store_that_is_away_for_all() {
     let records: Vec<MemberRecord> = (1..6).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut guide = Guide::new(hop(5));
+    let mut guide = Guide::new(peer_addr(5));
     guide.store_answered(at(10_000));
-    assert!(!guide.told(at(10_100), hop(1), contact(200, true)));
-    assert!(guide.told(at(10_200), hop(2), contact(200, true)));
-    assert_eq!(guide.choose(at(10_300), &order), GuideChoice::Node(hop(3)));
+    assert!(!guide.told(at(10_100), peer_addr(1), contact(200, true)));
+    assert!(guide.told(at(10_200), peer_addr(2), contact(200, true)));
+    assert_eq!(
+        guide.choose(at(10_300), &order),
+        GuideChoice::Node(peer_addr(3))
+    );
     guide.store_lost();
-    assert_eq!(guide.choose(at(10_300), &order), GuideChoice::Node(hop(1)));
+    assert_eq!(
+        guide.choose(at(10_300), &order),
+        GuideChoice::Node(peer_addr(1))
+    );
 }
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -9,7 +9,7 @@
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-use crate::support::{self, at, hop};
+use crate::support::{self, at, peer_addr};
 
 const FILE_BYTES: u64 = 280_000;
 const LINK_MBPS: f64 = 25.5;
@@ -36,8 +36,8 @@
 #[test]
 fn long_answers_avoid_a_full_remote_link_while_a_near_member_can_be_asked() {
     let mut fleet = view_from(DATA_CENTRES[0]);
-    let near = fleet.key_of(hop(1)).expect("the member is known");
-    let remote = fleet.key_of(hop(2)).expect("the member is known");
+    let near = fleet.key_of(peer_addr(1)).expect("the member is known");
+    let remote = fleet.key_of(peer_addr(2)).expect("the member is known");
     let refused = TryEnd::LinkRefused {
         retry_after: at(100),
     };
@@ -94,7 +94,7 @@
 struct LinkShortage {
     links: [LinkSchedule; 2],
     files: [Vec<File>; 2],
-    fronts: Vec<FleetView>,
+    senders: Vec<FleetView>,
     rng: StdRng,
     result: SimulationResult,
 }
@@ -103,22 +103,22 @@
     /// Runs the simulation. Nodes that don't know their data centre treat every member as
     /// remote.
     fn simulate(knows_data_centre: bool) -> SimulationResult {
-        let fronts = (0..FRONTS_PER_DATA_CENTRE * 2).map(|outbound| {
-            let data_centre = DATA_CENTRES[outbound % 2];
+        let senders = (0..FRONTS_PER_DATA_CENTRE * 2).map(|sender| {
+            let data_centre = DATA_CENTRES[sender % 2];
             view_from(if knows_data_centre { data_centre } else { "" })
         });
         let mut simulation = Self {
             links: [LinkSchedule::new(LINK_MBPS), LinkSchedule::new(LINK_MBPS)],
             files: [Vec::new(), Vec::new()],
-            fronts: fronts.collect(),
+            senders: senders.collect(),
             rng: StdRng::seed_from_u64(11),
             result: SimulationResult::default(),
         };
         let mut now = Duration::ZERO;
         while now < LENGTH {
-            for outbound in 0..simulation.fronts.len() {
+            for sender in 0..simulation.senders.len() {
                 if simulation.rng.random::<f64>() < FILES_PER_S * STEP.as_secs_f64() {
-                    simulation.request_file(now, outbound);
+                    simulation.request_file(now, sender);
                 }
             }
             (0..2).for_each(|link| simulation.transmit(now, link));
@@ -128,14 +128,14 @@
     }
 
     /// Asks members in turn until one promises a file.
-    fn request_file(&mut self, now: Duration, outbound: usize) {
+    fn request_file(&mut self, now: Duration, sender: usize) {
         let mut tried = Vec::new();
         loop {
             let query = PickQuery {
                 tried: &tried,
                 ..LONG
             };
-            let fleet = &mut self.fronts[outbound];
+            let fleet = &mut self.senders[sender];
             if fleet.link_wait(now, &query).is_some() {
                 return;
             }
@@ -143,7 +143,7 @@
             let Some(key) = home.or_else(|| fleet.pick(now, &query, &mut self.rng)) else {
                 return;
             };
-            if self.offer(now, outbound, key) {
+            if self.offer(now, sender, key) {
                 return;
             }
             tried.push(key);
@@ -151,8 +151,8 @@
     }
 
     /// Returns whether the member's link promised the file.
-    fn offer(&mut self, now: Duration, outbound: usize, key: MemberKey) -> bool {
-        let link = usize::from(self.fronts[outbound].key_of(hop(2)) == Some(key));
+    fn offer(&mut self, now: Duration, sender: usize, key: MemberKey) -> bool {
+        let link = usize::from(self.senders[sender].key_of(peer_addr(2)) == Some(key));
         let offer = LinkOffer {
             bytes: FILE_BYTES,
             made_in: RUN,
@@ -167,7 +167,7 @@
             run: RUN,
             link: self.links[link].backlog(now),
         };
-        let fleet = &mut self.fronts[outbound];
+        let fleet = &mut self.senders[sender];
         fleet.loaded(now, key, LONG.class, report);
         match verdict {
             LinkVerdict::Promised(load) => {
@@ -177,7 +177,7 @@
                     made_at: now + RUN,
                     remaining: FILE_BYTES,
                 });
-                if link != outbound % 2 {
+                if link != sender % 2 {
                     self.result.remote_bytes += FILE_BYTES;
                 }
                 true
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -8,7 +8,7 @@
 };
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
 
-use crate::support::{at, hop, record};
+use crate::support::{at, peer_addr, record};
 
 const STEP: Duration = Duration::from_millis(20);
 const RENEWAL: Duration = Duration::from_secs(2);
@@ -26,7 +26,7 @@
 
 impl Node {
     fn new(number: u8, rng: &mut impl Rng) -> Self {
-        let mut guide = Guide::new(hop(number));
+        let mut guide = Guide::new(peer_addr(number));
         let seen = RENEWAL.mul_f64(rng.random());
         guide.store_answered(at(10_000).saturating_sub(seen));
         Self {
@@ -69,15 +69,17 @@
     while now < at(10_000) + OUTAGE {
         for own in 0..fleet.len() {
             let choice = fleet[own].guide.choose(now, &order);
-            if let GuideChoice::Node(hop) = choice {
-                let guide = order.iter().position(|record| record.hop == hop);
+            if let GuideChoice::Node(peer_addr) = choice {
+                let guide = order
+                    .iter()
+                    .position(|record| record.peer_addr == peer_addr);
                 let guide = &mut fleet[guide.expect("it is one of them")].guide;
                 guide.asked(now);
                 let contact = StoreContact {
                     age: guide.store_age(now),
                     lost: guide.has_lost_store(),
                 };
-                let doubted = fleet[own].guide.told(now, hop, contact);
+                let doubted = fleet[own].guide.told(now, peer_addr, contact);
                 if doubted && fleet[own].access.doubt() {
                     fleet[own].pause = (now, rng.random());
                 }
--- a/crates/node/tests/all/starts.rs
+++ b/crates/node/tests/all/starts.rs
@@ -41,7 +41,9 @@
 fn evidence_ends_with_the_start() {
     let mut fleet = FleetView::new("hofdi");
     fleet.announce(NOW, record(born("i-1", 1_000)), Revision(1));
-    let key = fleet.key_of(record(start("i-1")).hop).expect("announced");
+    let key = fleet
+        .key_of(record(start("i-1")).peer_addr)
+        .expect("announced");
     fleet.judged(NOW, key, geranium_node::member::TryEnd::Unreachable);
     let query = geranium_node::member::PickQuery {
         service: "prices",
--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -21,14 +21,14 @@
 }
 
 /// Returns the address of a numbered node.
-pub fn hop(number: u8) -> SocketAddr {
+pub fn peer_addr(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, number], 7600))
 }
 
 /// Returns what a numbered node announces.
 pub fn record(number: u8) -> MemberRecord {
     MemberRecord {
-        hop: hop(number),
+        peer_addr: peer_addr(number),
         start: start(format!("i-{number}")),
         service: "prices".to_owned(),
         data_centre: "hofdi".to_owned(),
--- a/crates/rig/src/rig_endpoint.rs
+++ b/crates/rig/src/rig_endpoint.rs
@@ -253,7 +253,7 @@
     }
 
     fn instance(&self, machine: &Machine) -> String {
-        let ip = machine.addrs.hop.ip().to_string().replace('.', "-");
+        let ip = machine.addrs.peer_addr.ip().to_string().replace('.', "-");
         format!("i-{ip}-{}", self.name)
     }
 
--- a/crates/rig/src/rig_node.rs
+++ b/crates/rig/src/rig_node.rs
@@ -101,8 +101,8 @@
     pub fn start(plan: &NodePlan<'_>) -> Result<Self, RigError> {
         let addrs = MachineAddrs::free();
         let links = [HOP_LINK_PORT, ENDPOINT_LINK_PORT, STORE_LINK_PORT];
-        let [hop, endpoint, store] = links.map(|port| addrs.other(port));
-        let hop_link = LinkProxy::open(hop, addrs.hop)?;
+        let [peer_addr, endpoint, store] = links.map(|port| addrs.other(port));
+        let hop_link = LinkProxy::open(peer_addr, addrs.peer_addr)?;
         let endpoint_link = LinkProxy::open(endpoint, addrs.endpoint)?;
         let store_link = LinkProxy::open(store, plan.store)?;
         let machine = Machine {
@@ -161,9 +161,9 @@
             .context(FileSnafu { path: settings })?;
         self.machine.first_start = false;
         let mut command = Command::new(&self.program);
-        let hop = self.hop_link.addr();
+        let peer_addr = self.hop_link.addr();
         command
-            .args(["--announce-hop", &hop.to_string()])
+            .args(["--announce-hop", &peer_addr.to_string()])
             .args([
                 "--metrics-port",
                 &self.machine.addrs.metrics.port().to_string(),
--- a/crates/standins/src/machine.rs
+++ b/crates/standins/src/machine.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineAddrs {
     /// The node's port for other nodes.
-    pub hop: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// The node's port for callers.
     pub callers: SocketAddr,
     /// The node's port for readiness checks.
@@ -48,19 +48,19 @@
 impl Machine {
     /// Returns its name.
     pub fn name(&self) -> String {
-        format!("sidecar-{}", self.addrs.hop.ip())
+        format!("sidecar-{}", self.addrs.peer_addr.ip())
     }
 
     /// Returns the settings file as the platform writes it.
     pub fn settings_text(&self) -> String {
         let MachineAddrs {
-            hop,
+            peer_addr,
             callers,
             readiness,
             reports,
             ..
         } = self.addrs;
-        let (name, ip) = (self.name(), hop.ip());
+        let (name, ip) = (self.name(), peer_addr.ip());
         let (zone, service, store) = (&self.data_centre, &self.service, self.store);
         let (app, link_mbps) = (self.endpoint_seen, self.link_mbps);
         let first_start = self.first_start;
@@ -76,7 +76,7 @@
 [LocalNode.Limits]
 LinkMbps = {link_mbps:?}
 [Network.Listen]
-Inbound = "{hop}"
+Inbound = "{peer_addr}"
 Outbound = "{callers}"
 Readiness = "{readiness}"
 Admin = "{reports}"
@@ -111,7 +111,7 @@
         );
         let addr = |port: u16| SocketAddr::from((ip, port));
         Self {
-            hop: addr(7601),
+            peer_addr: addr(7601),
             callers: addr(7602),
             readiness: addr(7603),
             reports: addr(7604),
@@ -122,6 +122,6 @@
 
     /// Returns another address on the same machine.
     pub fn other(&self, port: u16) -> SocketAddr {
-        SocketAddr::new(self.hop.ip(), port)
+        SocketAddr::new(self.peer_addr.ip(), port)
     }
 }
