--- a/crates/node/src/crash/break_finding.rs
+++ b/crates/node/src/crash/break_diagnosis.rs
@@ -21,31 +21,31 @@
 
 /// What was found of a backend server whose connection broke under a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BreakFinding {
+pub struct BreakDiagnosis {
     /// Why the connection broke.
     pub cause: BreakCause,
     /// The start of the backend server that ran the request.
     pub start: EndpointStart,
 }
 
-impl BreakFinding {
+impl BreakDiagnosis {
     /// Whether the request may have crashed the backend server, and would crash the next.
     ///
     /// # Examples
     ///
     /// ```
     /// use geranium_node::{
-    ///     crash::{BreakCause, BreakFinding},
+    ///     crash::{BreakCause, BreakDiagnosis},
     ///     member::{EndpointStart, StartInput},
     /// };
     ///
     /// let instance = "till-1".to_owned();
     /// let start = EndpointStart::try_from(StartInput { instance, born_ms: None })?;
     /// let cause = BreakCause::AnswerLost;
-    /// let lost = BreakFinding { cause, start };
+    /// let lost = BreakDiagnosis { cause, start };
     /// assert!(!lost.is_suspicious());
     /// let cause = BreakCause::Unclear;
-    /// assert!(BreakFinding { cause, ..lost }.is_suspicious());
+    /// assert!(BreakDiagnosis { cause, ..lost }.is_suspicious());
     /// # Ok::<(), geranium_node::member::StartError>(())
     /// ```
     pub fn is_suspicious(&self) -> bool {
--- a/crates/node/src/crash/broken_runs.rs
+++ b/crates/node/src/crash/broken_runs.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::{Notify, oneshot};
 
-use super::{BreakCause, BreakFinding, CrashRow, crash_news::CRASH_LEASE};
+use super::{BreakCause, BreakDiagnosis, CrashRecord, crash_news::CRASH_LEASE};
 use crate::member::EndpointStart;
 
 /// Time for which a broken run is remembered. If another start replaces its backend server
@@ -23,10 +23,10 @@
 /// A run whose connection broke before an answer, and whose sender waits for the cause.
 #[derive(Debug)]
 pub(super) struct BrokenRun {
-    pub(super) row: CrashRow,
+    pub(super) row: CrashRecord,
     /// When it was sent.
     pub(super) began: Duration,
-    pub(super) found: oneshot::Sender<BreakFinding>,
+    pub(super) found: oneshot::Sender<BreakDiagnosis>,
 }
 
 /// A recent broken run that isn't counted as a crash.
@@ -34,7 +34,7 @@
 struct RecentRun {
     at: Duration,
     cause: BreakCause,
-    row: CrashRow,
+    row: CrashRecord,
 }
 
 /// Runs whose connection to the backend server broke before an answer.
@@ -46,14 +46,14 @@
     first_break: RefCell<Option<(EndpointStart, Duration)>>,
     recent: RefCell<Vec<RecentRun>>,
     /// Rows of starts that were found to have crashed after their runs were settled.
-    late: RefCell<Vec<CrashRow>>,
+    late: RefCell<Vec<CrashRecord>>,
     /// Number of batches of such rows that are being sent to other nodes.
     late_open: Cell<u32>,
     late_told: Notify,
     /// Crashes that were written to the store, with the time of the write.
-    written: RefCell<Vec<(Duration, Vec<CrashRow>)>>,
+    written: RefCell<Vec<(Duration, Vec<CrashRecord>)>>,
     /// Crashes to be written to the store again.
-    unwritten: RefCell<Vec<Vec<CrashRow>>>,
+    unwritten: RefCell<Vec<Vec<CrashRecord>>>,
     pub(super) heard: Notify,
 }
 
@@ -65,9 +65,9 @@
         &self,
         now: Duration,
         began: Duration,
-        row: CrashRow,
-    ) -> oneshot::Receiver<BreakFinding> {
-        let (found, finding) = oneshot::channel();
+        row: CrashRecord,
+    ) -> oneshot::Receiver<BreakDiagnosis> {
+        let (found, diagnosis) = oneshot::channel();
         let mut first = self.first_break.borrow_mut();
         if first.as_ref().is_none_or(|(start, _)| *start != row.start) {
             *first = Some((row.start.clone(), now));
@@ -76,7 +76,7 @@
             .borrow_mut()
             .push(BrokenRun { row, began, found });
         self.heard.notify_one();
-        finding
+        diagnosis
     }
 
     /// Drops the runs that were sent to a start after it crashed: they weren't running then.
@@ -113,7 +113,7 @@
             run.row.start == *ended && now < run.at + since
         };
         let rows = recent.iter().filter(|run| crashed(run));
-        let rows: Vec<CrashRow> = rows.map(|run| run.row.clone()).collect();
+        let rows: Vec<CrashRecord> = rows.map(|run| run.row.clone()).collect();
         recent.retain(|run| run.row.start != *ended);
         if !rows.is_empty() {
             self.late.borrow_mut().extend(rows);
@@ -122,7 +122,7 @@
     }
 
     /// Records crashes that were written to the store.
-    pub(super) fn remember_written(&self, now: Duration, rows: Vec<CrashRow>) {
+    pub(super) fn remember_written(&self, now: Duration, rows: Vec<CrashRecord>) {
         let mut written = self.written.borrow_mut();
         written.retain(|(at, _)| now < *at + CRASH_LEASE);
         written.push((now, rows));
@@ -140,12 +140,12 @@
     }
 
     /// Takes the crashes that are to be written again.
-    pub(super) fn take_unwritten(&self) -> Vec<Vec<CrashRow>> {
+    pub(super) fn take_unwritten(&self) -> Vec<Vec<CrashRecord>> {
         self.unwritten.take()
     }
 
     /// Records a broken run that isn't counted as a crash.
-    pub(super) fn remember(&self, now: Duration, cause: BreakCause, row: CrashRow) {
+    pub(super) fn remember(&self, now: Duration, cause: BreakCause, row: CrashRecord) {
         let mut recent = self.recent.borrow_mut();
         recent.retain(|run| now < run.at + RECENT_TIME);
         if recent.len() < RECENT_MAX {
@@ -160,7 +160,7 @@
     }
 
     /// Takes the rows of starts that turned out to have crashed, if there are any.
-    pub(super) fn take_late(&self) -> Option<Vec<CrashRow>> {
+    pub(super) fn take_late(&self) -> Option<Vec<CrashRecord>> {
         let rows = self.late.take();
         if rows.is_empty() {
             return None;
--- a/crates/node/src/crash/crash_book.rs
+++ b/crates/node/src/crash/crash_history.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use super::{CrashRow, PoisonRegister, PoisonTerms, PoisonVerdict};
+use super::{CrashRecord, PoisonLimits, PoisonRegistry, PoisonStatus};
 use crate::store::Revision;
 
 /// Prefix of the crashes in the store.
@@ -19,29 +19,29 @@
 
 /// Crashes as all nodes know them, and what follows for requests.
 #[derive(Debug)]
-pub struct CrashBook {
-    register: PoisonRegister,
-    rows: VecDeque<(Revision, CrashRow)>,
+pub struct CrashHistory {
+    registry: PoisonRegistry,
+    rows: VecDeque<(Revision, CrashRecord)>,
 }
 
-impl Default for CrashBook {
+impl Default for CrashHistory {
     fn default() -> Self {
-        let terms = PoisonTerms {
+        let limits = PoisonLimits {
             crashes: CRASHES_MAX,
             hold: HOLD,
         };
         Self {
-            register: PoisonRegister::new(terms),
+            registry: PoisonRegistry::new(limits),
             rows: VecDeque::new(),
         }
     }
 }
 
-impl CrashBook {
+impl CrashHistory {
     /// Takes in a row and returns whether it was new. The revision is that of the row in the
     /// store, 0 while it isn't known; rows are handed on once it is.
-    pub fn record(&mut self, now: Duration, row: CrashRow, revision: Revision) -> bool {
-        let new = self.register.record(now, row.clone());
+    pub fn record(&mut self, now: Duration, row: CrashRecord, revision: Revision) -> bool {
+        let new = self.registry.record(now, row.clone());
         if new {
             if self.rows.len() == ROWS_KEPT {
                 self.rows.pop_front();
@@ -54,27 +54,27 @@
     }
 
     /// Notes that a request was answered well.
-    pub fn completed(&mut self, print: u64) {
-        self.register.completed(print);
+    pub fn completed(&mut self, fingerprint: u64) {
+        self.registry.completed(fingerprint);
     }
 
     /// Returns how long a request is refused, if it is.
-    pub fn refusal(&self, now: Duration, print: u64) -> Option<Duration> {
-        match self.register.verdict(now, print) {
-            PoisonVerdict::Refused { retry_after } => Some(retry_after),
-            PoisonVerdict::Clear | PoisonVerdict::Suspect => None,
+    pub fn refusal(&self, now: Duration, fingerprint: u64) -> Option<Duration> {
+        match self.registry.status(now, fingerprint) {
+            PoisonStatus::Refused { retry_after } => Some(retry_after),
+            PoisonStatus::Clear | PoisonStatus::Suspect => None,
         }
     }
 
     /// Whether a request is to run by itself, as it was running when a backend server
     /// crashed. One that was answered well before is more likely a bystander.
-    pub fn is_suspect(&self, now: Duration, print: u64) -> bool {
-        let verdict = self.register.verdict(now, print);
-        verdict == PoisonVerdict::Suspect && !self.register.was_good(print)
+    pub fn is_suspect(&self, now: Duration, fingerprint: u64) -> bool {
+        let status = self.registry.status(now, fingerprint);
+        status == PoisonStatus::Suspect && !self.registry.was_good(fingerprint)
     }
 
     /// Returns the rows after a revision, for another node.
-    pub fn rows_since(&self, since: Revision) -> Vec<(u64, CrashRow)> {
+    pub fn records_since(&self, since: Revision) -> Vec<(u64, CrashRecord)> {
         let rows = self.rows.iter().filter(|(revision, _)| *revision > since);
         rows.map(|(revision, row)| (revision.0, row.clone()))
             .collect()
--- a/crates/node/src/crash/crash_news.rs
+++ b/crates/node/src/crash/crash_news.rs
@@ -10,7 +10,7 @@
     time::{Instant, sleep},
 };
 
-use super::{CRASH_PATH, CRASH_PREFIX, CrashRow};
+use super::{CRASH_PATH, CRASH_PREFIX, CrashRecord};
 use crate::{
     node_core::NodeCore,
     store::{MetaStore, Revision, StoreError, StoreWrite},
@@ -36,7 +36,7 @@
 
 /// Tells the nodes beside the other backend servers of the service, and returns once they
 /// know or can't be reached in time; those are told again later.
-pub(super) async fn tell_peers(core: &Rc<NodeCore>, rows: &[CrashRow]) {
+pub(super) async fn tell_peers(core: &Rc<NodeCore>, rows: &[CrashRecord]) {
     let body = match serde_json::to_vec(rows) {
         Ok(body) => Bytes::from(body),
         Err(cause) => {
@@ -99,7 +99,7 @@
 pub(super) async fn store_crash(
     core: Rc<NodeCore>,
     store: Rc<impl MetaStore>,
-    rows: Vec<CrashRow>,
+    rows: Vec<CrashRecord>,
 ) {
     let begun = Instant::now();
     while begun.elapsed() < STORE_TIME {
@@ -124,7 +124,7 @@
 async fn write(
     core: &NodeCore,
     store: &impl MetaStore,
-    rows: &[CrashRow],
+    rows: &[CrashRecord],
 ) -> Result<Revision, StoreError> {
     let Some(first) = rows.first() else {
         return Ok(Revision(0));
--- a/crates/node/src/crash/crash_port.rs
+++ b/crates/node/src/crash/crash_port.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use slog::warn;
 
-use super::CrashRow;
+use super::CrashRecord;
 use crate::{
     node_core::NodeCore,
     response_body::{ResponseBody, empty_response},
@@ -35,10 +35,10 @@
     pub async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Limited::new(request.into_body(), BODY_MAX).collect().await;
         let body = body.map(Collected::to_bytes).unwrap_or_default();
-        match serde_json::from_slice::<Vec<CrashRow>>(&body) {
+        match serde_json::from_slice::<Vec<CrashRecord>>(&body) {
             Ok(rows) => {
                 for row in rows {
-                    self.core.heard_crash(row, Revision(0));
+                    self.core.record_crash(row, Revision(0));
                 }
                 empty_response(StatusCode::OK)
             }
--- a/crates/node/src/crash/crash_row.rs
+++ b/crates/node/src/crash/crash_record.rs
@@ -9,8 +9,8 @@
 /// Rows spread to every node, which counts distinct starts of backend servers
 /// for each fingerprint: a row that arrives twice counts once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct CrashRow {
-    /// Hash of the request, see [`request_print`](super::request_print).
+pub struct CrashRecord {
+    /// Hash of the request, see [`request_fingerprint`](super::request_fingerprint).
     pub fingerprint: u64,
     /// The start of the backend server that crashed.
     pub start: EndpointStart,
--- a/crates/node/src/crash/crash_watch.rs
+++ b/crates/node/src/crash/crash_watch.rs
@@ -9,7 +9,7 @@
 };
 
 use super::{
-    BreakCause, BreakFinding, CrashRow,
+    BreakCause, BreakDiagnosis, CrashRecord,
     broken_runs::BrokenRun,
     crash_news::{store_crash, tell_peers},
 };
@@ -78,7 +78,7 @@
     } else {
         core.inbound.broken().not_crashed(&start);
     }
-    let rows: Vec<CrashRow> = runs.iter().map(|run| run.row.clone()).collect();
+    let rows: Vec<CrashRecord> = runs.iter().map(|run| run.row.clone()).collect();
     if rows.is_empty() {
         return;
     }
@@ -92,15 +92,15 @@
             core.inbound.broken().remember(now, cause, row);
         }
     }
-    let finding = BreakFinding { cause, start };
+    let diagnosis = BreakDiagnosis { cause, start };
     for run in runs {
         // A sender that was cancelled meanwhile waits no more.
-        let _gone = run.found.send(finding.clone());
+        let _gone = run.found.send(diagnosis.clone());
     }
 }
 
 /// Records crashes that showed as another start took the place of the one that crashed.
-async fn record_late(core: Rc<NodeCore>, store: Rc<impl MetaStore>, rows: Vec<CrashRow>) {
+async fn record_late(core: Rc<NodeCore>, store: Rc<impl MetaStore>, rows: Vec<CrashRecord>) {
     warn!(core.log.logger(), "backend server crashed";
         "runs" => rows.len(), "evidence" => "another start took its place");
     record(Rc::clone(&core), store, rows).await;
@@ -108,7 +108,7 @@
 }
 
 /// Records crashes here, with the peers and in the store.
-async fn record(core: Rc<NodeCore>, store: Rc<impl MetaStore>, rows: Vec<CrashRow>) {
+async fn record(core: Rc<NodeCore>, store: Rc<impl MetaStore>, rows: Vec<CrashRecord>) {
     let now = core.clock.now();
     for row in &rows {
         let mut crashes = core.crashes.borrow_mut();
--- a/crates/node/src/crash/poison_register.rs
+++ b/crates/node/src/crash/poison_registry.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{
-    CrashRow, PoisonTerms, PoisonVerdict, completion_credit::CompletionCredit,
+    CrashRecord, PoisonLimits, PoisonStatus, completion_credit::CompletionCredit,
     suspect_record::SuspectRecord,
 };
 use crate::member::EndpointStart;
@@ -26,40 +26,40 @@
 /// ```
 /// use std::time::Duration;
 /// use geranium_node::{
-///     crash::{CrashRow, PoisonRegister, PoisonTerms, PoisonVerdict},
+///     crash::{CrashRecord, PoisonRegistry, PoisonLimits, PoisonStatus},
 ///     member::{EndpointStart, StartError, StartInput},
 /// };
 ///
-/// let terms = PoisonTerms { crashes: 2, hold: Duration::from_secs(600) };
-/// let mut register = PoisonRegister::new(terms);
+/// let terms = PoisonLimits { crashes: 2, hold: Duration::from_secs(600) };
+/// let mut register = PoisonRegistry::new(terms);
 /// let crash = |instance: &str| {
 ///     let instance = instance.to_owned();
 ///     let born_ms = None;
 ///     let start = EndpointStart::try_from(StartInput { instance, born_ms })?;
-///     Ok::<_, StartError>(CrashRow { fingerprint: 7, start })
+///     Ok::<_, StartError>(CrashRecord { fingerprint: 7, start })
 /// };
 /// let now = Duration::from_secs(1);
 /// assert!(register.record(now, crash("till-1")?));
 /// assert!(!register.record(now, crash("till-1")?));
-/// assert_eq!(register.verdict(now, 7), PoisonVerdict::Suspect);
+/// assert_eq!(register.verdict(now, 7), PoisonStatus::Suspect);
 /// register.record(now, crash("till-2")?);
-/// assert!(matches!(register.verdict(now, 7), PoisonVerdict::Refused { .. }));
+/// assert!(matches!(register.verdict(now, 7), PoisonStatus::Refused { .. }));
 /// # Ok::<(), StartError>(())
 /// ```
 #[derive(Debug)]
-pub struct PoisonRegister {
-    terms: PoisonTerms,
-    rows: VecDeque<(Duration, CrashRow)>,
+pub struct PoisonRegistry {
+    limits: PoisonLimits,
+    rows: VecDeque<(Duration, CrashRecord)>,
     crashes: HashMap<EndpointStart, Vec<u64>>,
     suspects: HashMap<u64, SuspectRecord>,
     credit: CompletionCredit,
 }
 
-impl PoisonRegister {
+impl PoisonRegistry {
     /// Makes an empty register.
-    pub fn new(terms: PoisonTerms) -> Self {
+    pub fn new(limits: PoisonLimits) -> Self {
         Self {
-            terms,
+            limits,
             rows: VecDeque::new(),
             crashes: HashMap::new(),
             suspects: HashMap::new(),
@@ -68,7 +68,7 @@
     }
 
     /// Takes in a row and reports whether it was new.
-    pub fn record(&mut self, now: Duration, row: CrashRow) -> bool {
+    pub fn record(&mut self, now: Duration, row: CrashRecord) -> bool {
         self.expire(now);
         let crash = self.crashes.entry(row.start.clone()).or_default();
         if crash.contains(&row.fingerprint) {
@@ -100,22 +100,22 @@
     }
 
     /// Says whether a request may run.
-    pub fn verdict(&self, now: Duration, fingerprint: u64) -> PoisonVerdict {
+    pub fn status(&self, now: Duration, fingerprint: u64) -> PoisonStatus {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
-            return PoisonVerdict::Clear;
+            return PoisonStatus::Clear;
         };
         let age = suspect.age(now);
-        if suspect.unpaid() == 0 || age >= self.terms.hold {
-            return PoisonVerdict::Clear;
+        if suspect.unpaid() == 0 || age >= self.limits.hold {
+            return PoisonStatus::Clear;
         }
-        if suspect.unpaid() < self.terms.crashes {
-            return PoisonVerdict::Suspect;
+        if suspect.unpaid() < self.limits.crashes {
+            return PoisonStatus::Suspect;
         }
         let hold = self.hold_of(fingerprint, suspect);
         if age >= hold {
-            return PoisonVerdict::Suspect;
+            return PoisonStatus::Suspect;
         }
-        PoisonVerdict::Refused {
+        PoisonStatus::Refused {
             retry_after: hold.saturating_sub(age),
         }
     }
@@ -127,20 +127,20 @@
     }
 
     /// Returns the rows in memory.
-    pub fn rows(&self) -> impl Iterator<Item = &CrashRow> {
+    pub fn rows(&self) -> impl Iterator<Item = &CrashRecord> {
         self.rows.iter().map(|(_, row)| row)
     }
 
     fn hold_of(&self, fingerprint: u64, suspect: &SuspectRecord) -> Duration {
-        let beyond = suspect.unpaid() > self.terms.crashes;
+        let beyond = suspect.unpaid() > self.limits.crashes;
         // Several servers that end together, as after a bad release, each have the
         // popular requests in flight. One that was answered well before is more
         // likely such a bystander than guilty, and refused it can't show it.
         let beyond = beyond && !suspect.was_good();
         if beyond || self.was_alone(fingerprint) {
-            self.terms.hold
+            self.limits.hold
         } else {
-            self.terms.hold / COMPANY_HOLD_DIVISOR
+            self.limits.hold / COMPANY_HOLD_DIVISOR
         }
     }
 
@@ -149,7 +149,7 @@
     }
 
     fn expire(&mut self, now: Duration) {
-        let memory = self.terms.hold;
+        let memory = self.limits.hold;
         while let Some((at, _)) = self.rows.front() {
             if now.saturating_sub(*at) < memory {
                 break;
--- a/crates/node/src/crash/poison_verdict.rs
+++ b/crates/node/src/crash/poison_status.rs
@@ -4,7 +4,7 @@
 
 /// Standing of a request with the poison register.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PoisonVerdict {
+pub enum PoisonStatus {
     /// Nothing is held against it.
     Clear,
     /// It was running when a backend server crashed: it is never retried, and runs beside no
--- a/crates/node/src/crash/request_print.rs
+++ b/crates/node/src/crash/request_fingerprint.rs
@@ -8,16 +8,16 @@
 /// # Examples
 ///
 /// ```
-/// use geranium_node::crash::request_print;
+/// use geranium_node::crash::request_fingerprint;
 /// use http::{HeaderMap, Method, Uri};
 ///
-/// let print = |path, body| {
-///     request_print(&Method::GET, &Uri::from_static(path), &HeaderMap::new(), body)
+/// let fingerprint = |path, body| {
+///     request_fingerprint(&Method::GET, &Uri::from_static(path), &HeaderMap::new(), body)
 /// };
-/// assert_eq!(print("/p/x", b"a"), print("/p/x", b"a"));
-/// assert_ne!(print("/p/x", b"a"), print("/p/x", b"b"));
+/// assert_eq!(fingerprint("/p/x", b"a"), fingerprint("/p/x", b"a"));
+/// assert_ne!(fingerprint("/p/x", b"a"), fingerprint("/p/x", b"b"));
 /// ```
-pub fn request_print(method: &Method, uri: &Uri, headers: &HeaderMap, body: &[u8]) -> u64 {
+pub fn request_fingerprint(method: &Method, uri: &Uri, headers: &HeaderMap, body: &[u8]) -> u64 {
     let host = headers
         .get(header::HOST)
         .map_or(&b""[..], |host| host.as_bytes());
--- a/crates/node/src/distribution/follow_message.rs
+++ b/crates/node/src/distribution/follow_message.rs
@@ -3,7 +3,7 @@
 use std::{num::ParseIntError, rc::Rc, str::FromStr, time::Duration};
 
 use super::PackedConfig;
-use crate::crash::CrashRow;
+use crate::crash::CrashRecord;
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
@@ -93,7 +93,7 @@
     /// A newer configuration, if there is one.
     pub config: Option<ConfigNews>,
     /// Crashes of backend servers, with the revisions at which they were told.
-    pub crashes: Vec<(u64, CrashRow)>,
+    pub crashes: Vec<(u64, CrashRecord)>,
     /// News of the members.
     pub members: MemberNews,
 }
--- a/crates/node/src/follow/follow_port.rs
+++ b/crates/node/src/follow/follow_port.rs
@@ -70,7 +70,7 @@
             store_age_ms: guide.store_age(now).as_millis() as u64,
             store_lost: guide.has_lost_store(),
             config: self.config_news(question.version),
-            crashes: self.core.crashes.borrow().rows_since(question.members),
+            crashes: self.core.crashes.borrow().records_since(question.members),
             members: self.core.fleet.borrow().news_since(question.members),
         }
     }
--- a/crates/node/src/follow/member_watcher.rs
+++ b/crates/node/src/follow/member_watcher.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration};
 
-use crate::crash::CrashRow;
+use crate::crash::CrashRecord;
 use slog::error;
 use tokio::{
     select,
@@ -188,10 +188,10 @@
 }
 
 fn take_crashes(core: &NodeCore, item: &StoreItem) {
-    match serde_json::from_slice::<Vec<CrashRow>>(&item.value) {
+    match serde_json::from_slice::<Vec<CrashRecord>>(&item.value) {
         Ok(rows) => {
             for row in rows {
-                core.heard_crash(row, item.revision);
+                core.record_crash(row, item.revision);
             }
         }
         Err(cause) => error!(core.log.logger(), "crash unreadable";
--- a/crates/node/src/follow/news_intake.rs
+++ b/crates/node/src/follow/news_intake.rs
@@ -19,7 +19,7 @@
         take_config(core, from, news);
     }
     for (revision, row) in answer.crashes {
-        core.heard_crash(row, Revision(revision));
+        core.record_crash(row, Revision(revision));
     }
     take_members(core, answer.members);
 }
--- a/crates/node/src/header_set.rs
+++ b/crates/node/src/header_set.rs
@@ -34,7 +34,7 @@
 /// The request may have run and has no usable answer.
 pub const PEER_FAILURE_HEADER: HeaderName = HeaderName::from_static("geranium-broke");
 /// What was found of a backend server whose connection broke: see
-/// [`BreakFinding`](crate::crash::BreakFinding), as JSON.
+/// [`BreakDiagnosis`](crate::crash::BreakDiagnosis), as JSON.
 pub const PEER_DIAGNOSIS_HEADER: HeaderName = HeaderName::from_static("geranium-finding");
 /// Version of the configuration that the answering node holds.
 pub const PEER_VERSION_HEADER: HeaderName = HeaderName::from_static("geranium-version");
--- a/crates/node/src/inbound/crash_admission.rs
+++ b/crates/node/src/inbound/crash_admission.rs
@@ -20,13 +20,13 @@
     /// # Errors
     ///
     /// When it may not run here, or its turn doesn't come in its time.
-    pub(super) async fn admit_print(
+    pub(super) async fn admit_fingerprint(
         &self,
         request: &InboundRequest,
     ) -> Result<Option<SemaphorePermit<'_>>, InboundError> {
-        self.refuse_poisoned(request.print)?;
+        self.refuse_poisoned(request.fingerprint)?;
         let now = self.inner.clock.now();
-        if !self.crashes.borrow().is_suspect(now, request.print) {
+        if !self.crashes.borrow().is_suspect(now, request.fingerprint) {
             return Ok(None);
         }
         let turn = if request.may_wait {
@@ -39,13 +39,13 @@
             return refused(RefusalReason::Busy, RETRY_ELSEWHERE);
         }
         // The one before may have been this very request, sent twice.
-        self.refuse_poisoned(request.print)?;
+        self.refuse_poisoned(request.fingerprint)?;
         Ok(turn)
     }
 
-    fn refuse_poisoned(&self, print: u64) -> Result<(), InboundError> {
+    fn refuse_poisoned(&self, fingerprint: u64) -> Result<(), InboundError> {
         let now = self.inner.clock.now();
-        let refusal: Option<Duration> = self.crashes.borrow().refusal(now, print);
+        let refusal: Option<Duration> = self.crashes.borrow().refusal(now, fingerprint);
         match refusal {
             Some(retry_after) => refused(RefusalReason::Poisoned, retry_after),
             None => Ok(()),
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -11,7 +11,7 @@
     inbound_proxy::{IDLE_ONCE, IDLE_REPEATABLE, RETRY_ELSEWHERE, broke, refused},
 };
 use crate::{
-    crash::CrashRow,
+    crash::CrashRecord,
     header_set::{header_text, set_header, strip_connection, strip_peer_headers},
     member::EndpointStart,
     response_body::{ResponseBody, is_short},
@@ -27,7 +27,7 @@
         start: EndpointStart,
     ) -> Result<Response<ResponseBody>, InboundError> {
         let id = request.headers.get(&self.headers.request_id).cloned();
-        let print = request.print;
+        let fingerprint = request.fingerprint;
         let outgoing = self.outgoing(request, start.instance());
         let idle_time = if idempotent {
             IDLE_REPEATABLE
@@ -49,13 +49,10 @@
             Err(ExchangeError::Broke { reason }) => {
                 // The backend server's place is free, whatever is found.
                 drop(slot);
-                let row = CrashRow {
-                    fingerprint: print,
-                    start,
-                };
+                let row = CrashRecord { fingerprint, start };
                 let now = self.inner.clock.now();
-                let finding = self.broken.push(now, began, row).await.ok();
-                return Err(InboundError::Broke { reason, finding });
+                let diagnosis = self.broken.push(now, began, row).await.ok();
+                return Err(InboundError::Broke { reason, diagnosis });
             }
         };
         self.check(&response, id.as_ref())?;
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -21,7 +21,7 @@
     NestedCallDetector, QueueKey, RefusalReason,
 };
 use crate::{
-    crash::{BreakFinding, BrokenRuns, CrashBook},
+    crash::{BreakDiagnosis, BrokenRuns, CrashHistory},
     header_set::HeaderSet,
     link::LinkLine,
     member::{EndpointStart, LoadReport, ResponseSizes},
@@ -73,7 +73,7 @@
         /// What was met.
         reason: String,
         /// What was found of the backend server, where its connection broke.
-        finding: Option<BreakFinding>,
+        diagnosis: Option<BreakDiagnosis>,
     },
 }
 
@@ -117,7 +117,7 @@
     pub(super) headers: HeaderSet,
     pub(super) tracker: RefCell<EndpointTracker>,
     pub(super) broken: BrokenRuns,
-    pub(super) crashes: Rc<RefCell<CrashBook>>,
+    pub(super) crashes: Rc<RefCell<CrashHistory>>,
     /// Held while a request runs that was running when a backend server crashed.
     pub(super) suspect_turn: Semaphore,
     pub(super) breaker: RefCell<EndpointBreaker>,
@@ -132,7 +132,7 @@
         headers: HeaderSet,
         clock: NodeClock,
         link: Rc<LinkLine>,
-        crashes: Rc<RefCell<CrashBook>>,
+        crashes: Rc<RefCell<CrashHistory>>,
     ) -> Self {
         let endpoints = ConnectionPool::new(PoolSettings {
             connect_time: CONNECT_TIME,
@@ -241,19 +241,19 @@
         request: InboundRequest,
         idempotent: bool,
     ) -> Result<Response<ResponseBody>, InboundError> {
-        let turn = self.admit_print(&request).await?;
+        let turn = self.admit_fingerprint(&request).await?;
         let start = self.admit(&request)?;
         let promise = self.promise_link(&request)?;
         let slot = self.wait_for_slot(&request).await?;
         // A backend server may have crashed meanwhile, or this one begun to leave.
         let _turn = match turn {
             Some(turn) => Some(turn),
-            None => self.admit_print(&request).await?,
+            None => self.admit_fingerprint(&request).await?,
         };
         self.admit(&request)?;
         self.admit_by_breaker()?;
         let ends_at = request.ends_at + OVERTIME;
-        let (class, print) = (request.class, request.print);
+        let (class, fingerprint) = (request.class, request.fingerprint);
         let unscheduled = self.unscheduled_answer(&request);
         let answer = timeout_at(ends_at, self.call(request, idempotent, slot, start)).await;
         if let Ok(result) = &answer {
@@ -261,7 +261,7 @@
         }
         let answer = answer.unwrap_or_else(|_elapsed| broke("no answer in time"))?;
         if answer.status().is_success() {
-            self.crashes.borrow_mut().completed(print);
+            self.crashes.borrow_mut().completed(fingerprint);
         }
         let bytes = answer.body().size_hint().exact();
         if let Some(bytes) = bytes {
@@ -307,6 +307,6 @@
 
 pub(super) fn broke<T>(reason: impl Into<String>) -> Result<T, InboundError> {
     let reason = reason.into();
-    let finding = None;
-    Err(InboundError::Broke { reason, finding })
+    let diagnosis = None;
+    Err(InboundError::Broke { reason, diagnosis })
 }
--- a/crates/node/src/inbound/inbound_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -32,7 +32,7 @@
     /// Time at which the caller gets a final answer.
     pub ends_at: Instant,
     /// Hash by which it is known when it comes again.
-    pub print: u64,
+    pub fingerprint: u64,
     /// Start of the backend server that the sender picked.
     pub instance: Option<String>,
 }
--- a/crates/node/src/node_core/crash_notes.rs
+++ b/crates/node/src/node_core/crash_notes.rs
@@ -6,34 +6,34 @@
 
 use super::NodeCore;
 use crate::{
-    crash::{BreakCause, BreakFinding, CrashRow},
+    crash::{BreakCause, BreakDiagnosis, CrashRecord},
     store::Revision,
 };
 
 impl NodeCore {
     /// Takes in that a backend server crashed while it ran a request. The revision is that
     /// of the row in the store, 0 while it isn't known.
-    pub fn heard_crash(&self, row: CrashRow, revision: Revision) {
-        let print = row.fingerprint;
+    pub fn record_crash(&self, row: CrashRecord, revision: Revision) {
+        let fingerprint = row.fingerprint;
         let start = row.start.to_string();
         let now = self.clock.now();
         let new = self.crashes.borrow_mut().record(now, row, revision);
         if new {
             info!(self.log.logger(), "crash heard";
-                "print" => format!("{print:016x}"),
+                "print" => format!("{fingerprint:016x}"),
                 "instance" => start,
                 "revision" => revision.0);
         }
     }
 
     /// Takes in what was found of the backend server that broke a request of this node.
-    pub fn note_finding(&self, print: u64, finding: BreakFinding) {
-        if finding.cause == BreakCause::Crashed {
-            let row = CrashRow {
-                fingerprint: print,
-                start: finding.start,
+    pub fn record_diagnosis(&self, fingerprint: u64, diagnosis: BreakDiagnosis) {
+        if diagnosis.cause == BreakCause::Crashed {
+            let row = CrashRecord {
+                fingerprint,
+                start: diagnosis.start,
             };
-            self.heard_crash(row, Revision(0));
+            self.record_crash(row, Revision(0));
         }
     }
 
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::{
     config::{ConfigVersion, MeshConfig},
-    crash::CrashBook,
+    crash::CrashHistory,
     distribution::{ConfigHistory, Guide, StoreAccess},
     errand::ErrandDesk,
     event_log::EventLog,
@@ -69,7 +69,7 @@
     /// Door of the own backend server.
     pub inbound: InboundProxy,
     /// Crashes of backend servers.
-    pub crashes: Rc<RefCell<CrashBook>>,
+    pub crashes: Rc<RefCell<CrashHistory>>,
     /// Link of the instance.
     pub link: Rc<LinkLine>,
     /// Connections to other nodes.
@@ -155,7 +155,7 @@
         let metrics = NodeMetrics::new(&settings)?;
         let notes = LinkNotes::new(log.clone(), metrics.link());
         let link = Rc::new(LinkLine::new(settings.link_mbps, notes));
-        let crashes = Rc::<RefCell<CrashBook>>::default();
+        let crashes = Rc::<RefCell<CrashHistory>>::default();
         let inbound = InboundProxy::new(
             inbound_settings,
             headers.clone(),
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -60,7 +60,7 @@
         // The door here counts what it answered itself.
         let away = at.is_some_and(|at| at.peer_addr != self.settings.peer_addr);
         if away && answer.status().is_success() {
-            self.crashes.borrow_mut().completed(request.print);
+            self.crashes.borrow_mut().completed(request.fingerprint);
         }
         let took = request.arrived.elapsed();
         let result = match answer.status() {
--- a/crates/node/src/node_settings.rs
+++ b/crates/node/src/node_settings.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use crate::retry::RetryTerms;
+use crate::retry::RetryLimits;
 
 /// Addresses on which a node listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,5 +48,5 @@
     /// Megabits a second of the instance's link.
     pub link_mbps: f64,
     /// Bound on retries.
-    pub retries: RetryTerms,
+    pub retries: RetryLimits,
 }
--- a/crates/node/src/outbound/failed_try.rs
+++ b/crates/node/src/outbound/failed_try.rs
@@ -41,11 +41,12 @@
                 tries.never_arrived();
                 self.core.note_unreachable(self.request, record, &reason);
             }
-            TryFailure::Broke { reason, finding } => {
+            TryFailure::Broke { reason, diagnosis } => {
                 self.judge(asked, TryEnd::Broke);
-                if let Some(finding) = finding {
-                    tries.crashes_servers |= finding.is_suspicious();
-                    self.core.note_finding(self.request.print, finding);
+                if let Some(diagnosis) = diagnosis {
+                    tries.crashes_servers |= diagnosis.is_suspicious();
+                    self.core
+                        .record_diagnosis(self.request.fingerprint, diagnosis);
                 }
                 self.core.note_broke(self.request, record, &reason);
                 tries.ran = true;
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     config::{MeshConfig, RouteRule},
-    crash::request_print,
+    crash::request_fingerprint,
     header_set::{strip_connection, strip_peer_headers},
     node_core::NodeCore,
     response_body::ResponseBody,
@@ -100,11 +100,11 @@
         );
         let id = head.headers.get(&self.core.headers.request_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
-        let print = request_print(&head.method, &head.uri, &head.headers, &body);
-        self.check_print(print)?;
+        let fingerprint = request_fingerprint(&head.method, &head.uri, &head.headers, &body);
+        self.check_fingerprint(fingerprint)?;
         let service = route.shares.draw();
         let caller_end = deadline.map(|deadline| arrived + deadline);
-        let first_attempt_at = self.first_attempt_at(arrived, &route, print, deadline);
+        let first_attempt_at = self.first_attempt_at(arrived, &route, fingerprint, deadline);
         let useful_until = first_attempt_at + route.target;
         let nested = self
             .core
@@ -118,7 +118,7 @@
             uri: path_only(&head.uri),
             headers: head.headers,
             body,
-            print,
+            fingerprint,
             first_attempt_at,
             caller_end,
             useful_until,
@@ -153,9 +153,9 @@
     }
 
     /// Refuses a request that has crashed backend servers.
-    fn check_print(&self, print: u64) -> Result<(), LocalReply> {
+    fn check_fingerprint(&self, fingerprint: u64) -> Result<(), LocalReply> {
         let now = self.core.clock.now();
-        let refusal = self.core.crashes.borrow().refusal(now, print);
+        let refusal = self.core.crashes.borrow().refusal(now, fingerprint);
         refusal.map_or(Ok(()), |retry_after| {
             Err(LocalReply::not_run(ResultCode::Poisoned, retry_after))
         })
@@ -167,7 +167,7 @@
         &self,
         arrived: Instant,
         route: &RouteRule,
-        print: u64,
+        fingerprint: u64,
         deadline: Option<Duration>,
     ) -> Instant {
         let Some(deadline) = deadline else {
@@ -175,7 +175,7 @@
         };
         let clock = self.core.clock;
         let resends = self.core.resends.borrow();
-        if let Some(first) = resends.first_attempt_at(print, clock.at(arrived + deadline)) {
+        if let Some(first) = resends.first_attempt_at(fingerprint, clock.at(arrived + deadline)) {
             return clock.instant(first);
         }
         let mut deadlines = self.core.deadlines.borrow_mut();
@@ -193,7 +193,7 @@
         let clock = self.core.clock;
         let (first, end) = (clock.at(request.first_attempt_at), clock.at(caller_end));
         let mut resends = self.core.resends.borrow_mut();
-        resends.refused(request.print, first, end);
+        resends.refused(request.fingerprint, first, end);
     }
 
     async fn serve(&self, request: &OutboundRequest) -> Response<ResponseBody> {
--- a/crates/node/src/outbound/outbound_request.rs
+++ b/crates/node/src/outbound/outbound_request.rs
@@ -22,7 +22,7 @@
     /// Body.
     pub body: Bytes,
     /// Hash by which it is known when it comes again.
-    pub print: u64,
+    pub fingerprint: u64,
     /// Route.
     pub route: Rc<RouteRule>,
     /// Service that the route's weights gave.
--- a/crates/node/src/outbound/resend_tracker.rs
+++ b/crates/node/src/outbound/resend_tracker.rs
@@ -36,7 +36,7 @@
 
 impl ResendTracker {
     /// Notes that the request with this hash got no answer.
-    pub fn refused(&mut self, print: u64, first_attempt_at: Duration, caller_end: Duration) {
+    pub fn refused(&mut self, fingerprint: u64, first_attempt_at: Duration, caller_end: Duration) {
         while self.order.len() >= KEPT {
             self.forget_oldest();
         }
@@ -44,8 +44,8 @@
             first_attempt_at,
             caller_end,
         };
-        self.refused.insert(print, request);
-        self.order.push_back((print, caller_end));
+        self.refused.insert(fingerprint, request);
+        self.order.push_back((fingerprint, caller_end));
     }
 
     /// Returns when the caller of the request with this hash first asked, if it was
@@ -64,8 +64,8 @@
     /// // Another caller asks for the same.
     /// assert_eq!(book.first_attempt_at(7, end + Duration::from_millis(400)), None);
     /// ```
-    pub fn first_attempt_at(&self, print: u64, caller_end: Duration) -> Option<Duration> {
-        let request = self.refused.get(&print)?;
+    pub fn first_attempt_at(&self, fingerprint: u64, caller_end: Duration) -> Option<Duration> {
+        let request = self.refused.get(&fingerprint)?;
         let same = request.caller_end.abs_diff(caller_end) <= SAME_END;
         same.then_some(request.first_attempt_at)
     }
@@ -78,12 +78,12 @@
     }
 
     fn forget_oldest(&mut self) {
-        let Some((print, end)) = self.order.pop_front() else {
+        let Some((fingerprint, end)) = self.order.pop_front() else {
             return;
         };
         let is_latest = |request: &RefusedRequest| request.caller_end == end;
-        if self.refused.get(&print).is_some_and(is_latest) {
-            self.refused.remove(&print);
+        if self.refused.get(&fingerprint).is_some_and(is_latest) {
+            self.refused.remove(&fingerprint);
         }
     }
 }
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -233,7 +233,7 @@
             .core
             .crashes
             .borrow()
-            .is_suspect(now, self.request.print);
+            .is_suspect(now, self.request.fingerprint);
         let probes = home.is_none()
             && !suspect
             && tries.probed.len() < PROBES_MAX
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -11,7 +11,7 @@
 use super::{InFlightGuard, OutboundRequest};
 use crate::{
     config::ConfigVersion,
-    crash::BreakFinding,
+    crash::BreakDiagnosis,
     header_set::{
         PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
         PEER_REQUEST_HEADER, PEER_VERSION_HEADER, head_bytes, header_text, set_header,
@@ -38,7 +38,7 @@
         /// What was met.
         reason: String,
         /// What was found of the backend server, where its connection broke.
-        finding: Option<BreakFinding>,
+        diagnosis: Option<BreakDiagnosis>,
     },
 }
 
@@ -86,7 +86,7 @@
             useful_until: request.useful_until,
             ends_at: request.ends_at,
             instance: Some(record.start.instance().to_owned()),
-            print: request.print,
+            fingerprint: request.fingerprint,
         };
         let idempotent = request.route.kind.is_idempotent();
         let answer = self.core.inbound.run(inbound_request, idempotent).await;
@@ -98,8 +98,8 @@
                 response.map(|body| body.with_in_flight_guard(guard)),
             )),
             Err(InboundError::Refused { refusal }) => Err(TryFailure::Refused(refusal)),
-            Err(InboundError::Broke { reason, finding }) => {
-                Err(TryFailure::Broke { reason, finding })
+            Err(InboundError::Broke { reason, diagnosis }) => {
+                Err(TryFailure::Broke { reason, diagnosis })
             }
         }
     }
@@ -131,8 +131,8 @@
         self.learn(key, record, response.headers());
         let refusal = parsed::<InboundRefusal>(response.headers(), &PEER_REFUSAL_HEADER);
         let broke = header_text(response.headers(), &PEER_FAILURE_HEADER).map(ToOwned::to_owned);
-        let finding = header_text(response.headers(), &PEER_DIAGNOSIS_HEADER);
-        let finding = finding.and_then(|text| serde_json::from_str(text).ok());
+        let diagnosis = header_text(response.headers(), &PEER_DIAGNOSIS_HEADER);
+        let diagnosis = diagnosis.and_then(|text| serde_json::from_str(text).ok());
         let (mut head, body) = response.into_parts();
         strip_connection(&mut head.headers);
         strip_peer_headers(&mut head.headers);
@@ -146,7 +146,7 @@
         };
         match (refusal, broke) {
             (Some(refusal), _) => Err(TryFailure::Refused(refusal)),
-            (None, Some(reason)) => Err(TryFailure::Broke { reason, finding }),
+            (None, Some(reason)) => Err(TryFailure::Broke { reason, diagnosis }),
             (None, None) => {
                 let answer = Response::from_parts(head, ResponseBody::whole(whole));
                 Ok(Box::new(answer))
@@ -209,8 +209,8 @@
 
 /// A break of the connection to the other node, which says nothing of the backend server.
 const fn unexplained(reason: String) -> TryFailure {
-    let finding = None;
-    TryFailure::Broke { reason, finding }
+    let diagnosis = None;
+    TryFailure::Broke { reason, diagnosis }
 }
 
 async fn whole(body: Incoming, guard: InFlightGuard) -> Result<Bytes, String> {
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    crash::{BreakFinding, CRASH_PATH, CrashPort, request_print},
+    crash::{BreakDiagnosis, CRASH_PATH, CrashPort, request_fingerprint},
     errand::{ERRAND_PATH, ErrandPort},
     follow::{FOLLOW_PATH, FollowPort},
     header_set::{
@@ -85,7 +85,7 @@
         let mut response = match self.core.inbound.run(request, note.idempotent).await {
             Ok(response) => response,
             Err(InboundError::Refused { refusal }) => refused(&refusal),
-            Err(InboundError::Broke { reason, finding }) => broke(&reason, finding.as_ref()),
+            Err(InboundError::Broke { reason, diagnosis }) => broke(&reason, diagnosis.as_ref()),
         };
         let load = self.core.inbound.load(note.class);
         set_header(response.headers_mut(), &PEER_LOAD_HEADER, &load.to_string());
@@ -106,10 +106,10 @@
         let instance = header_text(&head.headers, &names.expected_instance).map(ToOwned::to_owned);
         let mut headers = head.headers;
         strip_connection(&mut headers);
-        let print = request_print(&head.method, &head.uri, &headers, &body);
+        let fingerprint = request_fingerprint(&head.method, &head.uri, &headers, &body);
         InboundRequest {
             origin: RequestOrigin::Node,
-            print,
+            fingerprint,
             method: head.method,
             uri: head.uri,
             headers,
@@ -135,12 +135,12 @@
     response
 }
 
-fn broke(reason: &str, finding: Option<&BreakFinding>) -> Response<ResponseBody> {
+fn broke(reason: &str, diagnosis: Option<&BreakDiagnosis>) -> Response<ResponseBody> {
     let mut response = empty_response(StatusCode::BAD_GATEWAY);
     let reason = if reason.is_empty() { "unknown" } else { reason };
     set_header(response.headers_mut(), &PEER_FAILURE_HEADER, reason);
-    if let Some(Ok(finding)) = finding.map(serde_json::to_string) {
-        set_header(response.headers_mut(), &PEER_DIAGNOSIS_HEADER, &finding);
+    if let Some(Ok(diagnosis)) = diagnosis.map(serde_json::to_string) {
+        set_header(response.headers_mut(), &PEER_DIAGNOSIS_HEADER, &diagnosis);
     }
     response
 }
--- a/crates/node/src/retry/mod.rs
+++ b/crates/node/src/retry/mod.rs
@@ -2,4 +2,4 @@
 
 mod retry_budget;
 
-pub use retry_budget::{RetryBudget, RetryNeed, RetryTerms};
+pub use retry_budget::{RetryBudget, RetryLimits, RetryNeed};
--- a/crates/node/src/retry/retry_budget.rs
+++ b/crates/node/src/retry/retry_budget.rs
@@ -20,7 +20,7 @@
 
 /// Terms of the bound that all nodes keep together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryTerms {
+pub struct RetryLimits {
     /// Further arrivals allowed for each request.
     pub ratio: f64,
     /// Further arrivals allowed besides, in all.
@@ -63,47 +63,47 @@
 /// come or go only the slack is dealt anew.
 #[derive(Debug)]
 pub struct RetryBudget {
-    terms: RetryTerms,
+    limits: RetryLimits,
     services: HashMap<Rc<str>, ServiceWindow>,
 }
 
 impl RetryBudget {
-    /// Makes a budget under `terms`.
+    /// Makes a budget under `limits`.
     ///
     /// # Examples
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::retry::{RetryBudget, RetryNeed, RetryTerms};
+    /// use geranium_node::retry::{RetryBudget, RetryNeed, RetryLimits};
     ///
     /// let window = Duration::from_secs(10);
-    /// let mut budget = RetryBudget::new(RetryTerms { ratio: 0.2, slack: 50.0, window });
+    /// let mut budget = RetryBudget::new(RetryLimits { ratio: 0.2, slack: 50.0, window });
     /// let need = RetryNeed { service: "prices", nodes: 10, runs_again: false };
     /// let granted = (0..20).filter(|_| budget.withdraw(Duration::ZERO, need)).count();
     /// assert_eq!(granted, 2);
     /// ```
-    pub fn new(terms: RetryTerms) -> Self {
+    pub fn new(limits: RetryLimits) -> Self {
         Self {
-            terms,
+            limits,
             services: HashMap::new(),
         }
     }
 
     /// Changes the terms.
-    pub fn set_terms(&mut self, terms: RetryTerms) {
-        self.terms = terms;
+    pub fn set_limits(&mut self, limits: RetryLimits) {
+        self.limits = limits;
     }
 
     /// Notes a request for a service.
     pub fn requested(&mut self, now: Duration, service: &Rc<str>) {
-        let window = self.terms.window;
+        let window = self.limits.window;
         let entry = self.services.entry(Rc::clone(service)).or_default();
         entry.bucket(now, window).requests += 1;
     }
 
     /// Takes a further try out of the budget, if it has one.
     pub fn withdraw(&mut self, now: Duration, need: RetryNeed<'_>) -> bool {
-        let window = self.terms.window;
+        let window = self.limits.window;
         let granted = self.has_room(now, need);
         if granted {
             let entry = self.services.entry(need.service.into()).or_default();
@@ -117,11 +117,11 @@
     /// Whether a further try would be granted.
     pub fn has_room(&self, now: Duration, need: RetryNeed<'_>) -> bool {
         let counts = match self.services.get(need.service) {
-            Some(entry) => entry.counts(now, self.terms.window),
+            Some(entry) => entry.counts(now, self.limits.window),
             None => Bucket::default(),
         };
-        let own = self.terms.ratio * f64::from(counts.requests);
-        let allowance = own + self.terms.slack / need.nodes.max(1) as f64;
+        let own = self.limits.ratio * f64::from(counts.requests);
+        let allowance = own + self.limits.slack / need.nodes.max(1) as f64;
         let fits = |used: u32, part: f64| f64::from(used) + 1.0 <= part * allowance;
         let rerun_fits = !need.runs_again || fits(counts.reruns, RERUN_PART);
         rerun_fits && fits(counts.retries, USED_PART)
--- a/crates/node/tests/all/budget.rs
+++ b/crates/node/tests/all/budget.rs
@@ -2,9 +2,9 @@
 
 use std::{rc::Rc, time::Duration};
 
-use geranium_node::retry::{RetryBudget, RetryNeed, RetryTerms};
+use geranium_node::retry::{RetryBudget, RetryLimits, RetryNeed};
 
-const TERMS: RetryTerms = RetryTerms {
+const TERMS: RetryLimits = RetryLimits {
     ratio: 0.2,
     slack: 60.0,
     window: Duration::from_secs(10),
--- a/crates/node/tests/all/config.rs
+++ b/crates/node/tests/all/config.rs
@@ -12,7 +12,7 @@
     header_set::HeaderSet,
     node_core::NodeCore,
     node_settings::{ListenAddrs, NodeSettings},
-    retry::RetryTerms,
+    retry::RetryLimits,
 };
 use http::HeaderName;
 use slog::{Discard, Logger, o};
@@ -227,7 +227,7 @@
         leaving_time: Duration::from_secs(2),
         stop_time: Duration::from_secs(6),
         link_mbps: 100.0,
-        retries: RetryTerms {
+        retries: RetryLimits {
             ratio: 0.2,
             slack: 60.0,
             window: Duration::from_secs(10),
--- a/crates/node/tests/all/deadlines.rs
+++ b/crates/node/tests/all/deadlines.rs
@@ -89,10 +89,11 @@
     const REFUSED: u64 = 10_000;
     let mut book = ResendTracker::default();
     let end = millis(60_000);
-    for print in 0..REFUSED {
-        book.refused(print, millis(print), end);
+    for fingerprint in 0..REFUSED {
+        book.refused(fingerprint, millis(fingerprint), end);
     }
-    let known = (0..REFUSED).filter(|&print| book.first_attempt_at(print, end).is_some());
+    let known =
+        (0..REFUSED).filter(|&fingerprint| book.first_attempt_at(fingerprint, end).is_some());
     assert!(known.count() < 2_000);
     assert!(book.first_attempt_at(REFUSED - 1, end).is_some());
 }
--- a/crates/node/tests/all/eras.rs
+++ b/crates/node/tests/all/eras.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    crash::{CrashBook, CrashRow},
+    crash::{CrashHistory, CrashRecord},
     member::{FleetView, MemberRecord, MemberState},
     store::{Revision, StoreEra},
 };
@@ -56,13 +56,13 @@
 /// Guards against crashes of a new era that aren't handed on to nodes that know the one before.
 #[test]
 fn crashes_of_a_later_era_are_handed_on() {
-    let mut book = CrashBook::default();
-    let row = CrashRow {
+    let mut book = CrashHistory::default();
+    let row = CrashRecord {
         fingerprint: 7,
         start: start("i-1"),
     };
     book.record(NOW, row, revision(2, 3));
-    assert_eq!(book.rows_since(revision(1, 900)).len(), 1);
+    assert_eq!(book.records_since(revision(1, 900)).len(), 1);
 }
 
 proptest! {
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -76,7 +76,7 @@
 /// A caller that wants one file.
 #[derive(Debug, Clone, Copy)]
 struct Caller {
-    print: u64,
+    fingerprint: u64,
     first_attempt_at: Duration,
     end: Duration,
     attempts: u32,
@@ -144,7 +144,7 @@
         if self.rng.random::<f64>() < self.per_second * STEP.as_secs_f64() {
             let patience = Duration::from_millis(self.rng.random_range(PATIENCE));
             self.callers.push(Caller {
-                print: self.rng.random(),
+                fingerprint: self.rng.random(),
                 first_attempt_at: now,
                 end: now + patience,
                 attempts: 0,
@@ -179,7 +179,9 @@
 
     fn offer(&mut self, now: Duration, mut caller: Caller) {
         self.result.offered += 1;
-        let known = self.returns.first_attempt_at(caller.print, caller.end);
+        let known = self
+            .returns
+            .first_attempt_at(caller.fingerprint, caller.end);
         let first_attempt_at = known.filter(|_| self.sight.returns).unwrap_or(now);
         let offer = LinkOffer {
             bytes: FILE_BYTES as u64,
@@ -193,7 +195,7 @@
                 self.result.refused += 1;
                 self.send_head(now);
                 self.returns
-                    .refused(caller.print, first_attempt_at, caller.end);
+                    .refused(caller.fingerprint, first_attempt_at, caller.end);
                 caller.attempts += 1;
                 caller.asks_at = now + retry_after.max(PAUSE);
                 if caller.attempts < ATTEMPTS && caller.asks_at < caller.end {
--- a/crates/node/tests/all/poison.rs
+++ b/crates/node/tests/all/poison.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use geranium_node::crash::{CrashRow, PoisonRegister, PoisonTerms, PoisonVerdict, request_print};
+use geranium_node::crash::{
+    CrashRecord, PoisonLimits, PoisonRegistry, PoisonStatus, request_fingerprint,
+};
 use http::{HeaderMap, Method, Uri};
 use proptest::prelude::*;
 use rand::{SeedableRng, rngs::StdRng, seq::IndexedRandom};
@@ -10,7 +12,7 @@
 use crate::support::start;
 
 const POISON: u64 = 1;
-const TERMS: PoisonTerms = PoisonTerms {
+const TERMS: PoisonLimits = PoisonLimits {
     crashes: 2,
     hold: Duration::from_secs(600),
 };
@@ -18,15 +20,15 @@
 /// Second from which the crashing request is sent.
 const FIRST_SENT: u32 = 30;
 
-fn row(fingerprint: u64, instance: usize, announced: u64) -> CrashRow {
-    CrashRow {
+fn row(fingerprint: u64, instance: usize, announced: u64) -> CrashRecord {
+    CrashRecord {
         fingerprint,
         start: start(format!("till-{instance}-{announced}")),
     }
 }
 
-fn refused(verdict: PoisonVerdict) -> bool {
-    matches!(verdict, PoisonVerdict::Refused { .. })
+fn refused(status: PoisonStatus) -> bool {
+    matches!(status, PoisonStatus::Refused { .. })
 }
 
 /// What a person resending one request a second does to a service of five
@@ -40,7 +42,7 @@
 
 fn resend(guarded: bool) -> Resends {
     let mut rng = StdRng::seed_from_u64(9);
-    let mut register = PoisonRegister::new(TERMS);
+    let mut registry = PoisonRegistry::new(TERMS);
     let hot: Vec<u64> = (100..140).collect();
     let mut result = Resends {
         crashes: 0,
@@ -52,27 +54,27 @@
         let now = SECOND * second;
         for _ in 0..50 {
             let price = *hot.choose(&mut rng).unwrap();
-            if refused(register.verdict(now, price)) {
+            if refused(registry.status(now, price)) {
                 result.hot_refused += 1;
             } else {
-                register.completed(price);
+                registry.completed(price);
             }
         }
         let sent = second >= FIRST_SENT;
-        if sent && (!guarded || !refused(register.verdict(now, POISON))) {
+        if sent && (!guarded || !refused(registry.status(now, POISON))) {
             let instance = result.crashes as usize % 5;
             let announced = u64::from(result.crashes);
-            register.record(now, row(POISON, instance, announced));
+            registry.record(now, row(POISON, instance, announced));
             for &beside in &hot[..10] {
-                register.record(now, row(beside, instance, announced));
+                registry.record(now, row(beside, instance, announced));
             }
             let cold = 1_000 + u64::from(result.crashes / 2);
-            register.record(now, row(cold, instance, announced));
+            registry.record(now, row(cold, instance, announced));
             cold_beside.push(cold);
             result.crashes += 1;
         }
         let cold = cold_beside.first().copied().unwrap_or_default();
-        result.cold_refused += u32::from(refused(register.verdict(now, cold)));
+        result.cold_refused += u32::from(refused(registry.status(now, cold)));
     }
     result
 }
@@ -96,50 +98,47 @@
 #[test]
 fn the_guilty_stay_out_for_the_whole_hold() {
     let hold = Duration::from_secs(600);
-    let mut register = PoisonRegister::new(TERMS);
+    let mut registry = PoisonRegistry::new(TERMS);
     for instance in 0..2 {
-        register.record(SECOND, row(POISON, instance, 1));
+        registry.record(SECOND, row(POISON, instance, 1));
     }
     let retry_after = hold;
     assert_eq!(
-        register.verdict(SECOND, POISON),
-        PoisonVerdict::Refused { retry_after }
+        registry.status(SECOND, POISON),
+        PoisonStatus::Refused { retry_after }
     );
     for instance in 10..13 {
-        register.record(SECOND, row(2, instance, 1));
-        register.record(SECOND, row(3, instance, 1));
+        registry.record(SECOND, row(2, instance, 1));
+        registry.record(SECOND, row(3, instance, 1));
     }
     assert_eq!(
-        register.verdict(SECOND, 2),
-        PoisonVerdict::Refused { retry_after }
-    );
-    assert_eq!(
-        register.verdict(SECOND + hold, POISON),
-        PoisonVerdict::Clear
+        registry.status(SECOND, 2),
+        PoisonStatus::Refused { retry_after }
     );
+    assert_eq!(registry.status(SECOND + hold, POISON), PoisonStatus::Clear);
 }
 
 /// A price sat beside a crash that another request caused. Sixteen good answers
 /// later it may be retried again like any other.
 #[test]
 fn good_answers_clear_a_suspect() {
-    let mut register = PoisonRegister::new(TERMS);
-    register.record(SECOND, row(2, 0, 1));
-    (0..15).for_each(|_| register.completed(2));
-    assert_eq!(register.verdict(SECOND, 2), PoisonVerdict::Suspect);
-    register.completed(2);
-    assert_eq!(register.verdict(SECOND, 2), PoisonVerdict::Clear);
+    let mut registry = PoisonRegistry::new(TERMS);
+    registry.record(SECOND, row(2, 0, 1));
+    (0..15).for_each(|_| registry.completed(2));
+    assert_eq!(registry.status(SECOND, 2), PoisonStatus::Suspect);
+    registry.completed(2);
+    assert_eq!(registry.status(SECOND, 2), PoisonStatus::Clear);
 }
 
 /// A price that was fine all day turns bad with new data and now crashes each
 /// server. Its past buys it one crash, no more.
 #[test]
 fn a_good_past_buys_one_crash() {
-    let mut register = PoisonRegister::new(TERMS);
-    (0..100_000).for_each(|_| register.completed(POISON));
+    let mut registry = PoisonRegistry::new(TERMS);
+    (0..100_000).for_each(|_| registry.completed(POISON));
     let mut crashes = 0;
-    while !refused(register.verdict(SECOND, POISON)) {
-        register.record(SECOND, row(POISON, crashes, 1));
+    while !refused(registry.status(SECOND, POISON)) {
+        registry.record(SECOND, row(POISON, crashes, 1));
         crashes += 1;
     }
     assert_eq!(crashes, 3);
@@ -148,13 +147,13 @@
 /// Guards against refusing a popular lookup for over a minute after servers ended together.
 #[test]
 fn servers_lost_together_shut_a_popular_lookup_out_for_a_minute() {
-    let mut register = PoisonRegister::new(TERMS);
-    (0..1_000).for_each(|_| register.completed(7));
+    let mut registry = PoisonRegistry::new(TERMS);
+    (0..1_000).for_each(|_| registry.completed(7));
     for instance in 0..4 {
-        register.record(SECOND, row(7, instance, 1));
-        register.record(SECOND, row(100 + instance as u64, instance, 1));
+        registry.record(SECOND, row(7, instance, 1));
+        registry.record(SECOND, row(100 + instance as u64, instance, 1));
     }
-    let verdicts = [2, 61, 300].map(|at| refused(register.verdict(SECOND * at, 7)));
+    let verdicts = [2, 61, 300].map(|at| refused(registry.status(SECOND * at, 7)));
     assert_eq!(verdicts, [true, false, false]);
 }
 
@@ -162,15 +161,15 @@
 /// rows of the latest crashes are the ones kept.
 #[test]
 fn memory_is_bounded() {
-    let mut register = PoisonRegister::new(TERMS);
+    let mut registry = PoisonRegistry::new(TERMS);
     for crash in 0..1_000usize {
         for beside in 0..12 {
-            register.record(SECOND, row((crash * 12 + beside) as u64, crash, 1));
+            registry.record(SECOND, row((crash * 12 + beside) as u64, crash, 1));
         }
     }
-    assert_eq!(register.rows().count(), 4_096);
-    assert_eq!(register.verdict(SECOND, 11_999), PoisonVerdict::Suspect);
-    assert_eq!(register.verdict(SECOND, 0), PoisonVerdict::Clear);
+    assert_eq!(registry.rows().count(), 4_096);
+    assert_eq!(registry.status(SECOND, 11_999), PoisonStatus::Suspect);
+    assert_eq!(registry.status(SECOND, 0), PoisonStatus::Clear);
 }
 
 proptest! {
@@ -182,22 +181,22 @@
     fn order_and_doubles_change_nothing(
         crashes in prop::collection::vec((0..4u64, 0..3usize, 0..2u64), 0..40),
     ) {
-        let mut register = PoisonRegister::new(TERMS);
+        let mut registry = PoisonRegistry::new(TERMS);
         let mut plain = std::collections::BTreeSet::new();
         for &(fingerprint, instance, announced) in &crashes {
-            let new = register.record(SECOND, row(fingerprint, instance, announced));
+            let new = registry.record(SECOND, row(fingerprint, instance, announced));
             prop_assert_eq!(new, plain.insert((fingerprint, instance, announced)));
         }
-        let mut twin = PoisonRegister::new(TERMS);
+        let mut twin = PoisonRegistry::new(TERMS);
         for &(fingerprint, instance, announced) in crashes.iter().rev() {
             twin.record(SECOND, row(fingerprint, instance, announced));
         }
         for fingerprint in 0..4 {
             let count = plain.iter().filter(|crash| crash.0 == fingerprint).count();
-            let verdict = register.verdict(SECOND, fingerprint);
-            prop_assert_eq!(verdict, twin.verdict(SECOND, fingerprint));
-            prop_assert_eq!(verdict == PoisonVerdict::Clear, count == 0);
-            prop_assert_eq!(refused(verdict), count >= 2);
+            let status = registry.status(SECOND, fingerprint);
+            prop_assert_eq!(status, twin.status(SECOND, fingerprint));
+            prop_assert_eq!(status == PoisonStatus::Clear, count == 0);
+            prop_assert_eq!(refused(status), count >= 2);
         }
     }
 
@@ -206,7 +205,7 @@
     fn prints_tell_parts_apart(text in "[a-z]{8}", first in 0..9usize, second in 0..9usize) {
         let cut = |at: usize| {
             let uri: Uri = format!("/{}", &text[..at]).parse().unwrap();
-            request_print(&Method::POST, &uri, &HeaderMap::new(), &text.as_bytes()[at..])
+            request_fingerprint(&Method::POST, &uri, &HeaderMap::new(), &text.as_bytes()[at..])
         };
         prop_assert_eq!(cut(first) == cut(second), first == second);
     }
--- a/crates/node/tests/all/starts.rs
+++ b/crates/node/tests/all/starts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    crash::{CrashBook, CrashRow},
+    crash::{CrashHistory, CrashRecord},
     member::{EndpointStart, FleetView, MemberRecord, StartInput, StartOrder},
     store::Revision,
 };
@@ -23,10 +23,10 @@
 /// Guards against counting several crashes under one identifier as one.
 #[test]
 fn each_crash_of_an_identifier_counts() {
-    let mut book = CrashBook::default();
+    let mut book = CrashHistory::default();
     for crash in 0..2 {
         assert_eq!(book.refusal(NOW, 7), None, "after {crash} crashes");
-        let row = CrashRow {
+        let row = CrashRecord {
             fingerprint: 7,
             start: born("i-1", 1_000 * (crash + 1)),
         };
@@ -85,7 +85,7 @@
     #[test]
     fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _record = serde_json::from_slice::<MemberRecord>(&bytes);
-        let _rows = serde_json::from_slice::<Vec<CrashRow>>(&bytes);
+        let _rows = serde_json::from_slice::<Vec<CrashRecord>>(&bytes);
     }
 
     /// An announcement with a field missing or of another type names nobody. What
