--- a/crates/ctl/src/commands/status_command.rs
+++ b/crates/ctl/src/commands/status_command.rs
@@ -4,7 +4,7 @@
 
 use geranium_node::{
     config::ConfigVersion,
-    follow::{AnnouncementKey, MEMBER_PREFIX},
+    discovery::{AnnouncementKey, MEMBER_PREFIX},
     store::{MetaStore, ReadAge, StoreItem},
 };
 use snafu::ResultExt;
--- a/crates/ctl/src/presets/config_codec.rs
+++ b/crates/ctl/src/presets/config_codec.rs
@@ -1,6 +1,6 @@
 //! How configurations are written in the store.
 
-use geranium_node::{config::ConfigInput, follow::ConfigSource};
+use geranium_node::{config::ConfigInput, discovery::ConfigSource};
 
 /// Where the configuration in force lies in the store, and how it is written
 /// and read.
--- a/crates/ctl/tests/all/support/mod.rs
+++ b/crates/ctl/tests/all/support/mod.rs
@@ -8,7 +8,7 @@
 };
 use geranium_node::{
     config::{ConfigError, ConfigInput, ConfigVersion},
-    follow::ConfigSource,
+    discovery::ConfigSource,
     store::{MetaStore, ReadAge},
 };
 
--- a/crates/node/src/follow/announcement_key.rs
+++ b/crates/node/src/discovery/announcement_key.rs
@@ -23,7 +23,7 @@
     ///
     /// ```
     /// use std::net::SocketAddr;
-    /// use geranium_node::follow::AnnouncementKey;
+    /// use geranium_node::discovery::AnnouncementKey;
     ///
     /// let peer_addr = SocketAddr::from(([10, 1, 0, 4], 7600));
     /// let key = AnnouncementKey::new("hofdi", peer_addr);
--- a/crates/node/src/follow/fleet_follower.rs
+++ b/crates/node/src/discovery/fleet_follower.rs
@@ -8,9 +8,9 @@
 use snafu::Snafu;
 use tokio::time::{sleep, timeout};
 
-use super::{FOLLOW_PATH, news_intake::take_answer};
+use super::{UPDATE_PATH, update_intake::take_answer};
 use crate::{
-    distribution::{FollowAnswer, FollowQuestion, GuideChoice, StoreContact},
+    distribution::{StoreContact, UpdateRequest, UpdateResponse, UpdateSource},
     node_core::NodeCore,
     transport::{CallError, NodeCall},
 };
@@ -55,14 +55,14 @@
 /// and with none left the store itself. A guide that the store turns away says so at
 /// once, so that a change is in force in time also where every guide is turned away in
 /// the same moment.
-pub async fn follow_guide(core: Rc<NodeCore>) {
+pub async fn follow_relay(core: Rc<NodeCore>) {
     let mut lost: Option<SocketAddr> = None;
     loop {
-        match core.guide_choice() {
-            GuideChoice::Store => {
+        match core.update_source() {
+            UpdateSource::Store => {
                 let _idle = timeout(IDLE_LOOK, core.duty_changed.notified()).await;
             }
-            GuideChoice::Node(peer_addr) => {
+            UpdateSource::Node(peer_addr) => {
                 let told_lost = follow(&core, peer_addr, lost == Some(peer_addr)).await;
                 lost = told_lost.then_some(peer_addr);
                 sleep(FOLLOW_PAUSE).await;
@@ -95,7 +95,11 @@
             if lost_known && !contact.lost {
                 core.store_found(peer_addr);
             }
-            if core.guide.borrow_mut().told(now, peer_addr, contact) {
+            if core
+                .relay_selector
+                .borrow_mut()
+                .told(now, peer_addr, contact)
+            {
                 core.doubt_store();
             }
             take_answer(core, peer_addr, answer);
@@ -104,7 +108,7 @@
         Err(cause) => {
             warn!(core.log.logger(), "guide lost";
                 "at" => %peer_addr, "version" => core.version().0, "cause" => %cause);
-            core.guide.borrow_mut().failed(now, peer_addr);
+            core.relay_selector.borrow_mut().failed(now, peer_addr);
             false
         }
     };
@@ -138,8 +142,8 @@
     }
 }
 
-fn question(core: &NodeCore, wait: Duration, lost_known: bool) -> FollowQuestion {
-    FollowQuestion {
+fn question(core: &NodeCore, wait: Duration, lost_known: bool) -> UpdateRequest {
+    UpdateRequest {
         version: core.version(),
         members: core.fleet.borrow().revision(),
         wait,
@@ -150,11 +154,11 @@
 async fn ask(
     core: &NodeCore,
     peer_addr: SocketAddr,
-    question: FollowQuestion,
-) -> Result<FollowAnswer, FollowError> {
+    question: UpdateRequest,
+) -> Result<UpdateResponse, FollowError> {
     let call = NodeCall {
         method: Method::GET,
-        path: format!("{FOLLOW_PATH}?{question}"),
+        path: format!("{UPDATE_PATH}?{question}"),
         body: Bytes::new(),
         time: question.wait + ANSWER_TIME,
     };
--- a/crates/node/src/follow/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -12,8 +12,8 @@
 use super::{
     AnnouncementKey, NODE_PREFIX,
     member_notes::MemberNotes,
-    news_intake::{take_lapse, take_record},
     own_key,
+    update_intake::{take_lapse, take_record},
 };
 use crate::{
     crash::CRASH_PREFIX,
@@ -60,7 +60,7 @@
         match step {
             Ok(()) => {
                 core.store_answered();
-                core.news.notify_waiters();
+                core.updates.notify_waiters();
                 sleep(if settling { SETTLE_LOOK } else { GATHER }).await;
             }
             Err(failure) => core.store_failed("members", &failure),
--- a/crates/node/src/follow/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,10 +1,10 @@
 //! Following what the store holds, and announcing there.
 //!
 //! Every call to the store is paid for, and its rates grow more slowly than
-//! the fleet. So only one node of each data centre watches it, as [`Guide`]
+//! the fleet. So only one node of each data centre watches it, as [`RelaySelector`]
 //! chooses; [`watch_config`] and [`watch_members`] run there. The others ask
-//! that node, which holds each question until it has news ([`follow_guide`],
-//! [`FollowPort`]). Whoever hears on the way of a request that another node
+//! that node, which holds each question until it has news ([`follow_relay`],
+//! [`UpdateHandler`]). Whoever hears on the way of a request that another node
 //! holds a later configuration, asks that one ([`catch_up`]).
 //! [`keep_announced`] keeps the own announcement under a lease. While the
 //! store is away everyone keeps what they have, and only [`look_for_store`]
@@ -17,14 +17,14 @@
 mod config_watcher;
 mod era_watch;
 mod fleet_follower;
-mod follow_port;
 mod member_notes;
 mod member_watcher;
-mod news_intake;
 mod store_look;
+mod update_handler;
+mod update_intake;
 
 #[cfg(doc)]
-use crate::distribution::{Guide, StoreAccess};
+use crate::distribution::{RelaySelector, StoreAccess};
 use crate::node_core::NodeCore;
 
 pub use announcement_key::{AnnouncementKey, MEMBER_PREFIX};
@@ -32,10 +32,10 @@
 pub use config_source::ConfigSource;
 pub use config_watcher::watch_config;
 pub use era_watch::watch_eras;
-pub use fleet_follower::{catch_up, follow_guide};
-pub use follow_port::{FOLLOW_PATH, FollowPort};
+pub use fleet_follower::{catch_up, follow_relay};
 pub use member_watcher::watch_members;
 pub use store_look::look_for_store;
+pub use update_handler::{UPDATE_PATH, UpdateHandler};
 
 /// Returns the key of a node's own announcement.
 pub(crate) fn own_key(core: &NodeCore) -> AnnouncementKey {
--- a/crates/node/src/follow/follow_port.rs
+++ b/crates/node/src/discovery/update_handler.rs
@@ -7,21 +7,21 @@
 
 use crate::{
     config::ConfigVersion,
-    distribution::{ConfigNews, FollowAnswer, FollowQuestion},
+    distribution::{ConfigUpdate, UpdateRequest, UpdateResponse},
     node_core::NodeCore,
     response_body::{ResponseBody, empty_response, json_response},
 };
 
 /// Path at which a node tells others what they ask.
-pub const FOLLOW_PATH: &str = "/.geranium/follow";
+pub const UPDATE_PATH: &str = "/.geranium/follow";
 
 /// Tells other nodes what they ask, as soon as there are news.
 #[derive(Debug, Clone)]
-pub struct FollowPort {
+pub struct UpdateHandler {
     core: Rc<NodeCore>,
 }
 
-impl FollowPort {
+impl UpdateHandler {
     /// Makes the port of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
@@ -29,7 +29,7 @@
 
     /// Answers a question.
     pub async fn answer(&self, uri: &Uri) -> Response<ResponseBody> {
-        let question = uri.query().unwrap_or_default().parse::<FollowQuestion>();
+        let question = uri.query().unwrap_or_default().parse::<UpdateRequest>();
         let Ok(question) = question else {
             return empty_response(StatusCode::BAD_REQUEST);
         };
@@ -44,11 +44,11 @@
         })
     }
 
-    async fn wait_for_news(&self, question: FollowQuestion) -> FollowAnswer {
+    async fn wait_for_news(&self, question: UpdateRequest) -> UpdateResponse {
         let until = Instant::now() + question.wait;
         loop {
-            let heard = self.core.news.notified();
-            let answer = self.news_for(question);
+            let heard = self.core.updates.notified();
+            let answer = self.update_for(question);
             // A node that starts knows its own data centre at first.
             let members = &answer.members;
             let no_members = members.is_empty() || members.revision == 0;
@@ -63,21 +63,21 @@
         }
     }
 
-    fn news_for(&self, question: FollowQuestion) -> FollowAnswer {
+    fn update_for(&self, question: UpdateRequest) -> UpdateResponse {
         let now = self.core.clock.now();
-        let guide = self.core.guide.borrow();
-        FollowAnswer {
-            store_age_ms: guide.store_age(now).as_millis() as u64,
-            store_lost: guide.has_lost_store(),
+        let relay_selector = self.core.relay_selector.borrow();
+        UpdateResponse {
+            store_age_ms: relay_selector.store_age(now).as_millis() as u64,
+            store_lost: relay_selector.has_lost_store(),
             config: self.config_news(question.version),
             crashes: self.core.crashes.borrow().records_since(question.members),
-            members: self.core.fleet.borrow().news_since(question.members),
+            members: self.core.fleet.borrow().update_since(question.members),
         }
     }
 
-    fn config_news(&self, version: ConfigVersion) -> Option<ConfigNews> {
-        let news = self.core.history.borrow().news_for(version);
-        news.unwrap_or_else(|cause| {
+    fn config_news(&self, version: ConfigVersion) -> Option<ConfigUpdate> {
+        let updates = self.core.history.borrow().update_for(version);
+        updates.unwrap_or_else(|cause| {
             slog::error!(self.core.log.logger(), "configuration not packed";
                 "version" => self.core.version().0, "cause" => %cause);
             None
--- a/crates/node/src/follow/news_intake.rs
+++ b/crates/node/src/discovery/update_intake.rs
@@ -7,16 +7,16 @@
 use super::member_notes::{MemberNotes, MemberRow};
 use crate::{
     config::MeshConfig,
-    distribution::{ConfigNews, FollowAnswer},
-    member::{MemberNews, MemberRecord},
+    distribution::{ConfigUpdate, UpdateResponse},
+    member::{MemberRecord, MemberUpdate},
     node_core::NodeCore,
     store::Revision,
 };
 
 /// Takes in what another node told.
-pub(super) fn take_answer(core: &NodeCore, from: SocketAddr, answer: FollowAnswer) {
-    if let Some(news) = answer.config {
-        take_config(core, from, news);
+pub(super) fn take_answer(core: &NodeCore, from: SocketAddr, answer: UpdateResponse) {
+    if let Some(updates) = answer.config {
+        take_config(core, from, updates);
     }
     for (revision, row) in answer.crashes {
         core.record_crash(row, Revision(revision));
@@ -24,10 +24,10 @@
     take_members(core, answer.members);
 }
 
-fn take_config(core: &NodeCore, from: SocketAddr, news: ConfigNews) {
+fn take_config(core: &NodeCore, from: SocketAddr, updates: ConfigUpdate) {
     let before = core.config.borrow().clone();
-    let input = match news {
-        ConfigNews::Whole(packed) => match packed.unpack() {
+    let input = match updates {
+        ConfigUpdate::Whole(packed) => match packed.unpack() {
             Ok(input) => Some(Rc::new(input)),
             Err(cause) => {
                 error!(core.log.logger(), "configuration unreadable";
@@ -35,7 +35,7 @@
                 None
             }
         },
-        ConfigNews::Delta(delta) => before
+        ConfigUpdate::Delta(delta) => before
             .as_ref()
             .and_then(|before| delta.apply(&before.input))
             .map(Rc::new),
@@ -51,12 +51,12 @@
     }
 }
 
-fn take_members(core: &NodeCore, news: MemberNews) {
-    let revision = Revision(news.revision);
+fn take_members(core: &NodeCore, updates: MemberUpdate) {
+    let revision = Revision(updates.revision);
     core.eras.hear(revision.era());
-    if news.whole {
+    if updates.whole {
         let now = core.clock.now();
-        let present: HashSet<SocketAddr> = news
+        let present: HashSet<SocketAddr> = updates
             .written
             .iter()
             .map(|(record, _)| record.peer_addr)
@@ -68,15 +68,15 @@
         }
     }
     let mut notes = MemberNotes::default();
-    for (record, revision) in news.written {
+    for (record, revision) in updates.written {
         take_record(core, record, Revision(revision), &mut notes);
     }
     notes.write(core.log.logger());
-    for (peer_addr, revision) in news.lapsed {
+    for (peer_addr, revision) in updates.lapsed {
         take_lapse(core, peer_addr, Revision(revision));
     }
     core.fleet.borrow_mut().advance(revision);
-    core.news.notify_waiters();
+    core.updates.notify_waiters();
 }
 
 /// Takes in an announcement, and notes it if it changes anything.
--- a/crates/node/src/distribution/config_history.rs
+++ b/crates/node/src/distribution/config_history.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::OnceCell, collections::VecDeque, rc::Rc};
 
-use super::{ConfigNews, PackedConfig};
+use super::{ConfigUpdate, PackedConfig};
 use crate::config::{ConfigDelta, ConfigInput, ConfigVersion};
 
 /// Versions kept. Changes come five a second at most for some seconds, and
@@ -35,7 +35,10 @@
     /// # Errors
     ///
     /// When the newest version can't be packed.
-    pub fn news_for(&self, version: ConfigVersion) -> Result<Option<ConfigNews>, std::io::Error> {
+    pub fn update_for(
+        &self,
+        version: ConfigVersion,
+    ) -> Result<Option<ConfigUpdate>, std::io::Error> {
         let Some(newest) = self.versions.back() else {
             return Ok(None);
         };
@@ -44,8 +47,8 @@
         }
         let known = self.versions.iter().find(|input| input.version == version);
         Ok(Some(match known {
-            Some(known) => ConfigNews::Delta(ConfigDelta::between(known, newest)),
-            None => ConfigNews::Whole(self.packed(newest)?),
+            Some(known) => ConfigUpdate::Delta(ConfigDelta::between(known, newest)),
+            None => ConfigUpdate::Whole(self.packed(newest)?),
         }))
     }
 
--- a/crates/node/src/distribution/guide.rs
+++ b/crates/node/src/distribution/relay_selector.rs
@@ -9,7 +9,7 @@
 /// one.
 const STORE_STALE: Duration = Duration::from_millis(3_500);
 /// Time for which a node that failed as a guide isn't asked again.
-const GUIDE_OUT: Duration = Duration::from_secs(5);
+const RELAY_OUT: Duration = Duration::from_secs(5);
 /// Nodes that say they have lost the store from which on it is taken to be away for all.
 const LOST_FOR_ALL: usize = 2;
 /// Time after a question for which a node watches the store because of it.
@@ -18,7 +18,7 @@
 
 /// Where a node gets its news.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GuideChoice {
+pub enum UpdateSource {
     /// From the store.
     Store,
     /// From the node at this address.
@@ -44,7 +44,7 @@
 /// once, and how old its news are, and is passed over by whoever has heard of the store
 /// since.
 #[derive(Debug)]
-pub struct Guide {
+pub struct RelaySelector {
     own: SocketAddr,
     out_until: HashMap<SocketAddr, Duration>,
     /// Nodes that answer but are cut off from the store.
@@ -56,7 +56,7 @@
     asked_cut_off: bool,
 }
 
-impl Guide {
+impl RelaySelector {
     /// Makes the guide of the node at `own`.
     pub fn new(own: SocketAddr) -> Self {
         Self {
@@ -99,7 +99,7 @@
 
     /// Notes that the node at `peer_addr` gave no answer.
     pub fn failed(&mut self, now: Duration, peer_addr: SocketAddr) {
-        self.out_until.insert(peer_addr, now + GUIDE_OUT);
+        self.out_until.insert(peer_addr, now + RELAY_OUT);
     }
 
     /// Takes in what the node at `peer_addr` told of its contact with the store, and returns
@@ -112,12 +112,12 @@
         if !cut_off || self.is_cut_off(now) {
             return false;
         }
-        self.cut_until.insert(peer_addr, now + GUIDE_OUT);
+        self.cut_until.insert(peer_addr, now + RELAY_OUT);
         self.cut_nodes(now) >= LOST_FOR_ALL
     }
 
     /// Whether the node that was asked last is cut off from the store.
-    pub const fn is_guide_cut_off(&self) -> bool {
+    pub const fn is_relay_cut_off(&self) -> bool {
         self.asked_cut_off
     }
 
@@ -144,25 +144,25 @@
     ///
     /// While the store is away for all, nodes that have lost it are followed as well:
     /// the first of them looks for it, and tells the others when it is back.
-    pub fn choose(&self, now: Duration, carriers: &[&MemberRecord]) -> GuideChoice {
+    pub fn choose(&self, now: Duration, relay_candidates: &[&MemberRecord]) -> UpdateSource {
         let cut_off = self.is_cut_off(now);
         let skips_cut = !self.is_lost_for_all(now);
         let holds = |marks: &HashMap<SocketAddr, Duration>, peer_addr| {
             marks.get(peer_addr).is_some_and(|&until| now < until)
         };
-        for record in carriers {
+        for record in relay_candidates {
             if record.peer_addr == self.own {
                 if cut_off {
                     continue;
                 }
-                return GuideChoice::Store;
+                return UpdateSource::Store;
             }
             let out = holds(&self.out_until, &record.peer_addr);
             let cut = skips_cut && holds(&self.cut_until, &record.peer_addr);
             if !out && !cut {
-                return GuideChoice::Node(record.peer_addr);
+                return UpdateSource::Node(record.peer_addr);
             }
         }
-        GuideChoice::Store
+        UpdateSource::Store
     }
 }
--- a/crates/node/src/distribution/follow_message.rs
+++ b/crates/node/src/distribution/update_message.rs
@@ -9,13 +9,13 @@
 
 use crate::{
     config::{ConfigDelta, ConfigVersion},
-    member::MemberNews,
+    member::MemberUpdate,
     store::Revision,
 };
 
 /// What a node asks another, in the query of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FollowQuestion {
+pub struct UpdateRequest {
     /// Version of the configuration that the asking node holds; 0 for none.
     pub version: ConfigVersion,
     /// Revision up to which it knows the members; 0 for none.
@@ -28,7 +28,7 @@
 
 /// A question that can't be read.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-pub enum FollowQuestionError {
+pub enum UpdateRequestError {
     /// A figure is missing.
     #[snafu(display("a figure is missing"))]
     Missing,
@@ -40,7 +40,7 @@
     },
 }
 
-impl std::fmt::Display for FollowQuestion {
+impl std::fmt::Display for UpdateRequest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let wait_ms = self.wait.as_millis();
         let lost = u64::from(self.lost_known);
@@ -48,23 +48,23 @@
     }
 }
 
-impl FromStr for FollowQuestion {
-    type Err = FollowQuestionError;
+impl FromStr for UpdateRequest {
+    type Err = UpdateRequestError;
 
     /// Reads what [`Display`](std::fmt::Display) wrote.
     ///
     /// # Examples
     ///
     /// ```
-    /// use geranium_node::distribution::FollowQuestion;
+    /// use geranium_node::distribution::UpdateRequest;
     ///
-    /// let question: FollowQuestion = "12,530,2000,0".parse()?;
+    /// let question: UpdateRequest = "12,530,2000,0".parse()?;
     /// assert_eq!(question.to_string(), "12,530,2000,0");
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
-    fn from_str(text: &str) -> Result<Self, FollowQuestionError> {
+    fn from_str(text: &str) -> Result<Self, UpdateRequestError> {
         let mut figures = text.split(',');
-        let mut next = || figures.next().ok_or(FollowQuestionError::Missing);
+        let mut next = || figures.next().ok_or(UpdateRequestError::Missing);
         Ok(Self {
             version: ConfigVersion(next()?.parse()?),
             members: Revision(next()?.parse()?),
@@ -76,7 +76,7 @@
 
 /// A newer configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum ConfigNews {
+pub enum ConfigUpdate {
     /// All of it.
     Whole(Rc<PackedConfig>),
     /// What changed since the version that the asking node named.
@@ -85,15 +85,15 @@
 
 /// What a node tells one that asked.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct FollowAnswer {
+pub struct UpdateResponse {
     /// Milliseconds since the store last answered this node.
     pub store_age_ms: u64,
     /// Whether the store doesn't answer this node now.
     pub store_lost: bool,
     /// A newer configuration, if there is one.
-    pub config: Option<ConfigNews>,
+    pub config: Option<ConfigUpdate>,
     /// Crashes of backend servers, with the revisions at which they were told.
     pub crashes: Vec<(u64, CrashRecord)>,
     /// News of the members.
-    pub members: MemberNews,
+    pub members: MemberUpdate,
 }
--- a/crates/node/src/errand/errand_desk.rs
+++ b/crates/node/src/errand/errand_desk.rs
@@ -69,7 +69,7 @@
             outcome
         }
         Err(cause) => {
-            let age = core.guide.borrow().store_age(core.clock.now());
+            let age = core.relay_selector.borrow().store_age(core.clock.now());
             if age > ANSWER_RECENT {
                 core.store_failed("errand", &cause);
             } else {
--- a/crates/node/src/errand/store_errand.rs
+++ b/crates/node/src/errand/store_errand.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    follow::MEMBER_PREFIX,
+    discovery::MEMBER_PREFIX,
     store::{LeaseId, MetaStore, Revision, StoreChange, StoreEra, StoreError, StoreWrite},
 };
 
--- a/crates/node/src/inbound/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -54,7 +54,7 @@
 
 async fn first_config(core: &NodeCore) -> Rc<MeshConfig> {
     loop {
-        let heard = core.news.notified();
+        let heard = core.updates.notified();
         let config = core.config.borrow().clone();
         if let Some(config) = config {
             return config;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,7 +3,7 @@
 //! Callers on the node's machine send their requests to it. The
 //! [`outbound`] finds the route in the [`config`] in force, picks a backend
 //! server out of the [`member`] view and sends the request to the node beside
-//! that one, whose [`inbound`] admits it, runs it and answers. [`follow`] keeps
+//! that one, whose [`inbound`] admits it, runs it and answers. [`discovery`] keeps
 //! configuration and members up to date from the metadata [`store`], and
 //! announces the own backend server there; an [`errand`] is such a call made for
 //! another node.
@@ -16,10 +16,10 @@
 
 pub mod config;
 pub mod crash;
+pub mod discovery;
 pub mod distribution;
 pub mod errand;
 pub mod event_log;
-pub mod follow;
 pub mod header_set;
 pub mod http_port;
 pub mod inbound;
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    LoadReport, MemberKey, MemberNews, MemberRecord, MemberView, MovingMean,
+    LoadReport, MemberKey, MemberRecord, MemberUpdate, MemberView, MovingMean,
     member_distance::NodeLocation, service_pool::ServicePool,
 };
 use crate::store::Revision;
@@ -211,7 +211,7 @@
     }
 
     /// Returns what happened after `since`, for another node.
-    pub fn news_since(&self, since: Revision) -> MemberNews {
+    pub fn update_since(&self, since: Revision) -> MemberUpdate {
         let whole = since == Revision(0) || since < self.forgotten;
         let fresh = |revision: Revision| whole || revision > since;
         let members = self.members.iter().map(|(_, member)| member);
@@ -223,7 +223,7 @@
             .map(|member| (member.record.peer_addr, member.revision));
         let lapsed = lapsed.chain(dropped.copied());
         let written = written.into_iter();
-        MemberNews {
+        MemberUpdate {
             revision: self.revision.0,
             whole,
             written: written
@@ -237,7 +237,7 @@
 
     /// Returns the members of this node's data centre, best link first, in an
     /// order that all nodes share.
-    pub fn carriers(&self) -> Vec<&MemberRecord> {
+    pub fn relay_candidates(&self) -> Vec<&MemberRecord> {
         let near = self.members.iter().map(|(_, member)| member);
         let near = near.filter(|member| member.is_near() && !member.has_lapsed());
         let mut records: Vec<&MemberRecord> = near.map(|member| &member.record).collect();
--- a/crates/node/src/member/member_news.rs
+++ b/crates/node/src/member/member_update.rs
@@ -8,7 +8,7 @@
 
 /// What one node tells another of the members.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct MemberNews {
+pub struct MemberUpdate {
     /// Revision of the store up to which this goes.
     pub revision: u64,
     /// Whether this is all there is: members that aren't named are missing.
@@ -19,7 +19,7 @@
     pub lapsed: Vec<(SocketAddr, u64)>,
 }
 
-impl MemberNews {
+impl MemberUpdate {
     /// Whether it tells nothing.
     pub const fn is_empty(&self) -> bool {
         !self.whole && self.written.is_empty() && self.lapsed.is_empty()
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -13,11 +13,11 @@
 
 use crate::{
     crash::watch_crashes,
-    errand::run_errands,
-    follow::{
-        ConfigSource, catch_up, follow_guide, keep_announced, look_for_store, watch_config,
+    discovery::{
+        ConfigSource, catch_up, follow_relay, keep_announced, look_for_store, watch_config,
         watch_eras, watch_members,
     },
+    errand::run_errands,
     http_port::{PortError, PortLimits, open_port, serve_port},
     inbound::confirm_endpoint,
     node_core::{CALLERS_LEAVE, NodeCore, OpenRequestGuard},
@@ -129,7 +129,7 @@
     }
     spawn_local(watch_config(Rc::clone(core), Rc::clone(&store), source));
     spawn_local(watch_members(Rc::clone(core), Rc::clone(&store)));
-    spawn_local(follow_guide(Rc::clone(core)));
+    spawn_local(follow_relay(Rc::clone(core)));
     spawn_local(confirm_endpoint(Rc::clone(core)));
     spawn_local(look_for_store(Rc::clone(core), Rc::clone(&store)));
     spawn_local(watch_eras(Rc::clone(core)));
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -24,7 +24,7 @@
 use crate::{
     config::{ConfigVersion, MeshConfig},
     crash::CrashHistory,
-    distribution::{ConfigHistory, Guide, StoreAccess},
+    distribution::{ConfigHistory, RelaySelector, StoreAccess},
     errand::ErrandDesk,
     event_log::EventLog,
     header_set::HeaderSet,
@@ -97,7 +97,7 @@
     /// Wakes the exchange with that node.
     pub ahead_heard: Notify,
     /// Wakes whoever waits for a new configuration or member.
-    pub news: Notify,
+    pub updates: Notify,
     /// Wakes whoever depends on whether this node watches the store.
     pub duty_changed: Notify,
     /// Eras of the store.
@@ -111,7 +111,7 @@
     /// Calls to the store for other nodes.
     pub errands: ErrandDesk,
     /// Which node watches the store for whom.
-    pub guide: RefCell<Guide>,
+    pub relay_selector: RefCell<RelaySelector>,
     /// Configurations that other nodes may still hold.
     pub history: RefCell<ConfigHistory>,
     /// Requests of callers that are open.
@@ -185,14 +185,14 @@
             announce_pending: Cell::new(false),
             ahead: RefCell::default(),
             ahead_heard: Notify::new(),
-            news: Notify::new(),
+            updates: Notify::new(),
             duty_changed: Notify::new(),
             eras: Rc::default(),
             store_access: RefCell::default(),
             store_lost: Notify::new(),
             store_back: Notify::new(),
             errands: ErrandDesk::default(),
-            guide: RefCell::new(Guide::new(settings.peer_addr)),
+            relay_selector: RefCell::new(RelaySelector::new(settings.peer_addr)),
             history: RefCell::default(),
             open: Cell::new(0),
             connections: Cell::new(0),
@@ -243,7 +243,7 @@
         self.metrics.config_version(config.version.0);
         self.history.borrow_mut().push(Rc::clone(&config.input));
         *self.config.borrow_mut() = Some(Rc::new(config));
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
         true
     }
 
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -7,7 +7,7 @@
 
 use super::NodeCore;
 use crate::{
-    distribution::{GuideChoice, LookDuty},
+    distribution::{LookDuty, UpdateSource},
     store::{ReadAge, Revision, StoreError},
 };
 
@@ -25,9 +25,9 @@
     /// Notes that the store answered.
     pub fn store_answered(&self) {
         let now = self.clock.now();
-        if self.guide.borrow_mut().store_answered(now) {
+        if self.relay_selector.borrow_mut().store_answered(now) {
             // Followers that wait to hear of the return.
-            self.news.notify_waiters();
+            self.updates.notify_waiters();
         }
         if self.store_access.borrow_mut().succeeded() {
             info!(self.log.logger(), "store regained");
@@ -36,7 +36,7 @@
 
     /// Notes that a call to the store failed.
     pub fn store_failed(&self, call: &'static str, cause: &StoreError) {
-        let age = self.guide.borrow().store_age(self.clock.now());
+        let age = self.relay_selector.borrow().store_age(self.clock.now());
         if self.store_access.borrow_mut().failed() {
             warn!(self.log.logger(), "store lost";
                 "for" => call,
@@ -51,8 +51,8 @@
     /// Tells the nodes that follow this one that the store doesn't answer it. One
     /// failed call doesn't say so: connections are reset, and answers lost.
     pub fn tell_store_lost(&self) {
-        if self.guide.borrow_mut().store_lost() {
-            self.news.notify_waiters();
+        if self.relay_selector.borrow_mut().store_lost() {
+            self.updates.notify_waiters();
             self.duty_changed.notify_waiters();
         }
     }
@@ -103,7 +103,7 @@
 
     /// Notes that another node asked for news.
     pub fn asked(&self) {
-        self.guide.borrow_mut().asked(self.clock.now());
+        self.relay_selector.borrow_mut().asked(self.clock.now());
         self.duty_changed.notify_waiters();
     }
 
@@ -124,33 +124,35 @@
     ///
     /// After a power cut all nodes of a data centre start in the same second. A large
     /// configuration, read by each of them, fills the store's link and theirs.
-    fn may_wait_for_guide(&self, now: Duration) -> bool {
+    fn may_wait_for_relay(&self, now: Duration) -> bool {
         let listed = self.home_listed_at.get();
         listed.is_some_and(|at| now < at + FIRST_NEWS)
     }
 
     /// Returns where this node gets its news.
-    pub fn guide_choice(&self) -> GuideChoice {
+    pub fn update_source(&self) -> UpdateSource {
         let now = self.clock.now();
         let fleet = self.fleet.borrow();
         let knows_all = fleet.revision() != Revision(0) && self.config.borrow().is_some();
-        if !knows_all && !self.may_wait_for_guide(now) {
-            return GuideChoice::Store;
+        if !knows_all && !self.may_wait_for_relay(now) {
+            return UpdateSource::Store;
         }
-        self.guide.borrow().choose(now, &fleet.carriers())
+        self.relay_selector
+            .borrow()
+            .choose(now, &fleet.relay_candidates())
     }
 
     /// Whether this node watches the store.
     pub fn watches_store(&self) -> bool {
-        let asked = self.guide.borrow().is_asked(self.clock.now());
-        self.knows_home() && (asked || self.guide_choice() == GuideChoice::Store)
+        let asked = self.relay_selector.borrow().is_asked(self.clock.now());
+        self.knows_home() && (asked || self.update_source() == UpdateSource::Store)
     }
 
     /// Returns who looks for a store that this node has lost.
     pub fn look_duty(&self) -> LookDuty {
         if self.watches_store() || !self.knows_home() {
             LookDuty::Own
-        } else if self.guide.borrow().is_guide_cut_off() {
+        } else if self.relay_selector.borrow().is_relay_cut_off() {
             LookDuty::Told
         } else {
             LookDuty::Alone
--- a/crates/node/src/operators/operators_port.rs
+++ b/crates/node/src/operators/operators_port.rs
@@ -68,7 +68,7 @@
             peer_addr: settings.peer_addr,
             version: self.core.version().0,
             members: self.core.fleet.borrow().len(),
-            store_age_ms: self.core.guide.borrow().store_age(now).as_millis() as u64,
+            store_age_ms: self.core.relay_selector.borrow().store_age(now).as_millis() as u64,
             backend: tracker
                 .current()
                 .map(|current| current.report.start.to_string()),
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -138,7 +138,7 @@
     /// and most of them ask no third time.
     async fn current_config(&self) -> Result<Rc<MeshConfig>, LocalReply> {
         loop {
-            let heard = self.core.news.notified();
+            let heard = self.core.updates.notified();
             let config = self.core.config.borrow().clone();
             if let Some(config) = config {
                 return Ok(config);
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     crash::{BreakDiagnosis, CRASH_PATH, CrashPort, request_fingerprint},
+    discovery::{UPDATE_PATH, UpdateHandler},
     errand::{ERRAND_PATH, ErrandPort},
-    follow::{FOLLOW_PATH, FollowPort},
     header_set::{
         PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
         PEER_REQUEST_HEADER, PEER_VERSION_HEADER, header_text, set_header, strip_connection,
@@ -42,8 +42,8 @@
 
     /// Answers a request.
     pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
-        let mut response = if incoming.uri().path() == FOLLOW_PATH {
-            let port = FollowPort::new(Rc::clone(&self.core));
+        let mut response = if incoming.uri().path() == UPDATE_PATH {
+            let port = UpdateHandler::new(Rc::clone(&self.core));
             port.answer(incoming.uri()).await
         } else if incoming.uri().path() == ERRAND_PATH {
             let port = ErrandPort::new(Rc::clone(&self.core));
--- a/crates/node/tests/all/config.rs
+++ b/crates/node/tests/all/config.rs
@@ -7,7 +7,7 @@
         ConfigDelta, ConfigError, ConfigInput, ConfigVersion, LimitsInput, MeshConfig, RequestKind,
         RouteInput, ServiceInput, ShareInput,
     },
-    distribution::{ConfigHistory, ConfigNews},
+    distribution::{ConfigHistory, ConfigUpdate},
     event_log::EventLog,
     header_set::HeaderSet,
     node_core::NodeCore,
@@ -180,9 +180,9 @@
     assert_eq!(read, delta);
 }
 
-fn news(history: &ConfigHistory, version: u64) -> Option<ConfigNews> {
-    let news = history.news_for(ConfigVersion(version));
-    news.expect("it can be packed")
+fn updates(history: &ConfigHistory, version: u64) -> Option<ConfigUpdate> {
+    let updates = history.update_for(ConfigVersion(version));
+    updates.expect("it can be packed")
 }
 
 /// A node asks for news that holds a version of a moment ago, one of long ago,
@@ -190,7 +190,7 @@
 #[test]
 fn history_answers_with_the_least_that_does() {
     let mut history = ConfigHistory::default();
-    assert_eq!(news(&history, 0), None);
+    assert_eq!(updates(&history, 0), None);
     for version in 10..40 {
         history.push(Rc::new(document(
             version,
@@ -198,12 +198,15 @@
         )));
     }
     assert!(
-        matches!(news(&history, 38), Some(ConfigNews::Delta(delta)) if delta.to == ConfigVersion(39))
+        matches!(updates(&history, 38), Some(ConfigUpdate::Delta(delta)) if delta.to == ConfigVersion(39))
     );
-    assert!(matches!(news(&history, 12), Some(ConfigNews::Whole(_))));
-    assert!(matches!(news(&history, 0), Some(ConfigNews::Whole(_))));
-    assert_eq!(news(&history, 39), None);
-    assert_eq!(news(&history, 50), None);
+    assert!(matches!(
+        updates(&history, 12),
+        Some(ConfigUpdate::Whole(_))
+    ));
+    assert!(matches!(updates(&history, 0), Some(ConfigUpdate::Whole(_))));
+    assert_eq!(updates(&history, 39), None);
+    assert_eq!(updates(&history, 50), None);
 }
 
 fn settings() -> NodeSettings {
--- a/crates/node/tests/all/eras.rs
+++ b/crates/node/tests/all/eras.rs
@@ -48,9 +48,9 @@
     assert!(fleet.announce(NOW, record(MemberState::Leaving), revision(2, 3)));
     fleet.listed(NOW, revision(2, 3), |_| true);
     assert_eq!(fleet.revision(), revision(2, 3));
-    let news = fleet.news_since(revision(1, 900));
-    assert!(news.whole);
-    assert_eq!(news.written.len(), 1);
+    let updates = fleet.update_since(revision(1, 900));
+    assert!(updates.whole);
+    assert_eq!(updates.written.len(), 1);
 }
 
 /// Guards against crashes of a new era that aren't handed on to nodes that know the one before.
@@ -71,18 +71,18 @@
     /// Guards against an order in which news arrive that decides what is known in the end.
     #[test]
     fn the_latest_era_wins_in_any_order(
-        news in prop::collection::vec((1..4_u32, 1..20_u64, any::<bool>()), 1..30),
+        updates in prop::collection::vec((1..4_u32, 1..20_u64, any::<bool>()), 1..30),
     ) {
         let mut fleet = FleetView::new("hofdi");
-        for &(era, number, leaving) in &news {
+        for &(era, number, leaving) in &updates {
             let state = if leaving { MemberState::Leaving } else { MemberState::Ready };
             fleet.announce(NOW, record(state), revision(era, number));
         }
-        let last = news.iter().map(|&(era, number, _)| (era, number)).max();
+        let last = updates.iter().map(|&(era, number, _)| (era, number)).max();
         let (era, number) = last.expect("there are news");
         let known = fleet.at(support::record(4).peer_addr).expect("it is announced");
         prop_assert_eq!(known.revision(), revision(era, number));
-        let latest = news.iter().rfind(|news| (news.0, news.1) == (era, number));
+        let latest = updates.iter().rfind(|updates| (updates.0, updates.1) == (era, number));
         let leaving = latest.expect("it is there").2;
         prop_assert_eq!(known.record.state == MemberState::Leaving, leaving);
     }
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -318,8 +318,8 @@
 fn news_hold_what_changed_since() {
     let mut fleet = view(3, 0);
     fleet.advance(Revision(3));
-    assert!(fleet.news_since(Revision(3)).is_empty());
-    let whole = fleet.news_since(Revision(0));
+    assert!(fleet.update_since(Revision(3)).is_empty());
+    let whole = fleet.update_since(Revision(0));
     assert!(whole.whole);
     assert_eq!(whole.written.len(), 3);
     fleet.announce(
@@ -333,16 +333,20 @@
     fleet.lapse(at(0), peer_addr(1), Revision(8));
     fleet.remove(peer_addr(3), Revision(9));
     fleet.advance(Revision(9));
-    let news = fleet.news_since(Revision(3));
-    assert!(!news.whole);
-    assert_eq!(news.written.len(), 1);
-    assert_eq!(news.written[0].1, 7);
-    let mut lapsed: Vec<u64> = news.lapsed.iter().map(|(_, revision)| *revision).collect();
+    let updates = fleet.update_since(Revision(3));
+    assert!(!updates.whole);
+    assert_eq!(updates.written.len(), 1);
+    assert_eq!(updates.written[0].1, 7);
+    let mut lapsed: Vec<u64> = updates
+        .lapsed
+        .iter()
+        .map(|(_, revision)| *revision)
+        .collect();
     lapsed.sort_unstable();
     assert_eq!(lapsed, [8, 9]);
     fleet.sweep(at(10_000));
-    let news = fleet.news_since(Revision(7));
-    assert_eq!(news.lapsed.len(), 2);
+    let updates = fleet.update_since(Revision(7));
+    assert_eq!(updates.lapsed.len(), 2);
 }
 
 /// Guards against vanished members that other nodes keep because a restarted node never saw them.
@@ -350,14 +354,14 @@
 fn a_list_taken_anew_is_told_as_a_whole() {
     let mut fleet = view(3, 0);
     fleet.listed(at(0), Revision(70), |_| true);
-    let news = fleet.news_since(Revision(50));
-    assert!(news.whole, "what vanished before the list isn't known");
-    assert_eq!(news.written.len(), 3);
-    assert!(!fleet.news_since(Revision(70)).whole);
+    let updates = fleet.update_since(Revision(50));
+    assert!(updates.whole, "what vanished before the list isn't known");
+    assert_eq!(updates.written.len(), 3);
+    assert!(!fleet.update_since(Revision(70)).whole);
     fleet.remove(peer_addr(2), Revision(71));
     fleet.advance(Revision(71));
-    assert!(!fleet.news_since(Revision(70)).whole);
-    assert!(fleet.news_since(Revision(69)).whole);
+    assert!(!fleet.update_since(Revision(70)).whole);
+    assert!(fleet.update_since(Revision(69)).whole);
 }
 
 /// Guards against counting a broken member as one with room when all other links are full.
--- a/crates/node/tests/all/guide.rs
+++ b/crates/node/tests/all/guide.rs
@@ -1,7 +1,7 @@
 //! Which node watches the store for whom.
 
 use geranium_node::{
-    distribution::{Guide, GuideChoice, StoreContact},
+    distribution::{RelaySelector, StoreContact, UpdateSource},
     member::MemberRecord,
 };
 
@@ -17,13 +17,13 @@
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
     let choice = |own| {
-        let mut guide = Guide::new(peer_addr(own));
-        guide.store_answered(at(0));
-        guide.choose(at(100), &order)
+        let mut relay_selector = RelaySelector::new(peer_addr(own));
+        relay_selector.store_answered(at(0));
+        relay_selector.choose(at(100), &order)
     };
-    assert_eq!(choice(1), GuideChoice::Store);
+    assert_eq!(choice(1), UpdateSource::Store);
     for own in 2..6 {
-        assert_eq!(choice(own), GuideChoice::Node(peer_addr(1)));
+        assert_eq!(choice(own), UpdateSource::Node(peer_addr(1)));
     }
 }
 
@@ -33,19 +33,19 @@
 fn a_guide_that_fails_is_passed_over_for_a_while() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut guide = Guide::new(peer_addr(3));
-    guide.store_answered(at(0));
-    guide.failed(at(0), peer_addr(1));
+    let mut relay_selector = RelaySelector::new(peer_addr(3));
+    relay_selector.store_answered(at(0));
+    relay_selector.failed(at(0), peer_addr(1));
     assert_eq!(
-        guide.choose(at(10), &order),
-        GuideChoice::Node(peer_addr(2))
+        relay_selector.choose(at(10), &order),
+        UpdateSource::Node(peer_addr(2))
     );
-    guide.failed(at(10), peer_addr(2));
-    assert_eq!(guide.choose(at(20), &order), GuideChoice::Store);
-    guide.store_answered(at(5_000));
+    relay_selector.failed(at(10), peer_addr(2));
+    assert_eq!(relay_selector.choose(at(20), &order), UpdateSource::Store);
+    relay_selector.store_answered(at(5_000));
     assert_eq!(
-        guide.choose(at(6_000), &order),
-        GuideChoice::Node(peer_addr(1))
+        relay_selector.choose(at(6_000), &order),
+        UpdateSource::Node(peer_addr(1))
     );
 }
 
@@ -54,19 +54,19 @@
 fn a_guide_with_old_news_is_passed_over_by_those_with_newer() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut guide = Guide::new(peer_addr(3));
-    guide.store_answered(at(10_000));
-    assert!(!guide.told(at(10_100), peer_addr(1), contact(6_000, false)));
+    let mut relay_selector = RelaySelector::new(peer_addr(3));
+    relay_selector.store_answered(at(10_000));
+    assert!(!relay_selector.told(at(10_100), peer_addr(1), contact(6_000, false)));
     assert_eq!(
-        guide.choose(at(10_100), &order),
-        GuideChoice::Node(peer_addr(2))
+        relay_selector.choose(at(10_100), &order),
+        UpdateSource::Node(peer_addr(2))
     );
-    let mut away = Guide::new(peer_addr(3));
+    let mut away = RelaySelector::new(peer_addr(3));
     away.store_answered(at(1_000));
     assert!(!away.told(at(10_100), peer_addr(1), contact(6_000, false)));
     assert_eq!(
         away.choose(at(10_100), &order),
-        GuideChoice::Node(peer_addr(1))
+        UpdateSource::Node(peer_addr(1))
     );
 }
 
@@ -76,22 +76,28 @@
 fn a_node_that_is_cut_off_follows_another() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut guide = Guide::new(peer_addr(1));
-    guide.store_answered(at(0));
-    assert_eq!(guide.choose(at(3_000), &order), GuideChoice::Store);
+    let mut relay_selector = RelaySelector::new(peer_addr(1));
+    relay_selector.store_answered(at(0));
     assert_eq!(
-        guide.choose(at(4_000), &order),
-        GuideChoice::Node(peer_addr(2))
+        relay_selector.choose(at(3_000), &order),
+        UpdateSource::Store
+    );
+    assert_eq!(
+        relay_selector.choose(at(4_000), &order),
+        UpdateSource::Node(peer_addr(2))
+    );
+    assert_eq!(
+        relay_selector.choose(at(4_000), &order[..1]),
+        UpdateSource::Store
     );
-    assert_eq!(guide.choose(at(4_000), &order[..1]), GuideChoice::Store);
 }
 
 #[test]
 fn a_question_makes_a_watcher_for_a_while() {
-    let mut guide = Guide::new(peer_addr(4));
-    guide.asked(at(0));
-    assert!(guide.is_asked(at(4_500)));
-    assert!(!guide.is_asked(at(5_500)));
+    let mut relay_selector = RelaySelector::new(peer_addr(4));
+    relay_selector.asked(at(0));
+    assert!(relay_selector.is_asked(at(4_500)));
+    assert!(!relay_selector.is_asked(at(5_500)));
 }
 
 /// Guards against following a guide that has reported losing the store.
@@ -99,23 +105,23 @@
 fn a_guide_that_has_lost_the_store_is_passed_over_at_once() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut follower = Guide::new(peer_addr(3));
+    let mut follower = RelaySelector::new(peer_addr(3));
     follower.store_answered(at(10_000));
     assert!(!follower.told(at(10_100), peer_addr(1), contact(200, true)));
     assert_eq!(
         follower.choose(at(10_100), &order),
-        GuideChoice::Node(peer_addr(2))
+        UpdateSource::Node(peer_addr(2))
     );
-    let mut itself = Guide::new(peer_addr(1));
+    let mut itself = RelaySelector::new(peer_addr(1));
     itself.store_answered(at(10_000));
     assert!(itself.store_lost());
     assert!(!itself.store_lost());
     assert_eq!(
         itself.choose(at(10_100), &order),
-        GuideChoice::Node(peer_addr(2))
+        UpdateSource::Node(peer_addr(2))
     );
     itself.store_answered(at(10_200));
-    assert_eq!(itself.choose(at(10_200), &order), GuideChoice::Store);
+    assert_eq!(itself.choose(at(10_200), &order), UpdateSource::Store);
 }
 
 /// Guards against followers that go from guide to guide while the store is away for all.
@@ -123,17 +129,17 @@
 fn one_guide_looks_for_a_store_that_is_away_for_all() {
     let records: Vec<MemberRecord> = (1..6).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut guide = Guide::new(peer_addr(5));
-    guide.store_answered(at(10_000));
-    assert!(!guide.told(at(10_100), peer_addr(1), contact(200, true)));
-    assert!(guide.told(at(10_200), peer_addr(2), contact(200, true)));
+    let mut relay_selector = RelaySelector::new(peer_addr(5));
+    relay_selector.store_answered(at(10_000));
+    assert!(!relay_selector.told(at(10_100), peer_addr(1), contact(200, true)));
+    assert!(relay_selector.told(at(10_200), peer_addr(2), contact(200, true)));
     assert_eq!(
-        guide.choose(at(10_300), &order),
-        GuideChoice::Node(peer_addr(3))
+        relay_selector.choose(at(10_300), &order),
+        UpdateSource::Node(peer_addr(3))
     );
-    guide.store_lost();
+    relay_selector.store_lost();
     assert_eq!(
-        guide.choose(at(10_300), &order),
-        GuideChoice::Node(peer_addr(1))
+        relay_selector.choose(at(10_300), &order),
+        UpdateSource::Node(peer_addr(1))
     );
 }
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    distribution::{Guide, GuideChoice, LookDuty, StoreAccess, StoreContact},
+    distribution::{LookDuty, RelaySelector, StoreAccess, StoreContact, UpdateSource},
     member::MemberRecord,
 };
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
@@ -16,7 +16,7 @@
 
 /// One node of a data centre while the store is away.
 struct Node {
-    guide: Guide,
+    guide: RelaySelector,
     access: StoreAccess,
     renewal_at: Duration,
     /// When its pause began, and how much of it is drawn.
@@ -26,7 +26,7 @@
 
 impl Node {
     fn new(number: u8, rng: &mut impl Rng) -> Self {
-        let mut guide = Guide::new(peer_addr(number));
+        let mut guide = RelaySelector::new(peer_addr(number));
         let seen = RENEWAL.mul_f64(rng.random());
         guide.store_answered(at(10_000).saturating_sub(seen));
         Self {
@@ -69,7 +69,7 @@
     while now < at(10_000) + OUTAGE {
         for own in 0..fleet.len() {
             let choice = fleet[own].guide.choose(now, &order);
-            if let GuideChoice::Node(peer_addr) = choice {
+            if let UpdateSource::Node(peer_addr) = choice {
                 let guide = order
                     .iter()
                     .position(|record| record.peer_addr == peer_addr);
@@ -84,7 +84,7 @@
                     fleet[own].pause = (now, rng.random());
                 }
             }
-            let own_duty = choice == GuideChoice::Store || fleet[own].guide.is_asked(now);
+            let own_duty = choice == UpdateSource::Store || fleet[own].guide.is_asked(now);
             let duty = if own_duty {
                 LookDuty::Own
             } else {
--- a/crates/rig/src/rig_node.rs
+++ b/crates/rig/src/rig_node.rs
@@ -11,7 +11,7 @@
     time::{Duration, Instant},
 };
 
-use geranium_node::follow::AnnouncementKey;
+use geranium_node::discovery::AnnouncementKey;
 use geranium_standins::{Machine, MachineAddrs};
 use snafu::ResultExt;
 
