--- a/crates/ctl/src/commands/status_command.rs
+++ b/crates/ctl/src/commands/status_command.rs
@@ -5,7 +5,7 @@
 use geranium_node::{
     config::ConfigVersion,
     discovery::{AnnouncementKey, MEMBER_PREFIX},
-    store::{MetaStore, ReadAge, StoreItem},
+    store::{MetaStore, ReadConsistency, StoreItem},
 };
 use snafu::ResultExt;
 
@@ -42,7 +42,7 @@
     let store = session.store()?;
     let source = session.codec.source;
     let read = store
-        .read(source.key, ReadAge::Current)
+        .read(source.key, ReadConsistency::Linearizable)
         .await
         .context(StoreSnafu)?;
     let version = match read.item {
@@ -55,7 +55,7 @@
         None => ConfigVersion(0),
     };
     let members = store
-        .list(MEMBER_PREFIX, ReadAge::Current)
+        .list(MEMBER_PREFIX, ReadConsistency::Linearizable)
         .await
         .context(StoreSnafu)?;
     Ok(StoreView {
--- a/crates/ctl/src/presets/activation.rs
+++ b/crates/ctl/src/presets/activation.rs
@@ -2,7 +2,7 @@
 
 use geranium_node::{
     config::ConfigVersion,
-    store::{MetaStore, ReadAge, Revision, StoreEra, StoreWrite},
+    store::{MetaStore, ReadConsistency, Revision, StoreEra, StoreWrite},
 };
 use snafu::ResultExt;
 
@@ -151,7 +151,7 @@
     codec: ConfigCodec,
 ) -> Result<(Revision, ConfigVersion), CtlError> {
     let read = store
-        .read(codec.source.key, ReadAge::Current)
+        .read(codec.source.key, ReadConsistency::Linearizable)
         .await
         .context(StoreSnafu)?;
     let Some(item) = read.item else {
--- a/crates/ctl/src/presets/activation_history.rs
+++ b/crates/ctl/src/presets/activation_history.rs
@@ -2,7 +2,7 @@
 
 use geranium_node::{
     config::ConfigVersion,
-    store::{MetaStore, ReadAge, Revision},
+    store::{MetaStore, ReadConsistency, Revision},
 };
 use snafu::ResultExt;
 
@@ -25,7 +25,7 @@
     count: usize,
 ) -> Result<Vec<ActivationRecord>, CtlError> {
     let list = store
-        .list(HISTORY_PREFIX, ReadAge::Current)
+        .list(HISTORY_PREFIX, ReadConsistency::Linearizable)
         .await
         .context(StoreSnafu)?;
     let items = list.items.iter();
--- a/crates/ctl/src/presets/preset_catalogue.rs
+++ b/crates/ctl/src/presets/preset_catalogue.rs
@@ -1,6 +1,6 @@
 //! The operators' named presets.
 
-use geranium_node::store::{MetaStore, ReadAge, StoreWrite};
+use geranium_node::store::{MetaStore, ReadConsistency, StoreWrite};
 use snafu::{OptionExt, ResultExt};
 
 use super::{PresetDocument, PresetName, PresetRecord, record};
@@ -34,7 +34,7 @@
     pub async fn list(&self) -> Result<Vec<PresetRecord>, CtlError> {
         let list = self
             .store
-            .list(PRESET_PREFIX, ReadAge::Current)
+            .list(PRESET_PREFIX, ReadConsistency::Linearizable)
             .await
             .context(StoreSnafu)?;
         let items = list.items.iter();
@@ -71,7 +71,7 @@
         let key = key_of(name);
         let read = self
             .store
-            .read(&key, ReadAge::Current)
+            .read(&key, ReadConsistency::Linearizable)
             .await
             .context(StoreSnafu)?;
         let revision = read.item.map(|item| item.revision).unwrap_or_default();
--- a/crates/ctl/src/presets/record.rs
+++ b/crates/ctl/src/presets/record.rs
@@ -1,6 +1,6 @@
 //! Records that this client keeps in the store.
 
-use geranium_node::store::{MetaStore, ReadAge, Revision};
+use geranium_node::store::{MetaStore, ReadConsistency, Revision};
 use serde::{Serialize, de::DeserializeOwned};
 use snafu::ResultExt;
 
@@ -12,7 +12,7 @@
     key: &str,
 ) -> Result<(Revision, Option<T>), CtlError> {
     let read = store
-        .read(key, ReadAge::Current)
+        .read(key, ReadConsistency::Linearizable)
         .await
         .context(StoreSnafu)?;
     let Some(item) = read.item else {
--- a/crates/ctl/tests/all/activation_faults.rs
+++ b/crates/ctl/tests/all/activation_faults.rs
@@ -4,7 +4,7 @@
 use geranium_node::{
     config::ConfigVersion,
     result_code::ResultCode,
-    store::{MetaStore, ReadAge, StoreWrite},
+    store::{MetaStore, ReadConsistency, StoreWrite},
 };
 
 use crate::support::{
@@ -124,7 +124,7 @@
     let store = prepared();
     put(&store, "peak", 2.0).unwrap();
     let key = "geranium-operator/preset/peak";
-    let item = wait(store.read(key, ReadAge::Current))
+    let item = wait(store.read(key, ReadConsistency::Linearizable))
         .unwrap()
         .item
         .unwrap();
--- a/crates/ctl/tests/all/support/memory_store.rs
+++ b/crates/ctl/tests/all/support/memory_store.rs
@@ -7,7 +7,7 @@
 };
 
 use geranium_node::store::{
-    LeaseGrant, LeaseId, MetaStore, ReadAge, Revision, StoreChange, StoreEra, StoreError,
+    LeaseGrant, LeaseId, MetaStore, ReadConsistency, Revision, StoreChange, StoreEra, StoreError,
     StoreItem, StoreList, StoreRead, StoreWrite, WatchBatch,
 };
 
@@ -169,7 +169,7 @@
 }
 
 impl MetaStore for MemoryStore {
-    async fn read(&self, key: &str, _age: ReadAge) -> Result<StoreRead, StoreError> {
+    async fn read(&self, key: &str, _age: ReadConsistency) -> Result<StoreRead, StoreError> {
         let mut state = self.state();
         if state.begin()?.is_some() {
             return Err(lost());
@@ -180,7 +180,7 @@
         })
     }
 
-    async fn list(&self, prefix: &str, _age: ReadAge) -> Result<StoreList, StoreError> {
+    async fn list(&self, prefix: &str, _age: ReadConsistency) -> Result<StoreList, StoreError> {
         let mut state = self.state();
         if state.begin()?.is_some() {
             return Err(lost());
--- a/crates/ctl/tests/all/support/mod.rs
+++ b/crates/ctl/tests/all/support/mod.rs
@@ -9,7 +9,7 @@
 use geranium_node::{
     config::{ConfigError, ConfigInput, ConfigVersion},
     discovery::ConfigSource,
-    store::{MetaStore, ReadAge},
+    store::{MetaStore, ReadConsistency},
 };
 
 pub use memory_store::{CallFault, MemoryStore};
@@ -91,7 +91,7 @@
 
 /// The configuration in force.
 pub fn in_force(store: &MemoryStore) -> ConfigInput {
-    let read = wait(store.read(CONFIG_KEY, ReadAge::Current)).unwrap();
+    let read = wait(store.read(CONFIG_KEY, ReadConsistency::Linearizable)).unwrap();
     (codec().source.parse)(&read.item.unwrap().value).unwrap()
 }
 
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -59,7 +59,9 @@
     source: ConfigSource,
 ) -> Result<Revision, StoreError> {
     core.metrics.store_call("read-config");
-    let read = store.read(source.key, core.first_read_age()).await?;
+    let read = store
+        .read(source.key, core.first_read_consistency())
+        .await?;
     if let Some(item) = &read.item {
         take(core, source, item);
     }
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -19,7 +19,7 @@
     crash::CRASH_PREFIX,
     member::MemberRecord,
     node_core::NodeCore,
-    store::{MetaStore, ReadAge, Revision, StoreError, StoreEvent, StoreItem},
+    store::{MetaStore, ReadConsistency, Revision, StoreError, StoreEvent, StoreItem},
 };
 
 /// Longest wait of a watch; the store allows 30 s. A connection gone silent
@@ -37,10 +37,10 @@
 /// Watches the announcements in the store while this node has to.
 pub async fn watch_members(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
-        if !core.knows_home() {
+        if !core.knows_local_members() {
             core.until_store_back().await;
             match list_home(&core, &*store).await {
-                Ok(()) => core.home_listed(),
+                Ok(()) => core.local_members_listed(),
                 Err(failure) => core.store_failed("members", &failure),
             }
             continue;
@@ -73,7 +73,7 @@
 async fn list_home(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
     core.metrics.store_call("list-home");
     let prefix = AnnouncementKey::prefix(&core.settings.data_centre);
-    let list = store.list(&prefix, ReadAge::Current).await?;
+    let list = store.list(&prefix, ReadConsistency::Linearizable).await?;
     let present: Vec<SocketAddr> = take_items(core, &list.items);
     let key = own_key(core);
     let own = list.items.iter().find(|item| item.key == key.as_str());
@@ -87,7 +87,9 @@
 
 async fn list_members(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
     core.metrics.store_call("list-members");
-    let list = store.list(NODE_PREFIX, core.first_read_age()).await?;
+    let list = store
+        .list(NODE_PREFIX, core.first_read_consistency())
+        .await?;
     let present: HashSet<SocketAddr> = take_items(core, &list.items).into_iter().collect();
     let now = core.clock.now();
     let mut fleet = core.fleet.borrow_mut();
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -7,7 +7,7 @@
 //! [`UpdateHandler`]). Whoever hears on the way of a request that another node
 //! holds a later configuration, asks that one ([`catch_up`]).
 //! [`keep_announced`] keeps the own announcement under a lease. While the
-//! store is away everyone keeps what they have, and only [`look_for_store`]
+//! store is away everyone keeps what they have, and only [`probe_store`]
 //! calls it ([`StoreAccess`]): often at the nodes that others follow, which tell
 //! them when it is back.
 
@@ -19,7 +19,7 @@
 mod fleet_follower;
 mod member_notes;
 mod member_watcher;
-mod store_look;
+mod store_probe;
 mod update_handler;
 mod update_intake;
 
@@ -34,7 +34,7 @@
 pub use era_watch::watch_eras;
 pub use fleet_follower::{catch_up, follow_relay};
 pub use member_watcher::watch_members;
-pub use store_look::look_for_store;
+pub use store_probe::probe_store;
 pub use update_handler::{UPDATE_PATH, UpdateHandler};
 
 /// Returns the key of a node's own announcement.
--- a/crates/node/src/discovery/store_look.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -8,21 +8,23 @@
 use super::own_key;
 use crate::{
     node_core::NodeCore,
-    store::{MetaStore, ReadAge},
+    store::{MetaStore, ReadConsistency},
 };
 
 /// Looks whether the store answers again, whenever a call to it failed, until
 /// the node ends.
-pub async fn look_for_store(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
+pub async fn probe_store(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     let key = own_key(&core);
     loop {
         core.store_lost.notified().await;
         while until_look_due(&core).await {
             core.metrics.store_call("look");
-            let looked = store.read(key.as_str(), ReadAge::Recent).await;
+            let looked = store
+                .read(key.as_str(), ReadConsistency::Serializable)
+                .await;
             let mut access = core.store_access.borrow_mut();
             if looked.is_ok() {
-                access.looked();
+                access.probe_succeeded();
             } else {
                 // It was logged as lost when the first call failed.
                 access.failed();
@@ -45,7 +47,10 @@
         if core.store_access.borrow().is_open() {
             return false;
         }
-        let pause = core.store_access.borrow().pause(core.look_duty(), share);
+        let pause = core
+            .store_access
+            .borrow()
+            .pause(core.store_probe_duty(), share);
         let due = since + pause;
         if timeout_at(due, core.duty_changed.notified()).await.is_err() {
             return true;
--- a/crates/node/src/discovery/update_intake.rs
+++ b/crates/node/src/discovery/update_intake.rs
@@ -53,7 +53,7 @@
 
 fn take_members(core: &NodeCore, updates: MemberUpdate) {
     let revision = Revision(updates.revision);
-    core.eras.hear(revision.era());
+    core.eras.observe(revision.era());
     if updates.whole {
         let now = core.clock.now();
         let present: HashSet<SocketAddr> = updates
--- a/crates/node/src/distribution/mod.rs
+++ b/crates/node/src/distribution/mod.rs
@@ -16,5 +16,5 @@
 pub use config_history::ConfigHistory;
 pub use packed_config::{PackedConfig, UnpackError};
 pub use relay_selector::{RelaySelector, StoreContact, UpdateSource};
-pub use store_access::{LookDuty, StoreAccess};
+pub use store_access::{StoreAccess, StoreProbeDuty};
 pub use update_message::{ConfigUpdate, UpdateRequest, UpdateRequestError, UpdateResponse};
--- a/crates/node/src/distribution/store_access.rs
+++ b/crates/node/src/distribution/store_access.rs
@@ -15,7 +15,7 @@
 
 /// Who looks for a store that has been lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LookDuty {
+pub enum StoreProbeDuty {
     /// This node, for itself and for those that follow it.
     Own,
     /// This node, for itself: the one that it follows reaches the store.
@@ -72,7 +72,7 @@
 
     /// Notes that a look was answered. Calls may still fail: some ways of being
     /// away spare reads.
-    pub fn looked(&mut self) {
+    pub fn probe_succeeded(&mut self) {
         self.shut = false;
     }
 
@@ -82,24 +82,24 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::distribution::{LookDuty, StoreAccess};
+    /// use geranium_node::distribution::{StoreProbeDuty, StoreAccess};
     ///
     /// let mut access = StoreAccess::default();
     /// assert!(access.failed());
     /// assert!(!access.is_open());
-    /// assert!(access.pause(LookDuty::Own, 1.0) <= Duration::from_millis(100));
+    /// assert!(access.pause(StoreProbeDuty::Own, 1.0) <= Duration::from_millis(100));
     /// assert!(!access.failed());
-    /// let told = access.pause(LookDuty::Told, 0.0);
-    /// assert!(told > access.pause(LookDuty::Own, 1.0));
+    /// let told = access.pause(StoreProbeDuty::Told, 0.0);
+    /// assert!(told > access.pause(StoreProbeDuty::Own, 1.0));
     /// ```
-    pub fn pause(&self, duty: LookDuty, share: f64) -> Duration {
+    pub fn pause(&self, duty: StoreProbeDuty, share: f64) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(10);
         let pause = PAUSE_FIRST * (1 << doublings);
         let pause = match duty {
-            LookDuty::Own => pause.min(PAUSE_MAX),
-            LookDuty::Alone => pause.min(PAUSE_ALONE),
-            LookDuty::Told if doublings > 0 => PAUSE_TOLD,
-            LookDuty::Told => pause,
+            StoreProbeDuty::Own => pause.min(PAUSE_MAX),
+            StoreProbeDuty::Alone => pause.min(PAUSE_ALONE),
+            StoreProbeDuty::Told if doublings > 0 => PAUSE_TOLD,
+            StoreProbeDuty::Told => pause,
         };
         pause.mul_f64(0.5 + 0.5 * share)
     }
--- a/crates/node/src/errand/store_way.rs
+++ b/crates/node/src/errand/store_way.rs
@@ -75,7 +75,7 @@
         let ttl_ms = ttl.as_millis() as u64;
         match self.send(&StoreErrand::Grant { ttl_ms }).await? {
             ErrandOutcome::Granted { lease, era, ttl_ms } => {
-                self.core.eras.hear(era);
+                self.core.eras.observe(era);
                 Ok(LeaseGrant {
                     lease: LeaseId { era, number: lease },
                     ttl: Duration::from_millis(ttl_ms),
@@ -127,7 +127,7 @@
         match self.send(&errand).await? {
             ErrandOutcome::Written { revision } => {
                 let revision = Revision(revision);
-                self.core.eras.hear(revision.era());
+                self.core.eras.observe(revision.era());
                 Ok(revision)
             }
             ErrandOutcome::Conflict { current } => Err(StoreError::Conflict {
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -29,7 +29,7 @@
 
 /// How a try at a member ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum TryOutcome {
     /// It answered; `failed` when with a failure of its own.
     Answered {
         /// Whether the answer was a failure.
@@ -295,7 +295,7 @@
 
     /// Takes in the load that came with an answer to a request of `class`, or
     /// with a refusal of one.
-    pub fn loaded(&mut self, now: Duration, key: MemberKey, class: u64, report: LoadReport) {
+    pub fn record_load(&mut self, now: Duration, key: MemberKey, class: u64, report: LoadReport) {
         let run = report.run.as_secs_f64();
         let usual = self.class_runs.entry(class).or_default();
         if run > 0.0 {
@@ -305,27 +305,27 @@
         let Some((member, pool)) = self.get_with_pool(key) else {
             return;
         };
-        member.loaded(now, class, report, usual);
+        member.record_load(now, class, report, usual);
         if let Some(pool) = pool {
-            pool.loaded(report, member.record.slots);
+            pool.record_load(report, member.record.slots);
         }
     }
 
     /// Takes in how a try at `key` went, as soon as that is known.
-    pub fn judged(&mut self, now: Duration, key: MemberKey, end: TryEnd) {
+    pub fn record_try_outcome(&mut self, now: Duration, key: MemberKey, end: TryOutcome) {
         let Some((member, pool)) = self.get_with_pool(key) else {
             return;
         };
         match end {
-            TryEnd::Answered { failed } => member.answered(now, failed),
-            TryEnd::Refused { retry_after } => member.refused(now, retry_after),
-            TryEnd::LinkRefused { retry_after } => member.link_refused(now, retry_after),
-            TryEnd::Shut => member.shut(now),
-            TryEnd::Broke => member.broke(),
-            TryEnd::Unreachable | TryEnd::Silent => member.unreachable(now),
-            TryEnd::Abandoned => {}
+            TryOutcome::Answered { failed } => member.answered(now, failed),
+            TryOutcome::Refused { retry_after } => member.refused(now, retry_after),
+            TryOutcome::LinkRefused { retry_after } => member.link_refused(now, retry_after),
+            TryOutcome::Shut => member.shut(now),
+            TryOutcome::Broke => member.broke(),
+            TryOutcome::Unreachable | TryOutcome::Silent => member.unreachable(now),
+            TryOutcome::Abandoned => {}
         }
-        if let (TryEnd::Answered { failed }, Some(pool)) = (end, pool) {
+        if let (TryOutcome::Answered { failed }, Some(pool)) = (end, pool) {
             pool.answered(failed);
         }
     }
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -59,7 +59,7 @@
     /// Long answers are dear to carry between data centres. The door at home knows best
     /// whether an answer of it would be in time, and refuses at once when it wouldn't, so
     /// it is asked first, unless it has refused a moment ago.
-    pub fn pick_home(
+    pub fn pick_in_data_centre(
         &self,
         now: Duration,
         query: &PickQuery<'_>,
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -259,7 +259,7 @@
 
     /// Takes in the load that came with an answer to a request of `class`;
     /// `usual` is the fleet's time of such a run.
-    pub(super) fn loaded(
+    pub(super) fn record_load(
         &mut self,
         now: Duration,
         class: u64,
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -22,7 +22,7 @@
 mod service_pool;
 
 pub use endpoint_start::{EndpointStart, StartError, StartInput, StartOrder};
-pub use fleet_view::{FleetView, TryEnd};
+pub use fleet_view::{FleetView, TryOutcome};
 pub use load_report::LoadReport;
 pub use member_key::MemberKey;
 pub use member_record::{MemberRecord, MemberState};
--- a/crates/node/src/member/service_pool.rs
+++ b/crates/node/src/member/service_pool.rs
@@ -31,7 +31,7 @@
     }
 
     /// Notes a member's load.
-    pub(super) fn loaded(&mut self, report: LoadReport, slots: u32) {
+    pub(super) fn record_load(&mut self, report: LoadReport, slots: u32) {
         let held = f64::from(report.running + report.waiting) / f64::from(slots.max(1));
         self.held.observe(held, LOAD_WEIGHT);
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -14,7 +14,7 @@
 use crate::{
     crash::watch_crashes,
     discovery::{
-        ConfigSource, catch_up, follow_relay, keep_announced, look_for_store, watch_config,
+        ConfigSource, catch_up, follow_relay, keep_announced, probe_store, watch_config,
         watch_eras, watch_members,
     },
     errand::run_errands,
@@ -131,7 +131,7 @@
     spawn_local(watch_members(Rc::clone(core), Rc::clone(&store)));
     spawn_local(follow_relay(Rc::clone(core)));
     spawn_local(confirm_endpoint(Rc::clone(core)));
-    spawn_local(look_for_store(Rc::clone(core), Rc::clone(&store)));
+    spawn_local(probe_store(Rc::clone(core), Rc::clone(&store)));
     spawn_local(watch_eras(Rc::clone(core)));
     spawn_local(watch_crashes(Rc::clone(core), Rc::clone(&store)));
     spawn_local(run_errands(Rc::clone(core), Rc::clone(&store)));
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -128,7 +128,7 @@
     caller_service: RefCell<HeaderValue>,
     stopping_since: Cell<Option<Duration>>,
     /// When the members of this data centre were first read.
-    home_listed_at: Cell<Option<Duration>>,
+    local_members_listed_at: Cell<Option<Duration>>,
 }
 
 impl NodeCore {
@@ -202,7 +202,7 @@
             response_sizes: RefCell::default(),
             caller_service: RefCell::new(caller_service),
             stopping_since: Cell::new(None),
-            home_listed_at: Cell::new(None),
+            local_members_listed_at: Cell::new(None),
             settings,
             headers,
             clock,
@@ -248,7 +248,7 @@
     }
 
     /// Takes in that the node at `peer_addr` holds `version`.
-    pub fn heard_version(&self, version: ConfigVersion, peer_addr: SocketAddr) {
+    pub fn record_peer_version(&self, version: ConfigVersion, peer_addr: SocketAddr) {
         if version <= self.version() {
             return;
         }
@@ -258,9 +258,9 @@
 
     /// Takes in what a member told of its load with an answer to a request of
     /// `class`.
-    pub fn loaded(&self, key: MemberKey, class: u64, load: LoadReport) {
+    pub fn record_load(&self, key: MemberKey, class: u64, load: LoadReport) {
         let now = self.clock.now();
-        self.fleet.borrow_mut().loaded(now, key, class, load);
+        self.fleet.borrow_mut().record_load(now, key, class, load);
     }
 
     /// Returns the bytes of a usual answer on a route; 0 when unknown.
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -7,8 +7,8 @@
 
 use super::NodeCore;
 use crate::{
-    distribution::{LookDuty, UpdateSource},
-    store::{ReadAge, Revision, StoreError},
+    distribution::{StoreProbeDuty, UpdateSource},
+    store::{ReadConsistency, Revision, StoreError},
 };
 
 /// Time between looks at whether this node still has to watch the store.
@@ -71,7 +71,7 @@
             return;
         }
         info!(self.log.logger(), "store heard of"; "from" => %peer_addr);
-        self.store_access.borrow_mut().looked();
+        self.store_access.borrow_mut().probe_succeeded();
         self.store_back.notify_waiters();
         self.duty_changed.notify_waiters();
     }
@@ -93,11 +93,11 @@
     ///
     /// When a whole fleet starts for the first time there is nothing in the store to be
     /// behind of, and each node reads it by itself, as it knows no other one yet.
-    pub fn first_read_age(&self) -> ReadAge {
+    pub fn first_read_consistency(&self) -> ReadConsistency {
         if self.is_settling() {
-            ReadAge::Recent
+            ReadConsistency::Serializable
         } else {
-            ReadAge::Current
+            ReadConsistency::Linearizable
         }
     }
 
@@ -108,15 +108,15 @@
     }
 
     /// Notes that the members of this data centre are known.
-    pub fn home_listed(&self) {
-        self.home_listed_at.set(Some(self.clock.now()));
+    pub fn local_members_listed(&self) {
+        self.local_members_listed_at.set(Some(self.clock.now()));
         self.duty_changed.notify_waiters();
     }
 
     /// Whether this node knows whom it can ask for news. When the whole fleet starts for
     /// the first time there is nobody to be known.
-    pub fn knows_home(&self) -> bool {
-        self.settings.first_start || self.home_listed_at.get().is_some()
+    pub fn knows_local_members(&self) -> bool {
+        self.settings.first_start || self.local_members_listed_at.get().is_some()
     }
 
     /// Whether a node that knows nothing yet still leaves it to another one to read the
@@ -125,7 +125,7 @@
     /// After a power cut all nodes of a data centre start in the same second. A large
     /// configuration, read by each of them, fills the store's link and theirs.
     fn may_wait_for_relay(&self, now: Duration) -> bool {
-        let listed = self.home_listed_at.get();
+        let listed = self.local_members_listed_at.get();
         listed.is_some_and(|at| now < at + FIRST_NEWS)
     }
 
@@ -145,17 +145,17 @@
     /// Whether this node watches the store.
     pub fn watches_store(&self) -> bool {
         let asked = self.relay_selector.borrow().is_asked(self.clock.now());
-        self.knows_home() && (asked || self.update_source() == UpdateSource::Store)
+        self.knows_local_members() && (asked || self.update_source() == UpdateSource::Store)
     }
 
     /// Returns who looks for a store that this node has lost.
-    pub fn look_duty(&self) -> LookDuty {
-        if self.watches_store() || !self.knows_home() {
-            LookDuty::Own
+    pub fn store_probe_duty(&self) -> StoreProbeDuty {
+        if self.watches_store() || !self.knows_local_members() {
+            StoreProbeDuty::Own
         } else if self.relay_selector.borrow().is_relay_cut_off() {
-            LookDuty::Told
+            StoreProbeDuty::Told
         } else {
-            LookDuty::Alone
+            StoreProbeDuty::Alone
         }
     }
 
--- a/crates/node/src/outbound/failed_try.rs
+++ b/crates/node/src/outbound/failed_try.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     inbound::{InboundRefusal, RefusalReason},
-    member::TryEnd,
+    member::TryOutcome,
 };
 
 impl TryFlow<'_> {
@@ -37,12 +37,12 @@
                 self.core.note_refusal(self.request, record, &refusal);
             }
             TryFailure::Unreachable(reason) => {
-                self.judge(asked, TryEnd::Unreachable);
+                self.judge(asked, TryOutcome::Unreachable);
                 tries.never_arrived();
                 self.core.note_unreachable(self.request, record, &reason);
             }
             TryFailure::Broke { reason, diagnosis } => {
-                self.judge(asked, TryEnd::Broke);
+                self.judge(asked, TryOutcome::Broke);
                 if let Some(diagnosis) = diagnosis {
                     tries.crashes_servers |= diagnosis.is_suspicious();
                     self.core
@@ -55,26 +55,26 @@
         }
     }
 
-    fn judge(self, asked: &NextTry, end: TryEnd) {
+    fn judge(self, asked: &NextTry, end: TryOutcome) {
         let now = self.core.clock.now();
         let mut fleet = self.core.fleet.borrow_mut();
-        fleet.judged(now, asked.key, end);
+        fleet.record_try_outcome(now, asked.key, end);
     }
 }
 
 /// Returns what a refusal says of the member; nothing where it concerns the request alone.
-const fn end_of(refusal: InboundRefusal) -> Option<TryEnd> {
+const fn end_of(refusal: InboundRefusal) -> Option<TryOutcome> {
     let retry_after = refusal.retry_after;
     match refusal.reason {
-        RefusalReason::LinkFull => Some(TryEnd::LinkRefused { retry_after }),
+        RefusalReason::LinkFull => Some(TryOutcome::LinkRefused { retry_after }),
         RefusalReason::Busy | RefusalReason::Full | RefusalReason::EndpointRefused => {
-            Some(TryEnd::Refused { retry_after })
+            Some(TryOutcome::Refused { retry_after })
         }
         RefusalReason::Shut
         | RefusalReason::Leaving
         | RefusalReason::OtherInstance
         | RefusalReason::EndpointDown
-        | RefusalReason::Stopping => Some(TryEnd::Shut),
+        | RefusalReason::Stopping => Some(TryOutcome::Shut),
         RefusalReason::Poisoned => None,
     }
 }
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     inbound::{InboundRefusal, RefusalReason},
-    member::{MemberKey, MemberRecord, PickQuery, TryEnd},
+    member::{MemberKey, MemberRecord, PickQuery, TryOutcome},
     node_core::NodeCore,
     response_body::ResponseBody,
     retry::RetryNeed,
@@ -81,8 +81,11 @@
     ) -> Option<Box<Response<ResponseBody>>> {
         let failed = response.status().is_server_error();
         let now = self.core.clock.now();
-        let end = TryEnd::Answered { failed };
-        self.core.fleet.borrow_mut().judged(now, key, end);
+        let end = TryOutcome::Answered { failed };
+        self.core
+            .fleet
+            .borrow_mut()
+            .record_try_outcome(now, key, end);
         let whole = response.body().size_hint().exact().is_some();
         if !(failed && whole && self.may_retry(tries, key)) {
             return Some(response);
@@ -116,7 +119,7 @@
         if silent {
             let now = self.core.clock.now();
             let mut fleet = self.core.fleet.borrow_mut();
-            fleet.judged(now, next.key, TryEnd::Silent);
+            fleet.record_try_outcome(now, next.key, TryOutcome::Silent);
             drop(fleet);
             self.core.note_silent(self.request, &next.record, patience);
         }
@@ -227,7 +230,7 @@
             return None;
         }
         let rng = &mut rand::rng();
-        let home = fleet.pick_home(now, &query, rng);
+        let home = fleet.pick_in_data_centre(now, &query, rng);
         // A suspect has to wait for its turn at any door.
         let suspect = self
             .core
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -92,7 +92,7 @@
         let answer = self.core.inbound.run(inbound_request, idempotent).await;
         let class = request.route.class;
         let load = self.core.inbound.load(class);
-        self.core.loaded(guard.key(), class, load);
+        self.core.record_load(guard.key(), class, load);
         match answer {
             Ok(response) => Ok(Box::new(
                 response.map(|body| body.with_in_flight_guard(guard)),
@@ -190,13 +190,13 @@
     /// Takes in what the other node says of itself.
     fn learn(self, key: MemberKey, record: &MemberRecord, headers: &HeaderMap) {
         if let Some(load) = parsed::<LoadReport>(headers, &PEER_LOAD_HEADER) {
-            self.core.loaded(key, self.request.route.class, load);
+            self.core.record_load(key, self.request.route.class, load);
         }
         if let Some(version) =
             header_text(headers, &PEER_VERSION_HEADER).and_then(|text| text.parse().ok())
         {
             self.core
-                .heard_version(ConfigVersion(version), record.peer_addr);
+                .record_peer_version(ConfigVersion(version), record.peer_addr);
         }
     }
 }
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -75,7 +75,7 @@
                 retry_after: Duration::ZERO,
             });
         }
-        self.core.heard_version(note.version, note.from);
+        self.core.record_peer_version(note.version, note.from);
         let now = Instant::now();
         let body = match tokio::time::timeout(BODY_TIME, body.collect()).await {
             Ok(Ok(whole)) => whole.to_bytes(),
--- a/crates/node/src/store/meta_store.rs
+++ b/crates/node/src/store/meta_store.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use super::{
-    LeaseGrant, LeaseId, ReadAge, Revision, StoreError, StoreList, StoreRead, StoreWrite,
+    LeaseGrant, LeaseId, ReadConsistency, Revision, StoreError, StoreList, StoreRead, StoreWrite,
     WatchBatch,
 };
 
 /// Key-value store with compare-and-swap, leases and watches.
 ///
-/// Reads are linearizable unless [`ReadAge`] says otherwise. Each call ends within a time limit of the
+/// Reads are linearizable unless [`ReadConsistency`] says otherwise. Each call ends within a time limit of the
 /// implementation's own, so that a silent store shows as
 /// [`StoreError::NoAnswer`].
 pub trait MetaStore: 'static {
@@ -18,7 +18,11 @@
     /// # Errors
     ///
     /// When the store can't be reached or refuses.
-    fn read(&self, key: &str, age: ReadAge) -> impl Future<Output = Result<StoreRead, StoreError>>;
+    fn read(
+        &self,
+        key: &str,
+        age: ReadConsistency,
+    ) -> impl Future<Output = Result<StoreRead, StoreError>>;
 
     /// Reads every key under a prefix.
     ///
@@ -28,7 +32,7 @@
     fn list(
         &self,
         prefix: &str,
-        age: ReadAge,
+        age: ReadConsistency,
     ) -> impl Future<Output = Result<StoreList, StoreError>>;
 
     /// Waits for changes under a prefix after a revision, `wait` at most.
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -5,14 +5,14 @@
 //! the store is spoken to.
 
 mod meta_store;
-mod read_age;
+mod read_consistency;
 mod store_era;
 mod store_error;
 mod store_item;
 mod store_write;
 
 pub use meta_store::MetaStore;
-pub use read_age::ReadAge;
+pub use read_consistency::ReadConsistency;
 pub use store_era::{EraTracker, StoreEra};
 pub use store_error::StoreError;
 pub use store_item::{
--- a/crates/node/src/store/store_era.rs
+++ b/crates/node/src/store/store_era.rs
@@ -53,7 +53,7 @@
     /// eras.hear(StoreEra(1));
     /// assert_eq!(eras.latest(), StoreEra(2));
     /// ```
-    pub fn hear(&self, era: StoreEra) {
+    pub fn observe(&self, era: StoreEra) {
         if era > self.latest.get() {
             self.latest.set(era);
             self.risen.notify_waiters();
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, time::Duration};
 
 use geranium_node::{
-    member::{FleetView, LoadReport, MemberKey, MemberRecord, MemberState, PickQuery, TryEnd},
+    member::{FleetView, LoadReport, MemberKey, MemberRecord, MemberState, PickQuery, TryOutcome},
     store::Revision,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -87,8 +87,8 @@
     let mut fleet = view(1, 1);
     let near = fleet.key_of(peer_addr(1)).expect("it is known");
     let far = fleet.key_of(peer_addr(2)).expect("it is known");
-    fleet.loaded(at(0), near, QUERY.class, load(12, 4, at(100)));
-    fleet.loaded(at(0), far, QUERY.class, load(0, 0, at(100)));
+    fleet.record_load(at(0), near, QUERY.class, load(12, 4, at(100)));
+    fleet.record_load(at(0), far, QUERY.class, load(0, 0, at(100)));
     let long = PickQuery {
         response_bytes: 90_000,
         ..QUERY
@@ -103,22 +103,28 @@
 fn long_answers_are_asked_for_at_home_first() {
     let mut fleet = view(1, 7);
     let near = fleet.key_of(peer_addr(1)).expect("it is known");
-    fleet.loaded(at(0), near, QUERY.class, load(11, 0, at(100)));
+    fleet.record_load(at(0), near, QUERY.class, load(11, 0, at(100)));
     let long = PickQuery {
         response_bytes: 90_000,
         ..QUERY
     };
     let mut rng = StdRng::seed_from_u64(7);
     for _ in 0..100 {
-        assert_eq!(fleet.pick_home(at(0), &long, &mut rng), Some(near));
+        assert_eq!(
+            fleet.pick_in_data_centre(at(0), &long, &mut rng),
+            Some(near)
+        );
     }
-    assert_eq!(fleet.pick_home(at(0), &QUERY, &mut rng), None);
-    let refused = TryEnd::LinkRefused {
+    assert_eq!(fleet.pick_in_data_centre(at(0), &QUERY, &mut rng), None);
+    let refused = TryOutcome::LinkRefused {
         retry_after: at(100),
     };
-    fleet.judged(at(0), near, refused);
-    assert_eq!(fleet.pick_home(at(10), &long, &mut rng), None);
-    assert_eq!(fleet.pick_home(at(110), &long, &mut rng), Some(near));
+    fleet.record_try_outcome(at(0), near, refused);
+    assert_eq!(fleet.pick_in_data_centre(at(10), &long, &mut rng), None);
+    assert_eq!(
+        fleet.pick_in_data_centre(at(110), &long, &mut rng),
+        Some(near)
+    );
 }
 
 /// Guards against refusing a long answer because links are full when the node's own backend
@@ -131,15 +137,15 @@
         link: at(2_000),
         ..load(1, 0, at(100))
     };
-    fleet.loaded(at(0), own, QUERY.class, full);
-    let refused = TryEnd::LinkRefused {
+    fleet.record_load(at(0), own, QUERY.class, full);
+    let refused = TryOutcome::LinkRefused {
         retry_after: at(300),
     };
     for number in 2..=4 {
         let other = fleet
             .key_of(peer_addr(number))
             .expect("the member is known");
-        fleet.judged(at(0), other, refused);
+        fleet.record_try_outcome(at(0), other, refused);
     }
     let long = PickQuery {
         response_bytes: 90_000,
@@ -148,17 +154,20 @@
     assert_eq!(fleet.link_wait(at(10), &long), None);
     let mut rng = StdRng::seed_from_u64(7);
     for _ in 0..100 {
-        assert_eq!(fleet.pick_home(at(10), &long, &mut rng), Some(own));
+        assert_eq!(
+            fleet.pick_in_data_centre(at(10), &long, &mut rng),
+            Some(own)
+        );
     }
     let tried = PickQuery {
         tried: &[own],
         ..long
     };
     assert!(fleet.link_wait(at(10), &tried).is_some());
-    let busy = TryEnd::Refused {
+    let busy = TryOutcome::Refused {
         retry_after: at(100),
     };
-    fleet.judged(at(10), own, busy);
+    fleet.record_try_outcome(at(10), own, busy);
     assert!(fleet.link_wait(at(20), &long).is_some());
 }
 
@@ -175,7 +184,7 @@
             link: at(400),
             ..load(4, 0, at(100))
         };
-        fleet.loaded(at(0), key, QUERY.class, report);
+        fleet.record_load(at(0), key, QUERY.class, report);
     }
     let own = fleet.key_of(peer_addr(1)).expect("the member is known");
     let long = PickQuery {
@@ -184,7 +193,7 @@
     };
     let mut rng = StdRng::seed_from_u64(7);
     for _ in 0..100 {
-        assert_eq!(fleet.pick_home(at(0), &long, &mut rng), Some(own));
+        assert_eq!(fleet.pick_in_data_centre(at(0), &long, &mut rng), Some(own));
     }
 }
 
@@ -195,7 +204,7 @@
     for number in 1..=4 {
         let key = fleet.key_of(peer_addr(number)).expect("it is known");
         let service = if number == 1 { at(1_000) } else { at(100) };
-        fleet.loaded(at(0), key, QUERY.class, load(1, 0, service));
+        fleet.record_load(at(0), key, QUERY.class, load(1, 0, service));
     }
     let slow = fleet.key_of(peer_addr(1)).expect("it is known");
     assert!(!picks(&fleet, at(0), &QUERY).contains_key(&slow));
@@ -206,10 +215,10 @@
 fn an_unreachable_member_stays_out_for_longer_each_time() {
     let mut fleet = view(2, 0);
     let dead = fleet.key_of(peer_addr(1)).expect("it is known");
-    fleet.judged(at(0), dead, TryEnd::Unreachable);
+    fleet.record_try_outcome(at(0), dead, TryOutcome::Unreachable);
     assert!(!picks(&fleet, at(100), &QUERY).contains_key(&dead));
     assert!(picks(&fleet, at(600), &QUERY).contains_key(&dead));
-    fleet.judged(at(600), dead, TryEnd::Unreachable);
+    fleet.record_try_outcome(at(600), dead, TryOutcome::Unreachable);
     assert!(!picks(&fleet, at(1_500), &QUERY).contains_key(&dead));
     let other = fleet.key_of(peer_addr(2)).expect("it is known");
     let alone = PickQuery {
@@ -217,7 +226,7 @@
         ..QUERY
     };
     assert!(picks(&fleet, at(700), &alone).contains_key(&dead));
-    fleet.judged(at(1_900), dead, TryEnd::Answered { failed: false });
+    fleet.record_try_outcome(at(1_900), dead, TryOutcome::Answered { failed: false });
     assert!(picks(&fleet, at(1_900), &QUERY).contains_key(&dead));
 }
 
@@ -245,7 +254,7 @@
     assert!(fleet.lapse(at(0), peer_addr(1), Revision(20)));
     assert!(!fleet.lapse(at(0), peer_addr(1), Revision(20)));
     assert!(fleet.sweep(at(1_000)).is_empty());
-    fleet.judged(at(1_000), both[0], TryEnd::Answered { failed: false });
+    fleet.record_try_outcome(at(1_000), both[0], TryOutcome::Answered { failed: false });
     assert!(picks(&fleet, at(1_000), &QUERY).contains_key(&both[0]));
     assert!(fleet.announce(at(1_500), record(1, "hofdi"), Revision(21)));
     assert!(fleet.sweep(at(9_000)).is_empty());
@@ -264,10 +273,10 @@
         .collect();
     for step in 0..20 {
         for &key in &keys {
-            fleet.judged(at(step), key, TryEnd::Answered { failed: false });
+            fleet.record_try_outcome(at(step), key, TryOutcome::Answered { failed: false });
         }
     }
-    fleet.judged(at(30), keys[0], TryEnd::Answered { failed: true });
+    fleet.record_try_outcome(at(30), keys[0], TryOutcome::Answered { failed: true });
     let query = PickQuery {
         tried: &keys[..1],
         ..QUERY
@@ -275,10 +284,10 @@
     assert!(fleet.has_healthier(at(30), keys[0], &query));
     for step in 0..20 {
         for &key in &keys {
-            fleet.judged(
+            fleet.record_try_outcome(
                 at(40 + step),
                 key,
-                TryEnd::Answered {
+                TryOutcome::Answered {
                     failed: step % 2 == 0,
                 },
             );
@@ -299,7 +308,7 @@
     for step in 0..150 {
         let key = keys[rng.random_range(0..keys.len())];
         let failed = rng.random::<bool>();
-        fleet.judged(at(step), key, TryEnd::Answered { failed });
+        fleet.record_try_outcome(at(step), key, TryOutcome::Answered { failed });
         if step > 30 && failed {
             let tried = [key];
             let query = PickQuery {
@@ -375,14 +384,14 @@
         ..QUERY
     };
     let retry_after = Duration::from_millis(120);
-    fleet.judged(now, keys[0], TryEnd::LinkRefused { retry_after });
-    fleet.judged(now, keys[1], TryEnd::LinkRefused { retry_after });
+    fleet.record_try_outcome(now, keys[0], TryOutcome::LinkRefused { retry_after });
+    fleet.record_try_outcome(now, keys[1], TryOutcome::LinkRefused { retry_after });
     assert_eq!(
         fleet.link_wait(now, &query),
         None,
         "the third may have room"
     );
-    fleet.judged(now, keys[2], TryEnd::Shut);
+    fleet.record_try_outcome(now, keys[2], TryOutcome::Shut);
     assert_eq!(fleet.link_wait(now, &query), Some(retry_after));
 }
 
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -5,7 +5,7 @@
 
 use geranium_node::{
     inbound::{AdmissionDecision, AdmissionQueue, AdmissionRequest, QueueKey},
-    member::{FleetView, LoadReport, MemberKey, MemberRecord, MemberState, PickQuery, TryEnd},
+    member::{FleetView, LoadReport, MemberKey, MemberRecord, MemberState, PickQuery, TryOutcome},
     store::Revision,
 };
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
@@ -130,7 +130,7 @@
     /// even part.
     crowd: f64,
     /// What fronts take a refusal of a node without a backend server for.
-    shut_end: TryEnd,
+    shut_end: TryOutcome,
     rng: StdRng,
     senders: Vec<FleetView>,
     /// What each front last heard of each door.
@@ -169,7 +169,7 @@
             load,
             data_centres,
             crowd: 0.0,
-            shut_end: TryEnd::Shut,
+            shut_end: TryOutcome::Shut,
             senders,
             heard: vec![HashMap::new(); FRONTS],
             receivers,
@@ -179,7 +179,7 @@
     }
 
     /// Takes the backend servers of the last `count` doors away.
-    fn shut(mut self, count: usize, shut_end: TryEnd) -> Self {
+    fn shut(mut self, count: usize, shut_end: TryOutcome) -> Self {
         for receiver in &mut self.receivers[DOORS - count..] {
             receiver.shut = true;
         }
@@ -239,9 +239,13 @@
                 let granted = self.receivers[receiver]
                     .queue
                     .finish(now, CLASS, Some(took));
-                self.hear(now, run.request);
+                self.observe(now, run.request);
                 let view = &mut self.senders[run.request.sender];
-                view.judged(now, run.request.key, TryEnd::Answered { failed: false });
+                view.record_try_outcome(
+                    now,
+                    run.request.key,
+                    TryOutcome::Answered { failed: false },
+                );
                 view.ended(run.request.key);
                 for key in granted {
                     let (request, _) = self.receivers[receiver]
@@ -283,9 +287,9 @@
         });
     }
 
-    fn hear(&mut self, now: Duration, request: Request) {
+    fn observe(&mut self, now: Duration, request: Request) {
         let report = self.receivers[request.receiver].report();
-        self.senders[request.sender].loaded(now, request.key, CLASS, report);
+        self.senders[request.sender].record_load(now, request.key, CLASS, report);
         self.heard[request.sender].insert(request.receiver, report);
     }
 
@@ -317,7 +321,7 @@
             };
             self.result.asked += 1;
             if self.receivers[request.receiver].shut {
-                self.senders[sender].judged(now, key, self.shut_end);
+                self.senders[sender].record_try_outcome(now, key, self.shut_end);
                 tried.push(key);
                 continue;
             }
@@ -333,13 +337,13 @@
                     probed.push(key);
                 }
                 AdmissionDecision::Refuse { retry_after } => {
-                    let end = TryEnd::Refused { retry_after };
-                    self.senders[sender].judged(now, key, end);
+                    let end = TryOutcome::Refused { retry_after };
+                    self.senders[sender].record_try_outcome(now, key, end);
                     tried.push(key);
                 }
             }
             self.senders[sender].ended(key);
-            self.hear(now, request);
+            self.observe(now, request);
         }
         self.result.refused += 1;
     }
@@ -428,10 +432,12 @@
 #[test]
 fn nodes_without_a_server_draw_no_work() {
     let load = BUSY * 0.75;
-    let node = Fleet::new(Picker::Node, load).shut(6, TryEnd::Shut).play();
+    let node = Fleet::new(Picker::Node, load)
+        .shut(6, TryOutcome::Shut)
+        .play();
     let retry_after = Duration::from_millis(50);
     let naive = Fleet::new(Picker::Node, load)
-        .shut(6, TryEnd::Refused { retry_after })
+        .shut(6, TryOutcome::Refused { retry_after })
         .play();
     assert!(node.share_in_time() > 0.95, "{node:?} {naive:?}");
     assert!(
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -4,7 +4,7 @@
 
 use geranium_node::{
     link::{LinkOffer, LinkSchedule, LinkVerdict, LoadKey},
-    member::{FleetView, LoadReport, MemberKey, MemberRecord, PickQuery, TryEnd},
+    member::{FleetView, LoadReport, MemberKey, MemberRecord, PickQuery, TryOutcome},
     store::Revision,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -38,11 +38,11 @@
     let mut fleet = view_from(DATA_CENTRES[0]);
     let near = fleet.key_of(peer_addr(1)).expect("the member is known");
     let remote = fleet.key_of(peer_addr(2)).expect("the member is known");
-    let refused = TryEnd::LinkRefused {
+    let refused = TryOutcome::LinkRefused {
         retry_after: at(100),
     };
-    fleet.judged(at(0), near, refused);
-    fleet.judged(at(0), remote, refused);
+    fleet.record_try_outcome(at(0), near, refused);
+    fleet.record_try_outcome(at(0), remote, refused);
     let mut rng = StdRng::seed_from_u64(7);
     let near_tried = PickQuery {
         tried: &[near],
@@ -56,7 +56,7 @@
         ..near_tried
     };
     assert!(fleet.has_open(at(50), &short));
-    fleet.judged(at(1_000), near, TryEnd::Unreachable);
+    fleet.record_try_outcome(at(1_000), near, TryOutcome::Unreachable);
     assert_eq!(fleet.link_wait(at(1_100), &LONG), None);
     assert_eq!(fleet.pick(at(1_100), &LONG, &mut rng), Some(remote));
 }
@@ -139,7 +139,7 @@
             if fleet.link_wait(now, &query).is_some() {
                 return;
             }
-            let home = fleet.pick_home(now, &query, &mut self.rng);
+            let home = fleet.pick_in_data_centre(now, &query, &mut self.rng);
             let Some(key) = home.or_else(|| fleet.pick(now, &query, &mut self.rng)) else {
                 return;
             };
@@ -168,10 +168,10 @@
             link: self.links[link].backlog(now),
         };
         let fleet = &mut self.senders[sender];
-        fleet.loaded(now, key, LONG.class, report);
+        fleet.record_load(now, key, LONG.class, report);
         match verdict {
             LinkVerdict::Promised(load) => {
-                fleet.judged(now, key, TryEnd::Answered { failed: false });
+                fleet.record_try_outcome(now, key, TryOutcome::Answered { failed: false });
                 self.files[link].push(File {
                     key: load,
                     made_at: now + RUN,
@@ -183,7 +183,7 @@
                 true
             }
             LinkVerdict::Refused { retry_after } => {
-                fleet.judged(now, key, TryEnd::LinkRefused { retry_after });
+                fleet.record_try_outcome(now, key, TryOutcome::LinkRefused { retry_after });
                 self.result.refusals += 1;
                 false
             }
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    distribution::{LookDuty, RelaySelector, StoreAccess, StoreContact, UpdateSource},
+    distribution::{RelaySelector, StoreAccess, StoreContact, StoreProbeDuty, UpdateSource},
     member::MemberRecord,
 };
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
@@ -44,9 +44,9 @@
         self.pause = (now, rng.random());
     }
 
-    fn step(&mut self, now: Duration, duty: LookDuty, rng: &mut impl Rng) {
+    fn step(&mut self, now: Duration, duty: StoreProbeDuty, rng: &mut impl Rng) {
         if self.access.is_open() {
-            if now >= self.renewal_at || duty == LookDuty::Own {
+            if now >= self.renewal_at || duty == StoreProbeDuty::Own {
                 self.fail(now, rng);
             }
             return;
@@ -86,9 +86,9 @@
             }
             let own_duty = choice == UpdateSource::Store || fleet[own].guide.is_asked(now);
             let duty = if own_duty {
-                LookDuty::Own
+                StoreProbeDuty::Own
             } else {
-                LookDuty::Told
+                StoreProbeDuty::Told
             };
             fleet[own].step(now, duty, &mut rng);
         }
--- a/crates/node/tests/all/starts.rs
+++ b/crates/node/tests/all/starts.rs
@@ -44,7 +44,7 @@
     let key = fleet
         .key_of(record(start("i-1")).peer_addr)
         .expect("announced");
-    fleet.judged(NOW, key, geranium_node::member::TryEnd::Unreachable);
+    fleet.record_try_outcome(NOW, key, geranium_node::member::TryOutcome::Unreachable);
     let query = geranium_node::member::PickQuery {
         service: "prices",
         class: 7,
