--- a/crates/burn/src/sampling/admin_client.rs
+++ b/crates/burn/src/sampling/admin_client.rs
@@ -4,8 +4,8 @@
 
 use attohttpc::{ProxySettings, RequestBuilder};
 use geranium_node::{
+    admin::{MEMBERS_PATH, METRICS_PATH},
     member::MemberRecord,
-    operators::{MEMBERS_PATH, METRICS_PATH},
 };
 use serde::de::DeserializeOwned;
 use snafu::ResultExt;
--- a/crates/ctl/src/fleet/fleet_survey.rs
+++ b/crates/ctl/src/fleet/fleet_survey.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Mutex, thread};
 
-use geranium_node::operators::NodeStatus;
+use geranium_node::admin::NodeStatus;
 use serde::Serialize;
 
 use super::StatusClient;
--- a/crates/ctl/src/fleet/status_client.rs
+++ b/crates/ctl/src/fleet/status_client.rs
@@ -4,8 +4,8 @@
 
 use attohttpc::{ProxySettings, RequestBuilder};
 use geranium_node::{
+    admin::{MEMBERS_PATH, NodeStatus, STATUS_PATH},
     member::MemberRecord,
-    operators::{MEMBERS_PATH, NodeStatus, STATUS_PATH},
 };
 use serde::de::DeserializeOwned;
 
--- a/crates/node/src/operators/operators_port.rs
+++ b/crates/node/src/admin/admin_handler.rs
@@ -24,11 +24,11 @@
 
 /// Shows metrics and state to operators' programs.
 #[derive(Debug, Clone)]
-pub struct OperatorsPort {
+pub struct AdminHandler {
     core: Rc<NodeCore>,
 }
 
-impl OperatorsPort {
+impl AdminHandler {
     /// Makes the port of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
--- a/crates/node/src/operators/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,7 +1,7 @@
 //! What a node shows to operators and their programs.
 
+mod admin_handler;
 mod node_status;
-mod operators_port;
 
+pub use admin_handler::{AdminHandler, MEMBERS_PATH, METRICS_PATH, STATUS_PATH};
 pub use node_status::NodeStatus;
-pub use operators_port::{MEMBERS_PATH, METRICS_PATH, OperatorsPort, STATUS_PATH};
--- a/crates/node/src/crash/crash_port.rs
+++ b/crates/node/src/crash/crash_handler.rs
@@ -21,11 +21,11 @@
 
 /// Takes in what other nodes tell of crashes.
 #[derive(Debug, Clone)]
-pub struct CrashPort {
+pub struct CrashHandler {
     core: Rc<NodeCore>,
 }
 
-impl CrashPort {
+impl CrashHandler {
     /// Makes the port of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
--- a/crates/node/src/crash/mod.rs
+++ b/crates/node/src/crash/mod.rs
@@ -4,7 +4,7 @@
 //! of the service. A door whose connections broke ([`BrokenRuns`]) probes whether the
 //! backend server lives ([`watch_crashes`]). If it doesn't, or another start takes its place
 //! soon, each request that was running gets a [`CrashRecord`]. The nodes beside the other
-//! backend servers of the service are told of it ([`CrashPort`]) before whoever sent the
+//! backend servers of the service are told of it ([`CrashHandler`]) before whoever sent the
 //! request is answered; all others hear of it by way of the store ([`CrashHistory`]).
 //! [`PoisonRegistry`] counts the rows of each [`request_fingerprint`] and says from which count
 //! on a request is refused. Nodes refuse it to their callers, and doors to other nodes.
@@ -17,9 +17,9 @@
 mod break_diagnosis;
 mod broken_runs;
 mod completion_credit;
+mod crash_handler;
 mod crash_history;
 mod crash_news;
-mod crash_port;
 mod crash_record;
 mod crash_watch;
 mod poison_limits;
@@ -30,8 +30,8 @@
 
 pub use break_diagnosis::{BreakCause, BreakDiagnosis};
 pub use broken_runs::BrokenRuns;
+pub use crash_handler::{CRASH_PATH, CrashHandler};
 pub use crash_history::{CRASH_PREFIX, CrashHistory};
-pub use crash_port::{CRASH_PATH, CrashPort};
 pub use crash_record::CrashRecord;
 pub use crash_watch::watch_crashes;
 pub use poison_limits::PoisonLimits;
--- a/crates/node/src/errand/store_errand.rs
+++ b/crates/node/src/delegation/delegated_call.rs
@@ -16,7 +16,7 @@
 /// One call to the store, made for another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum StoreErrand {
+pub enum DelegatedCall {
     /// Ask for a lease.
     Grant {
         /// Milliseconds for which it lasts.
@@ -47,7 +47,7 @@
 /// What became of an errand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ErrandOutcome {
+pub enum DelegatedOutcome {
     /// The lease is granted.
     Granted {
         /// Number of the lease.
@@ -76,7 +76,7 @@
     Failed,
 }
 
-impl StoreErrand {
+impl DelegatedCall {
     /// Makes the errand of a write; none when its value is no text.
     pub fn of_write(write: &StoreWrite<'_>) -> Option<Self> {
         let value = match write.change {
@@ -102,9 +102,9 @@
     /// # Examples
     ///
     /// ```
-    /// use geranium_node::{errand::StoreErrand, store::StoreEra};
+    /// use geranium_node::{delegation::DelegatedCall, store::StoreEra};
     ///
-    /// let removal = |key: &str| StoreErrand::Write {
+    /// let removal = |key: &str| DelegatedCall::Write {
     ///     key: key.to_owned(),
     ///     expected: 7,
     ///     value: None,
@@ -126,11 +126,11 @@
     /// # Errors
     ///
     /// When the store can't be reached or refuses.
-    pub async fn run(&self, store: &impl MetaStore) -> Result<ErrandOutcome, StoreError> {
+    pub async fn run(&self, store: &impl MetaStore) -> Result<DelegatedOutcome, StoreError> {
         let done = match self {
             Self::Grant { ttl_ms } => {
                 let grant = store.grant(Duration::from_millis(*ttl_ms)).await;
-                grant.map(|grant| ErrandOutcome::Granted {
+                grant.map(|grant| DelegatedOutcome::Granted {
                     lease: grant.lease.number,
                     era: grant.lease.era,
                     ttl_ms: grant.ttl.as_millis() as u64,
@@ -138,7 +138,7 @@
             }
             Self::Renew { lease, era } => {
                 let renewed = store.renew(lease_of(*era, *lease)).await;
-                renewed.map(|()| ErrandOutcome::Renewed)
+                renewed.map(|()| DelegatedOutcome::Renewed)
             }
             Self::Write {
                 key,
@@ -155,16 +155,16 @@
                     None => StoreWrite::remove(key, expected),
                 };
                 let written = store.commit(&[write]).await;
-                written.map(|revision| ErrandOutcome::Written {
+                written.map(|revision| DelegatedOutcome::Written {
                     revision: revision.0,
                 })
             }
         };
         match done {
             Err(StoreError::Conflict { current, .. }) => {
-                Ok(ErrandOutcome::Conflict { current: current.0 })
+                Ok(DelegatedOutcome::Conflict { current: current.0 })
             }
-            Err(StoreError::NoLease) => Ok(ErrandOutcome::NoLease),
+            Err(StoreError::NoLease) => Ok(DelegatedOutcome::NoLease),
             done => done,
         }
     }
--- a/crates/node/src/errand/errand_port.rs
+++ b/crates/node/src/delegation/delegated_call_handler.rs
@@ -7,24 +7,24 @@
 use hyper::body::Incoming;
 use slog::{error, warn};
 
-use super::{ErrandOutcome, StoreErrand};
+use super::{DelegatedCall, DelegatedOutcome};
 use crate::{
     node_core::NodeCore,
     response_body::{ResponseBody, empty_response, json_response},
 };
 
 /// Path at which a node takes errands of others.
-pub const ERRAND_PATH: &str = "/.geranium/errand";
+pub const DELEGATED_CALL_PATH: &str = "/.geranium/errand";
 /// Longest errand: an announcement is some 300 bytes.
 const BODY_MAX: usize = 16 * 1024;
 
 /// Takes errands of other nodes.
 #[derive(Debug, Clone)]
-pub struct ErrandPort {
+pub struct DelegatedCallHandler {
     core: Rc<NodeCore>,
 }
 
-impl ErrandPort {
+impl DelegatedCallHandler {
     /// Makes the port of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
@@ -33,16 +33,16 @@
     /// Answers an errand with what became of it.
     pub async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Limited::new(request.into_body(), BODY_MAX).collect().await;
-        let errand = body
+        let call = body
             .ok()
-            .and_then(|body| serde_json::from_slice::<StoreErrand>(&body.to_bytes()).ok());
-        let Some(errand) = errand.filter(StoreErrand::is_allowed) else {
+            .and_then(|body| serde_json::from_slice::<DelegatedCall>(&body.to_bytes()).ok());
+        let Some(call) = call.filter(DelegatedCall::is_allowed) else {
             warn!(self.core.log.logger(), "errand refused"; "cause" => "not one of a node");
             return empty_response(StatusCode::BAD_REQUEST);
         };
-        let outcome = match self.core.errands.submit(errand) {
-            Some(outcome) => outcome.await.unwrap_or(ErrandOutcome::Failed),
-            None => ErrandOutcome::Failed,
+        let outcome = match self.core.delegated_calls.submit(call) {
+            Some(outcome) => outcome.await.unwrap_or(DelegatedOutcome::Failed),
+            None => DelegatedOutcome::Failed,
         };
         json_response(&outcome).unwrap_or_else(|cause| {
             error!(self.core.log.logger(), "outcome not written"; "cause" => %cause);
--- a/crates/node/src/errand/errand_desk.rs
+++ b/crates/node/src/delegation/delegated_call_queue.rs
@@ -5,7 +5,7 @@
 use slog::warn;
 use tokio::sync::{Notify, oneshot};
 
-use super::{ErrandOutcome, StoreErrand};
+use super::{DelegatedCall, DelegatedOutcome};
 use crate::{node_core::NodeCore, store::MetaStore};
 
 /// Errands that may wait. Nodes that have lost the store send one in two seconds
@@ -16,54 +16,54 @@
 const ANSWER_RECENT: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
-struct WaitingErrand {
-    errand: StoreErrand,
-    done: oneshot::Sender<ErrandOutcome>,
+struct WaitingCall {
+    call: DelegatedCall,
+    done: oneshot::Sender<DelegatedOutcome>,
 }
 
 /// Errands that wait to be run.
 #[derive(Debug, Default)]
-pub struct ErrandDesk {
-    waiting: RefCell<VecDeque<WaitingErrand>>,
+pub struct DelegatedCallQueue {
+    waiting: RefCell<VecDeque<WaitingCall>>,
     heard: Notify,
 }
 
-impl ErrandDesk {
+impl DelegatedCallQueue {
     /// Takes an errand in; nothing when too many wait.
-    pub fn submit(&self, errand: StoreErrand) -> Option<oneshot::Receiver<ErrandOutcome>> {
+    pub fn submit(&self, call: DelegatedCall) -> Option<oneshot::Receiver<DelegatedOutcome>> {
         let mut waiting = self.waiting.borrow_mut();
         if waiting.len() >= WAITING_MAX {
             return None;
         }
         let (done, outcome) = oneshot::channel();
-        waiting.push_back(WaitingErrand { errand, done });
+        waiting.push_back(WaitingCall { call, done });
         self.heard.notify_one();
         Some(outcome)
     }
 
-    fn take(&self) -> Option<WaitingErrand> {
+    fn take(&self) -> Option<WaitingCall> {
         self.waiting.borrow_mut().pop_front()
     }
 }
 
 /// Runs the errands of other nodes until this one ends.
-pub async fn run_errands(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
+pub async fn run_delegated_calls(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
-        while let Some(WaitingErrand { errand, done }) = core.errands.take() {
-            let outcome = run(&core, &*store, &errand).await;
+        while let Some(WaitingCall { call, done }) = core.delegated_calls.take() {
+            let outcome = run(&core, &*store, &call).await;
             // Whoever asked may have given up meanwhile.
             let _heard = done.send(outcome);
         }
-        core.errands.heard.notified().await;
+        core.delegated_calls.heard.notified().await;
     }
 }
 
-async fn run(core: &NodeCore, store: &impl MetaStore, errand: &StoreErrand) -> ErrandOutcome {
+async fn run(core: &NodeCore, store: &impl MetaStore, call: &DelegatedCall) -> DelegatedOutcome {
     if !core.store_access.borrow().is_open() {
-        return ErrandOutcome::Failed;
+        return DelegatedOutcome::Failed;
     }
     core.metrics.store_call("errand");
-    match errand.run(store).await {
+    match call.run(store).await {
         Ok(outcome) => {
             core.store_answered();
             outcome
@@ -75,7 +75,7 @@
             } else {
                 warn!(core.log.logger(), "errand failed"; "cause" => %cause);
             }
-            ErrandOutcome::Failed
+            DelegatedOutcome::Failed
         }
     }
 }
--- a/crates/node/src/errand/store_way.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -7,7 +7,7 @@
 use slog::info;
 use snafu::Snafu;
 
-use super::{ERRAND_PATH, ErrandOutcome, StoreErrand};
+use super::{DELEGATED_CALL_PATH, DelegatedCall, DelegatedOutcome};
 use crate::{
     node_core::NodeCore,
     store::{LeaseGrant, LeaseId, MetaStore, Revision, StoreError, StoreWrite},
@@ -15,13 +15,13 @@
 };
 
 /// Longest time for an errand: the store's call takes one at most.
-const ERRAND_TIME: Duration = Duration::from_millis(1_300);
+const DELEGATED_CALL_TIME: Duration = Duration::from_millis(1_300);
 /// Nodes asked in one round.
 const ASKED_MAX: usize = 2;
 
 /// Failure of an errand.
 #[derive(Debug, Snafu)]
-enum ErrandError {
+enum DelegationError {
     /// The node can't be asked.
     #[snafu(display("{source}"), context(false))]
     Call {
@@ -39,14 +39,14 @@
 /// The way by which a node's announcement comes to the store: its own calls, or
 /// those of another node while the store doesn't answer this one.
 #[derive(Debug)]
-pub struct StoreWay<S> {
+pub struct DelegatingStore<S> {
     core: Rc<NodeCore>,
     store: Rc<S>,
     /// Node that made the last errand.
     helper: Cell<Option<SocketAddr>>,
 }
 
-impl<S: MetaStore> StoreWay<S> {
+impl<S: MetaStore> DelegatingStore<S> {
     /// Makes the way of a node.
     pub const fn new(core: Rc<NodeCore>, store: Rc<S>) -> Self {
         Self {
@@ -73,8 +73,8 @@
             return self.answered(grant);
         }
         let ttl_ms = ttl.as_millis() as u64;
-        match self.send(&StoreErrand::Grant { ttl_ms }).await? {
-            ErrandOutcome::Granted { lease, era, ttl_ms } => {
+        match self.send(&DelegatedCall::Grant { ttl_ms }).await? {
+            DelegatedOutcome::Granted { lease, era, ttl_ms } => {
                 self.core.eras.observe(era);
                 Ok(LeaseGrant {
                     lease: LeaseId { era, number: lease },
@@ -96,12 +96,12 @@
             let renewed = self.store.renew(lease).await;
             return self.answered(renewed);
         }
-        let errand = StoreErrand::Renew {
+        let delegated_call = DelegatedCall::Renew {
             lease: lease.number,
             era: lease.era,
         };
-        match self.send(&errand).await? {
-            ErrandOutcome::Renewed => Ok(()),
+        match self.send(&delegated_call).await? {
+            DelegatedOutcome::Renewed => Ok(()),
             outcome => Err(unexpected(outcome)),
         }
     }
@@ -121,16 +121,17 @@
             let written = self.store.commit(&[write]).await;
             return self.answered(written);
         }
-        let errand = StoreErrand::of_write(&write).ok_or_else(|| StoreError::Unexpected {
-            reason: "the value is no text".to_owned(),
-        })?;
-        match self.send(&errand).await? {
-            ErrandOutcome::Written { revision } => {
+        let delegated_call =
+            DelegatedCall::of_write(&write).ok_or_else(|| StoreError::Unexpected {
+                reason: "the value is no text".to_owned(),
+            })?;
+        match self.send(&delegated_call).await? {
+            DelegatedOutcome::Written { revision } => {
                 let revision = Revision(revision);
                 self.core.eras.observe(revision.era());
                 Ok(revision)
             }
-            ErrandOutcome::Conflict { current } => Err(StoreError::Conflict {
+            DelegatedOutcome::Conflict { current } => Err(StoreError::Conflict {
                 key: write.key.to_owned(),
                 current: Revision(current),
             }),
@@ -146,10 +147,10 @@
     }
 
     /// Sends an errand to a few nodes in turn, first to the one that made the last.
-    async fn send(&self, errand: &StoreErrand) -> Result<ErrandOutcome, StoreError> {
+    async fn send(&self, delegated_call: &DelegatedCall) -> Result<DelegatedOutcome, StoreError> {
         for peer_addr in self.helpers() {
-            match self.ask(peer_addr, errand).await {
-                Ok(ErrandOutcome::Failed) => {}
+            match self.ask(peer_addr, delegated_call).await {
+                Ok(DelegatedOutcome::Failed) => {}
                 Ok(outcome) => {
                     if self.helper.replace(Some(peer_addr)) != Some(peer_addr) {
                         info!(self.core.log.logger(), "store reached through another node";
@@ -180,13 +181,13 @@
     async fn ask(
         &self,
         peer_addr: SocketAddr,
-        errand: &StoreErrand,
-    ) -> Result<ErrandOutcome, ErrandError> {
+        delegated_call: &DelegatedCall,
+    ) -> Result<DelegatedOutcome, DelegationError> {
         let call = NodeCall {
             method: Method::POST,
-            path: ERRAND_PATH,
-            body: serde_json::to_vec(errand)?.into(),
-            time: ERRAND_TIME,
+            path: DELEGATED_CALL_PATH,
+            body: serde_json::to_vec(delegated_call)?.into(),
+            time: DELEGATED_CALL_TIME,
         };
         let idle_time = self.core.settings.peer_idle_timeout;
         let whole = call
@@ -197,9 +198,9 @@
 }
 
 /// Returns the error that an outcome is which doesn't answer its errand.
-fn unexpected(outcome: ErrandOutcome) -> StoreError {
+fn unexpected(outcome: DelegatedOutcome) -> StoreError {
     match outcome {
-        ErrandOutcome::NoLease => StoreError::NoLease,
+        DelegatedOutcome::NoLease => StoreError::NoLease,
         outcome => StoreError::Unexpected {
             reason: format!("errand: {outcome:?}"),
         },
--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -10,7 +10,7 @@
 
 use super::own_key;
 use crate::{
-    errand::StoreWay,
+    delegation::DelegatingStore,
     inbound::LocalEndpoint,
     member::{MemberRecord, MemberState},
     node_core::NodeCore,
@@ -50,15 +50,18 @@
 /// names the revision that it replaces, so that a late one finds another revision and
 /// fails.
 ///
-/// While the store doesn't answer this node, another one makes its calls ([`StoreWay`]).
+/// While the store doesn't answer this node, another one makes its calls ([`DelegatingStore`]).
 pub async fn keep_announced(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
-    let way = StoreWay::new(Rc::clone(&core), store);
+    let delegating_store = DelegatingStore::new(Rc::clone(&core), store);
     let mut announcement = Announcement::default();
     let mut renew_at = Instant::now();
     let mut pause = PAUSE_FIRST;
     loop {
-        let own = way.is_own();
-        match announcement.step(&core, &way, &mut renew_at).await {
+        let own = delegating_store.is_own();
+        match announcement
+            .step(&core, &delegating_store, &mut renew_at)
+            .await
+        {
             Ok(()) => {
                 announcement.settle(&core);
                 pause = PAUSE_FIRST;
@@ -83,7 +86,7 @@
     async fn step(
         &mut self,
         core: &NodeCore,
-        way: &StoreWay<impl MetaStore>,
+        delegating_store: &DelegatingStore<impl MetaStore>,
         renew_at: &mut Instant,
     ) -> Result<(), StoreError> {
         let key = own_key(core);
@@ -92,18 +95,18 @@
         self.enter_era(core.eras.latest());
         let Some(wanted) = wanted else {
             *renew_at = Instant::now() + RENEW_TIME;
-            return self.withdraw(core, way, key.as_str()).await;
+            return self.withdraw(core, delegating_store, key.as_str()).await;
         };
         let lease = match self.lease {
             Some(lease) if Instant::now() < *renew_at => lease,
-            Some(lease) => match way.renew(lease).await {
-                Err(StoreError::NoLease) => self.grant(way).await?,
+            Some(lease) => match delegating_store.renew(lease).await {
+                Err(StoreError::NoLease) => self.grant(delegating_store).await?,
                 renewed => {
                     renewed?;
                     lease
                 }
             },
-            None => self.take_over(core, way).await?,
+            None => self.take_over(core, delegating_store).await?,
         };
         if Instant::now() >= *renew_at {
             *renew_at = Instant::now() + RENEW_TIME;
@@ -111,7 +114,8 @@
         if self.stands_for(&wanted) {
             return Ok(());
         }
-        self.write(core, way, key.as_str(), wanted, lease).await
+        self.write(core, delegating_store, key.as_str(), wanted, lease)
+            .await
     }
 
     /// Gives up a lease of an era that is over, and all that was known to stand in the store.
@@ -130,15 +134,15 @@
     async fn take_over(
         &mut self,
         core: &NodeCore,
-        way: &StoreWay<impl MetaStore>,
+        delegating_store: &DelegatingStore<impl MetaStore>,
     ) -> Result<LeaseId, StoreError> {
         let Some(lease) = core.own_lease.get() else {
-            return self.grant(way).await;
+            return self.grant(delegating_store).await;
         };
-        let renewed = way.renew(lease).await;
+        let renewed = delegating_store.renew(lease).await;
         if let Err(StoreError::NoLease) = renewed {
             core.own_lease.set(None);
-            return self.grant(way).await;
+            return self.grant(delegating_store).await;
         }
         renewed?;
         core.own_lease.set(None);
@@ -150,10 +154,13 @@
         Ok(lease)
     }
 
-    async fn grant(&mut self, way: &StoreWay<impl MetaStore>) -> Result<LeaseId, StoreError> {
+    async fn grant(
+        &mut self,
+        delegating_store: &DelegatingStore<impl MetaStore>,
+    ) -> Result<LeaseId, StoreError> {
         self.lease = None;
         self.record = None;
-        let grant = way.grant(LEASE_TIME).await?;
+        let grant = delegating_store.grant(LEASE_TIME).await?;
         self.lease = Some(grant.lease);
         Ok(grant.lease)
     }
@@ -161,7 +168,7 @@
     async fn write(
         &mut self,
         core: &NodeCore,
-        way: &StoreWay<impl MetaStore>,
+        delegating_store: &DelegatingStore<impl MetaStore>,
         key: &str,
         wanted: MemberRecord,
         lease: LeaseId,
@@ -170,7 +177,7 @@
             reason: error.to_string(),
         })?;
         let write = StoreWrite::leased(key, &value, self.revision, lease);
-        match way.commit(write, "announce").await {
+        match delegating_store.commit(write, "announce").await {
             Ok(revision) => {
                 info!(core.log.logger(), "announced";
                     "instance" => %wanted.start,
@@ -202,7 +209,7 @@
     async fn withdraw(
         &mut self,
         core: &NodeCore,
-        way: &StoreWay<impl MetaStore>,
+        delegating_store: &DelegatingStore<impl MetaStore>,
         key: &str,
     ) -> Result<(), StoreError> {
         // An older copy of the store may have brought back the one of a server that left.
@@ -211,7 +218,7 @@
             return Ok(());
         }
         let removal = StoreWrite::remove(key, self.revision);
-        match way.commit(removal, "withdraw").await {
+        match delegating_store.commit(removal, "withdraw").await {
             Ok(revision) => {
                 self.record = None;
                 self.revision = Revision(0);
--- a/crates/node/src/http_port.rs
+++ b/crates/node/src/http_listener.rs
@@ -36,14 +36,14 @@
 /// A port that can't be opened.
 #[derive(Debug, Snafu)]
 #[snafu(display("can't listen on {addr}: {source}"))]
-pub struct PortError {
+pub struct BindError {
     addr: SocketAddr,
     source: std::io::Error,
 }
 
 /// Limits of a port.
 #[derive(Debug, Clone, Copy)]
-pub struct PortLimits {
+pub struct ConnectionLimits {
     /// Longest time that a connection may stay idle or a head may take.
     pub idle_time: Duration,
     /// Most bytes of a head.
@@ -55,14 +55,14 @@
 /// # Errors
 ///
 /// When the address can't be bound.
-pub fn open_port(addr: SocketAddr) -> Result<TcpListener, PortError> {
+pub fn bind_listener(addr: SocketAddr) -> Result<TcpListener, BindError> {
     let listen = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(addr)?;
         socket.listen(BACKLOG)
     };
-    listen().context(PortSnafu { addr })
+    listen().context(BindSnafu { addr })
 }
 
 /// Answers every request that comes to a port with what `answer` makes of it.
@@ -75,10 +75,10 @@
 /// connections that bring nothing are closed and the others end with their next answer. A
 /// connection that is too new to have brought its first request gets a moment for it. The
 /// port counts as a connection until then, so the process waits for it.
-pub async fn serve_port<F>(
+pub async fn serve_listener<F>(
     core: Rc<NodeCore>,
     listener: TcpListener,
-    limits: impl Fn() -> PortLimits,
+    limits: impl Fn() -> ConnectionLimits,
     answer: impl Fn(Request<Incoming>) -> F + Clone + 'static,
 ) where
     F: Future<Output = Response<ResponseBody>> + 'static,
@@ -132,7 +132,7 @@
 
 async fn serve_connection<F>(
     stream: TcpStream,
-    limits: PortLimits,
+    limits: ConnectionLimits,
     answer: impl Fn(Request<Incoming>) -> F,
     mut closing: watch::Receiver<bool>,
 ) where
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,7 +5,7 @@
 //! server out of the [`member`] view and sends the request to the node beside
 //! that one, whose [`inbound`] admits it, runs it and answers. [`discovery`] keeps
 //! configuration and members up to date from the metadata [`store`], and
-//! announces the own backend server there; an [`errand`] is such a call made for
+//! announces the own backend server there; an [`delegation`] is such a call made for
 //! another node.
 //!
 //! One thread runs it all, on one event loop, so that no decision needs a
@@ -14,14 +14,15 @@
 //! [`member::FleetView`], [`inbound::AdmissionQueue`], [`inbound::EndpointTracker`],
 //! [`retry::RetryBudget`], [`config::MeshConfig`].
 
+pub mod admin;
 pub mod config;
 pub mod crash;
+pub mod delegation;
 pub mod discovery;
 pub mod distribution;
-pub mod errand;
 pub mod event_log;
 pub mod header_set;
-pub mod http_port;
+pub mod http_listener;
 pub mod inbound;
 pub mod link;
 pub mod member;
@@ -30,7 +31,6 @@
 pub mod node_core;
 pub mod node_metrics;
 pub mod node_settings;
-pub mod operators;
 pub mod outbound;
 pub mod peer_handler;
 pub mod request_origin;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -12,17 +12,17 @@
 };
 
 use crate::{
+    admin::AdminHandler,
     crash::watch_crashes,
+    delegation::run_delegated_calls,
     discovery::{
         ConfigSource, catch_up, follow_relay, keep_announced, probe_store, watch_config,
         watch_eras, watch_members,
     },
-    errand::run_errands,
-    http_port::{PortError, PortLimits, open_port, serve_port},
+    http_listener::{BindError, ConnectionLimits, bind_listener, serve_listener},
     inbound::confirm_endpoint,
     node_core::{CALLERS_LEAVE, NodeCore, OpenRequestGuard},
     node_settings::ListenAddrs,
-    operators::OperatorsPort,
     outbound::OutboundProxy,
     peer_handler::PeerHandler,
     request_origin::RequestOrigin,
@@ -51,7 +51,7 @@
 
 /// The ports of a node, open.
 #[derive(Debug)]
-pub struct NodePorts {
+pub struct NodeListeners {
     callers: TcpListener,
     peers: TcpListener,
     readiness: TcpListener,
@@ -59,32 +59,32 @@
     metrics: Option<TcpListener>,
 }
 
-impl NodePorts {
+impl NodeListeners {
     /// Opens them. A node whose metrics port is taken runs without metrics:
     /// callers must not suffer for it.
     ///
     /// # Errors
     ///
     /// When another address can't be bound.
-    pub fn open(addrs: &ListenAddrs, logger: &Logger) -> Result<Self, PortError> {
+    pub fn open(addrs: &ListenAddrs, logger: &Logger) -> Result<Self, BindError> {
         let metrics = addrs.metrics.and_then(|addr| {
-            let opened = open_port(addr);
+            let opened = bind_listener(addr);
             opened
                 .inspect_err(|cause| warn!(logger, "no metrics"; "cause" => %cause))
                 .ok()
         });
         Ok(Self {
-            callers: open_port(addrs.callers)?,
-            peers: open_port(addrs.peers)?,
-            readiness: open_port(addrs.readiness)?,
-            reports: open_port(addrs.reports)?,
+            callers: bind_listener(addrs.callers)?,
+            peers: bind_listener(addrs.peers)?,
+            readiness: bind_listener(addrs.readiness)?,
+            reports: bind_listener(addrs.reports)?,
             metrics,
         })
     }
 }
 
 /// What the platform asks of a node, as its adapter answers it.
-pub trait PlatformPort: Clone + 'static {
+pub trait PlatformHandler: Clone + 'static {
     /// Answers a readiness check.
     fn readiness(self, request: Request<Incoming>) -> impl Future<Output = Response<ResponseBody>>;
 
@@ -95,8 +95,8 @@
 /// Starts every task of a node on the current thread's executor.
 pub fn start_node(
     core: &Rc<NodeCore>,
-    ports: NodePorts,
-    platform: impl PlatformPort,
+    listeners: NodeListeners,
+    platform: impl PlatformHandler,
     store: Rc<impl MetaStore>,
     source: ConfigSource,
 ) {
@@ -105,26 +105,29 @@
         "endpoint" => %core.settings.endpoint,
         "service" => &*core.settings.service,
         "data_centre" => &*core.settings.data_centre);
-    serve_callers(core, ports.callers);
-    serve_inner(core, ports.peers, {
-        let port = PeerHandler::new(Rc::clone(core));
+    serve_callers(core, listeners.callers);
+    serve_inner(core, listeners.peers, {
+        let handler = PeerHandler::new(Rc::clone(core));
         let core = Rc::clone(core);
         move |request| {
-            let (port, open) = (port.clone(), core.open_request_guard(RequestOrigin::Node));
-            async move { opened(port.answer(request).await, open) }
+            let (handler, open) = (
+                handler.clone(),
+                core.open_request_guard(RequestOrigin::Node),
+            );
+            async move { opened(handler.answer(request).await, open) }
         }
     });
     let readiness = platform.clone();
-    serve_inner(core, ports.readiness, move |request| {
+    serve_inner(core, listeners.readiness, move |request| {
         readiness.clone().readiness(request)
     });
-    serve_inner(core, ports.reports, move |request| {
+    serve_inner(core, listeners.reports, move |request| {
         platform.clone().report(request)
     });
-    if let Some(metrics) = ports.metrics {
-        let port = OperatorsPort::new(Rc::clone(core));
+    if let Some(metrics) = listeners.metrics {
+        let handler = AdminHandler::new(Rc::clone(core));
         serve_inner(core, metrics, move |request| {
-            std::future::ready(port.answer(&request))
+            std::future::ready(handler.answer(&request))
         });
     }
     spawn_local(watch_config(Rc::clone(core), Rc::clone(&store), source));
@@ -134,7 +137,7 @@
     spawn_local(probe_store(Rc::clone(core), Rc::clone(&store)));
     spawn_local(watch_eras(Rc::clone(core)));
     spawn_local(watch_crashes(Rc::clone(core), Rc::clone(&store)));
-    spawn_local(run_errands(Rc::clone(core), Rc::clone(&store)));
+    spawn_local(run_delegated_calls(Rc::clone(core), Rc::clone(&store)));
     spawn_local(keep_announced(Rc::clone(core), store));
     spawn_local(catch_up(Rc::clone(core)));
     spawn_local(sweep(Rc::clone(core)));
@@ -182,16 +185,16 @@
         async move { opened(flow.answer(request).await, open) }
     };
     let limits = move || match &*limited.config.borrow() {
-        Some(config) => PortLimits {
+        Some(config) => ConnectionLimits {
             idle_time: config.limits.idle_time,
             head_bytes: config.limits.head_bytes,
         },
-        None => PortLimits {
+        None => ConnectionLimits {
             idle_time: FIRST_IDLE,
             head_bytes: INNER_HEAD,
         },
     };
-    spawn_local(serve_port(Rc::clone(core), listener, limits, answer));
+    spawn_local(serve_listener(Rc::clone(core), listener, limits, answer));
 }
 
 fn serve_inner<F>(
@@ -201,11 +204,11 @@
 ) where
     F: Future<Output = Response<ResponseBody>> + 'static,
 {
-    let limits = || PortLimits {
+    let limits = || ConnectionLimits {
         idle_time: INNER_IDLE,
         head_bytes: INNER_HEAD,
     };
-    spawn_local(serve_port(Rc::clone(core), listener, limits, answer));
+    spawn_local(serve_listener(Rc::clone(core), listener, limits, answer));
 }
 
 async fn sweep(core: Rc<NodeCore>) {
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -24,8 +24,8 @@
 use crate::{
     config::{ConfigVersion, MeshConfig},
     crash::CrashHistory,
+    delegation::DelegatedCallQueue,
     distribution::{ConfigHistory, RelaySelector, StoreAccess},
-    errand::ErrandDesk,
     event_log::EventLog,
     header_set::HeaderSet,
     inbound::{InboundProxy, InboundSettings},
@@ -109,7 +109,7 @@
     /// Wakes who waits for the store.
     pub store_back: Notify,
     /// Calls to the store for other nodes.
-    pub errands: ErrandDesk,
+    pub delegated_calls: DelegatedCallQueue,
     /// Which node watches the store for whom.
     pub relay_selector: RefCell<RelaySelector>,
     /// Configurations that other nodes may still hold.
@@ -191,7 +191,7 @@
             store_access: RefCell::default(),
             store_lost: Notify::new(),
             store_back: Notify::new(),
-            errands: ErrandDesk::default(),
+            delegated_calls: DelegatedCallQueue::default(),
             relay_selector: RefCell::new(RelaySelector::new(settings.peer_addr)),
             history: RefCell::default(),
             open: Cell::new(0),
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -10,9 +10,9 @@
 use tokio::time::Instant;
 
 use crate::{
-    crash::{BreakDiagnosis, CRASH_PATH, CrashPort, request_fingerprint},
+    crash::{BreakDiagnosis, CRASH_PATH, CrashHandler, request_fingerprint},
+    delegation::{DELEGATED_CALL_PATH, DelegatedCallHandler},
     discovery::{UPDATE_PATH, UpdateHandler},
-    errand::{ERRAND_PATH, ErrandPort},
     header_set::{
         PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
         PEER_REQUEST_HEADER, PEER_VERSION_HEADER, header_text, set_header, strip_connection,
@@ -43,14 +43,14 @@
     /// Answers a request.
     pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let mut response = if incoming.uri().path() == UPDATE_PATH {
-            let port = UpdateHandler::new(Rc::clone(&self.core));
-            port.answer(incoming.uri()).await
-        } else if incoming.uri().path() == ERRAND_PATH {
-            let port = ErrandPort::new(Rc::clone(&self.core));
-            port.answer(incoming).await
+            let handler = UpdateHandler::new(Rc::clone(&self.core));
+            handler.answer(incoming.uri()).await
+        } else if incoming.uri().path() == DELEGATED_CALL_PATH {
+            let handler = DelegatedCallHandler::new(Rc::clone(&self.core));
+            handler.answer(incoming).await
         } else if incoming.uri().path() == CRASH_PATH {
-            let port = CrashPort::new(Rc::clone(&self.core));
-            port.answer(incoming).await
+            let handler = CrashHandler::new(Rc::clone(&self.core));
+            handler.answer(incoming).await
         } else {
             self.run(incoming).await
         };
