--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -23,7 +23,7 @@
 use crate::{
     crash::{BreakDiagnosis, BrokenRuns, CrashHistory},
     header_set::HeaderSet,
-    link::LinkLine,
+    link::LinkScheduler,
     member::{EndpointStart, LoadReport, ResponseSizes},
     node_clock::NodeClock,
     response_body::ResponseBody,
@@ -82,7 +82,7 @@
 pub(super) struct InboundState {
     pub(super) endpoints: ConnectionPool,
     pub(super) clock: NodeClock,
-    pub(super) link: Rc<LinkLine>,
+    pub(super) link: Rc<LinkScheduler>,
     pub(super) response_sizes: RefCell<ResponseSizes>,
     pub(super) queue: RefCell<AdmissionQueue>,
     pub(super) waiters: RefCell<HashMap<QueueKey, oneshot::Sender<()>>>,
@@ -131,7 +131,7 @@
         settings: InboundSettings,
         headers: HeaderSet,
         clock: NodeClock,
-        link: Rc<LinkLine>,
+        link: Rc<LinkScheduler>,
         crashes: Rc<RefCell<CrashHistory>>,
     ) -> Self {
         let endpoints = ConnectionPool::new(PoolSettings {
@@ -243,7 +243,7 @@
     ) -> Result<Response<ResponseBody>, InboundError> {
         let turn = self.admit_fingerprint(&request).await?;
         let start = self.admit(&request)?;
-        let promise = self.promise_link(&request)?;
+        let reservation = self.reserve_link(&request)?;
         let slot = self.wait_for_slot(&request).await?;
         // A backend server may have crashed meanwhile, or this one begun to leave.
         let _turn = match turn {
@@ -267,8 +267,8 @@
         if let Some(bytes) = bytes {
             self.inner.response_sizes.borrow_mut().observe(class, bytes);
         }
-        let promise = promise.or_else(|| self.take_link(unscheduled?, bytes?));
-        Ok(answer.map(|body| body.with_promise(promise)))
+        let reservation = reservation.or_else(|| self.take_link(unscheduled?, bytes?));
+        Ok(answer.map(|body| body.with_reservation(reservation)))
     }
 
     fn admit_by_breaker(&self) -> Result<(), InboundError> {
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -7,7 +7,7 @@
 
 use super::{InboundError, InboundProxy, InboundRequest, RefusalReason, inbound_proxy::refused};
 use crate::{
-    link::{LinkOffer, LinkPromise},
+    link::{LinkRequest, LinkReservation},
     request_origin::RequestOrigin,
     response_body::SHORT_RESPONSE_MAX_BYTES,
 };
@@ -24,23 +24,23 @@
 impl InboundProxy {
     /// Promises the link to a long answer for another node, or refuses the request if the
     /// answer couldn't arrive in time.
-    pub(super) fn promise_link(
+    pub(super) fn reserve_link(
         &self,
         request: &InboundRequest,
-    ) -> Result<Option<LinkPromise>, InboundError> {
+    ) -> Result<Option<LinkReservation>, InboundError> {
         let bytes = self.inner.response_sizes.borrow().get(request.class);
         if bytes <= SHORT_RESPONSE_MAX_BYTES || request.origin == RequestOrigin::Caller {
             return Ok(None);
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
-        let offer = LinkOffer {
+        let offer = LinkRequest {
             bytes,
             made_in: self.inner.queue.borrow().service_of(request.class),
             useful_until: clock.at(request.useful_until),
             ends_at: clock.at(request.ends_at),
         };
         match link.offer(clock, self.id_of(request), offer) {
-            Ok(promise) => Ok(Some(promise)),
+            Ok(reservation) => Ok(Some(reservation)),
             Err(retry_after) => refused(RefusalReason::LinkFull, retry_after),
         }
     }
@@ -49,12 +49,16 @@
     ///
     /// After a start nobody knows which answers are long. Sent all at once, the first
     /// ones fill the link for so long that the node seems dead to the others.
-    pub(super) fn take_link(&self, answer: UnscheduledAnswer, bytes: u64) -> Option<LinkPromise> {
+    pub(super) fn take_link(
+        &self,
+        answer: UnscheduledAnswer,
+        bytes: u64,
+    ) -> Option<LinkReservation> {
         if bytes <= SHORT_RESPONSE_MAX_BYTES {
             return None;
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
-        let offer = LinkOffer {
+        let offer = LinkRequest {
             bytes,
             made_in: Duration::ZERO,
             useful_until: clock.at(answer.useful_until),
--- a/crates/node/src/link/link_notes.rs
+++ b/crates/node/src/link/link_reporter.rs
@@ -9,7 +9,7 @@
 use slog::info;
 use strum::VariantArray;
 
-use super::{AnswerCourse, AnswerEnd, LinkLoad, LinkUse};
+use super::{LinkTraffic, LinkUsage, TransferOutcome, TransferRecord};
 use crate::event_log::EventLog;
 
 /// Counters of the link.
@@ -35,44 +35,44 @@
 
 /// Logs and counts what the link carries.
 #[derive(Debug, Clone)]
-pub struct LinkNotes {
+pub struct LinkReporter {
     log: EventLog,
     counters: LinkCounters,
 }
 
-impl LinkNotes {
+impl LinkReporter {
     /// Makes the notes of a node's link.
     pub const fn new(log: EventLog, counters: LinkCounters) -> Self {
         Self { log, counters }
     }
 
     /// Records what became of a long answer.
-    pub fn ended(&self, now: Duration, course: &AnswerCourse) {
-        let end = course.end();
+    pub fn ended(&self, now: Duration, transfer: &TransferRecord) {
+        let end = transfer.end();
         if let Some(log) = self.log.for_request(now, "long answer") {
             info!(log, "long answer ended";
-                "request" => course.request.as_ref().and_then(|id| id.to_str().ok()),
+                "request" => transfer.request.as_ref().and_then(|id| id.to_str().ok()),
                 "end" => <&'static str>::from(end),
-                "bytes" => course.bytes,
-                "bytes_promised" => course.offer.bytes,
-                "sent" => course.sent,
-                "target_ms" => course.millis(Some(course.offer.useful_until)),
-                "deadline_ms" => course.millis(Some(course.offer.ends_at)),
-                "made_ms" => course.millis(course.made_at),
-                "postponed_ms" => course.millis(course.postponed_at),
-                "begun_ms" => course.millis(course.begun_at),
-                "sent_ms" => course.millis(course.sent_at),
-                "took_ms" => course.millis(Some(now)));
+                "bytes" => transfer.bytes,
+                "bytes_promised" => transfer.offer.bytes,
+                "sent" => transfer.sent,
+                "target_ms" => transfer.millis(Some(transfer.offer.useful_until)),
+                "deadline_ms" => transfer.millis(Some(transfer.offer.ends_at)),
+                "made_ms" => transfer.millis(transfer.made_at),
+                "postponed_ms" => transfer.millis(transfer.postponed_at),
+                "begun_ms" => transfer.millis(transfer.begun_at),
+                "sent_ms" => transfer.millis(transfer.sent_at),
+                "took_ms" => transfer.millis(Some(now)));
         }
     }
 
     /// Counts what the link carried, and logs it when it was asked for long answers.
-    pub fn carried(&self, load: &LinkLoad, time: Duration, rate: f64, backlog: Duration) {
-        for &purpose in LinkUse::VARIANTS {
+    pub fn carried(&self, load: &LinkUsage, time: Duration, rate: f64, backlog: Duration) {
+        for &purpose in LinkTraffic::VARIANTS {
             let label = KeyValue::new("use", <&'static str>::from(purpose));
             self.counters.bytes.add(load.bytes(purpose), &[label]);
         }
-        for &end in AnswerEnd::VARIANTS {
+        for &end in TransferOutcome::VARIANTS {
             self.counters.answer(end.into(), load.ends(end));
         }
         self.counters.answer("refused", load.refused);
@@ -83,17 +83,17 @@
         info!(self.log.logger(), "link carried";
             "time_ms" => time.as_millis() as u64,
             "used_percent" => (load.all_bytes() as f64 / full * 100.0).round() as u64,
-            "long_away" => load.bytes(LinkUse::LongAway),
-            "short" => load.bytes(LinkUse::Short),
-            "overhead" => load.bytes(LinkUse::Overhead),
-            "refusals" => load.bytes(LinkUse::Refusal),
-            "requests" => load.bytes(LinkUse::Request),
+            "long_away" => load.bytes(LinkTraffic::LongAway),
+            "short" => load.bytes(LinkTraffic::Short),
+            "overhead" => load.bytes(LinkTraffic::Overhead),
+            "refusals" => load.bytes(LinkTraffic::Refusal),
+            "requests" => load.bytes(LinkTraffic::Request),
             "promised" => load.promised,
             "refused" => load.refused,
-            "in_time" => load.ends(AnswerEnd::InTime),
-            "late" => load.ends(AnswerEnd::Late),
-            "cut" => load.ends(AnswerEnd::Cut),
-            "unmade" => load.ends(AnswerEnd::Unmade),
+            "in_time" => load.ends(TransferOutcome::InTime),
+            "late" => load.ends(TransferOutcome::Late),
+            "cut" => load.ends(TransferOutcome::Cut),
+            "unmade" => load.ends(TransferOutcome::Unmade),
             "backlog_ms" => backlog.as_millis() as u64);
     }
 }
--- a/crates/node/src/link/link_promise.rs
+++ b/crates/node/src/link/link_reservation.rs
@@ -8,73 +8,73 @@
 
 use tokio::time::{Sleep, sleep};
 
-use super::{AnswerCourse, LinkLine, LinkTurn, LoadKey};
+use super::{LinkScheduler, LinkTurn, TransferKey, TransferRecord};
 use crate::node_clock::NodeClock;
 
 /// The promise of the link to one long answer; taken back when dropped.
 #[derive(Debug)]
-pub struct LinkPromise {
-    line: Rc<LinkLine>,
+pub struct LinkReservation {
+    scheduler: Rc<LinkScheduler>,
     clock: NodeClock,
-    key: LoadKey,
-    course: AnswerCourse,
+    key: TransferKey,
+    transfer: TransferRecord,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl LinkPromise {
+impl LinkReservation {
     /// Holds a promise that the schedule made.
     pub(super) fn new(
-        line: &Rc<LinkLine>,
+        scheduler: &Rc<LinkScheduler>,
         clock: NodeClock,
-        key: LoadKey,
-        course: AnswerCourse,
+        key: TransferKey,
+        transfer: TransferRecord,
     ) -> Self {
         Self {
-            line: Rc::clone(line),
+            scheduler: Rc::clone(scheduler),
             clock,
             key,
-            course,
+            transfer,
             timer: None,
         }
     }
 
     /// Takes in that the answer is made, and its bytes if its head told them.
     pub fn made(&mut self, bytes: Option<u64>) {
-        self.course.made(self.clock.now(), bytes);
+        self.transfer.made(self.clock.now(), bytes);
         if let Some(bytes) = bytes {
-            self.line.schedule().resize(self.key, bytes);
+            self.scheduler.schedule().resize(self.key, bytes);
         }
     }
 
     /// Ends the promise after the last byte.
     pub fn complete(mut self) {
-        self.course.is_whole = true;
+        self.transfer.is_whole = true;
     }
 
     /// Waits for the next turn and returns how many bytes it has.
     pub fn poll_turn(&mut self, cx: &mut Context<'_>) -> Poll<usize> {
         loop {
-            let turn = self.line.schedule().turn(self.clock.now(), self.key);
+            let turn = self.scheduler.schedule().turn(self.clock.now(), self.key);
             match turn {
                 LinkTurn::Now => {
                     self.timer = None;
-                    self.line.leave(self.key);
-                    return Poll::Ready(self.line.schedule().piece());
+                    self.scheduler.leave(self.key);
+                    return Poll::Ready(self.scheduler.schedule().piece());
                 }
                 LinkTurn::Postponed(key) => {
-                    self.line.leave(self.key);
+                    self.scheduler.leave(self.key);
                     self.key = key;
-                    self.course.postponed_at = Some(self.clock.now());
+                    self.transfer.postponed_at = Some(self.clock.now());
                     // Whoever waited behind it may be first now.
-                    self.line.wake_next();
+                    self.scheduler.wake_next();
                 }
                 LinkTurn::Later => {
                     self.timer = None;
-                    self.line.wait(self.key, cx.waker());
+                    self.scheduler.wait(self.key, cx.waker());
                     return Poll::Pending;
                 }
                 LinkTurn::After(time) => {
-                    self.line.wait(self.key, cx.waker());
+                    self.scheduler.wait(self.key, cx.waker());
                     let timer = self.timer.insert(Box::pin(sleep(time)));
                     if timer.as_mut().poll(cx).is_pending() {
                         return Poll::Pending;
@@ -88,17 +88,17 @@
     /// have its turn.
     pub fn sent(&mut self, bytes: u64) {
         let now = self.clock.now();
-        self.course.sent(now, bytes);
-        self.line.sent_of(now, self.key, bytes);
-        self.line.wake_next();
+        self.transfer.sent(now, bytes);
+        self.scheduler.sent_of(now, self.key, bytes);
+        self.scheduler.wake_next();
     }
 }
 
-impl Drop for LinkPromise {
+impl Drop for LinkReservation {
     fn drop(&mut self) {
-        self.line.schedule().withdraw(self.key);
-        self.line.leave(self.key);
-        self.line.ended(self.clock.now(), &self.course);
-        self.line.wake_next();
+        self.scheduler.schedule().withdraw(self.key);
+        self.scheduler.leave(self.key);
+        self.scheduler.ended(self.clock.now(), &self.transfer);
+        self.scheduler.wake_next();
     }
 }
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -29,14 +29,14 @@
 
 /// A long answer that is promised: by the time when it is due, then in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LoadKey {
+pub struct TransferKey {
     due: Duration,
     order: u64,
 }
 
 /// A long answer that wants the link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LinkOffer {
+pub struct LinkRequest {
     /// Its bytes, as far as is known.
     pub bytes: u64,
     /// Time until the backend server has made it.
@@ -49,9 +49,9 @@
 
 /// What becomes of an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LinkVerdict {
+pub enum LinkDecision {
     /// The link is promised to it.
-    Promised(LoadKey),
+    Promised(TransferKey),
     /// It can't be there in time.
     Refused {
         /// Time after which it could be.
@@ -70,7 +70,7 @@
     Later,
     /// It can't be in time any more, and goes by this key from now on, behind
     /// those that can.
-    Postponed(LoadKey),
+    Postponed(TransferKey),
 }
 
 /// What is still to come of a promised answer.
@@ -105,9 +105,9 @@
     level: f64,
     at: Duration,
     /// What is still to come of each promised answer.
-    loads: BTreeMap<LoadKey, PromisedLoad>,
+    loads: BTreeMap<TransferKey, PromisedLoad>,
     /// Those that want to hand on a piece now.
-    waiting: BTreeSet<LoadKey>,
+    waiting: BTreeSet<TransferKey>,
     order: u64,
 }
 
@@ -130,35 +130,35 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::link::{LinkOffer, LinkSchedule, LinkVerdict};
+    /// use geranium_node::link::{LinkRequest, LinkSchedule, LinkDecision};
     ///
     /// let mut link = LinkSchedule::new(8.0);
-    /// let offer = LinkOffer {
+    /// let offer = LinkRequest {
     ///     bytes: 90_000,
     ///     made_in: Duration::from_millis(100),
     ///     useful_until: Duration::from_millis(400),
     ///     ends_at: Duration::from_millis(400),
     /// };
     /// let promised = (0..9).filter(|_| {
-    ///     matches!(link.offer(Duration::ZERO, offer), LinkVerdict::Promised(_))
+    ///     matches!(link.offer(Duration::ZERO, offer), LinkDecision::Promised(_))
     /// });
     /// assert_eq!(promised.count(), 3);
     /// ```
-    pub fn offer(&mut self, now: Duration, offer: LinkOffer) -> LinkVerdict {
+    pub fn offer(&mut self, now: Duration, offer: LinkRequest) -> LinkDecision {
         if let Some(retry_after) = self.refusal(now, offer) {
-            return LinkVerdict::Refused { retry_after };
+            return LinkDecision::Refused { retry_after };
         }
         let due = if self.may_be_in_time(now, offer) {
             offer.useful_until
         } else {
             offer.ends_at
         };
-        LinkVerdict::Promised(self.take(offer.bytes, due, offer.ends_at))
+        LinkDecision::Promised(self.take(offer.bytes, due, offer.ends_at))
     }
 
     /// Returns the time after which the link could be promised to an offer, if it
     /// can't be now.
-    pub fn refusal(&self, now: Duration, offer: LinkOffer) -> Option<Duration> {
+    pub fn refusal(&self, now: Duration, offer: LinkRequest) -> Option<Duration> {
         let free = self.backlog(now);
         let sent_at = now + free.max(offer.made_in) + self.time_of(offer.bytes as f64);
         let excess = if self.may_be_in_time(now, offer) {
@@ -171,34 +171,34 @@
     }
 
     /// Whether an offer could be in time on an idle link.
-    fn may_be_in_time(&self, now: Duration, offer: LinkOffer) -> bool {
+    fn may_be_in_time(&self, now: Duration, offer: LinkRequest) -> bool {
         now + offer.made_in + self.time_of(offer.bytes as f64) <= offer.useful_until
     }
 
     /// Gives a long answer that is there already its turns: nobody knew that it
     /// would be long, as with the first ones after a start.
-    pub fn take(&mut self, bytes: u64, due: Duration, ends_at: Duration) -> LoadKey {
+    pub fn take(&mut self, bytes: u64, due: Duration, ends_at: Duration) -> TransferKey {
         let bytes = bytes as f64;
         self.insert(due, PromisedLoad { bytes, ends_at })
     }
 
-    fn insert(&mut self, due: Duration, load: PromisedLoad) -> LoadKey {
+    fn insert(&mut self, due: Duration, load: PromisedLoad) -> TransferKey {
         self.order += 1;
         let order = self.order;
-        let key = LoadKey { due, order };
+        let key = TransferKey { due, order };
         self.loads.insert(key, load);
         key
     }
 
     /// Takes in how many bytes a promised answer really has.
-    pub fn resize(&mut self, key: LoadKey, bytes: u64) {
+    pub fn resize(&mut self, key: TransferKey, bytes: u64) {
         if let Some(load) = self.loads.get_mut(&key) {
             load.bytes = bytes as f64;
         }
     }
 
     /// Asks whether a promised answer may hand on its next piece.
-    pub fn turn(&mut self, now: Duration, key: LoadKey) -> LinkTurn {
+    pub fn turn(&mut self, now: Duration, key: TransferKey) -> LinkTurn {
         if let Some(later) = self.postponed(now, key) {
             return LinkTurn::Postponed(later);
         }
@@ -215,7 +215,7 @@
     }
 
     /// Puts an answer that can't be in time any more behind those that can.
-    fn postponed(&mut self, now: Duration, key: LoadKey) -> Option<LoadKey> {
+    fn postponed(&mut self, now: Duration, key: TransferKey) -> Option<TransferKey> {
         let load = *self.loads.get(&key)?;
         let late = now + self.time_of(load.bytes) > key.due;
         if !late || load.ends_at <= key.due {
@@ -226,7 +226,7 @@
     }
 
     /// Returns who is next of those that want to hand on a piece.
-    pub fn next(&self) -> Option<LoadKey> {
+    pub fn next(&self) -> Option<TransferKey> {
         self.waiting.first().copied()
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// Notes bytes of a promised answer that were handed over.
-    pub fn sent_of(&mut self, now: Duration, key: LoadKey, bytes: u64) {
+    pub fn sent_of(&mut self, now: Duration, key: TransferKey, bytes: u64) {
         if let Some(load) = self.loads.get_mut(&key) {
             load.bytes = (load.bytes - bytes as f64).max(0.0);
         }
@@ -251,7 +251,7 @@
     }
 
     /// Takes back a promise, kept or not.
-    pub fn withdraw(&mut self, key: LoadKey) {
+    pub fn withdraw(&mut self, key: TransferKey) {
         self.loads.remove(&key);
         self.waiting.remove(&key);
     }
--- a/crates/node/src/link/link_line.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -11,8 +11,8 @@
 use http::HeaderValue;
 
 use super::{
-    AnswerCourse, LinkLoad, LinkNotes, LinkOffer, LinkPromise, LinkSchedule, LinkUse, LinkVerdict,
-    LoadKey,
+    LinkDecision, LinkReporter, LinkRequest, LinkReservation, LinkSchedule, LinkTraffic, LinkUsage,
+    TransferKey, TransferRecord,
 };
 use crate::node_clock::NodeClock;
 
@@ -21,21 +21,21 @@
 
 /// The schedule of the link, and who waits for a turn.
 #[derive(Debug)]
-pub struct LinkLine {
+pub struct LinkScheduler {
     schedule: RefCell<LinkSchedule>,
-    wakers: RefCell<HashMap<LoadKey, Waker>>,
-    load: RefCell<LinkLoad>,
-    notes: LinkNotes,
+    wakers: RefCell<HashMap<TransferKey, Waker>>,
+    load: RefCell<LinkUsage>,
+    reporter: LinkReporter,
 }
 
-impl LinkLine {
+impl LinkScheduler {
     /// Makes the line of an idle link.
-    pub fn new(link_mbps: f64, notes: LinkNotes) -> Self {
+    pub fn new(link_mbps: f64, reporter: LinkReporter) -> Self {
         Self {
             schedule: RefCell::new(LinkSchedule::new(link_mbps)),
             wakers: RefCell::default(),
             load: RefCell::default(),
-            notes,
+            reporter,
         }
     }
 
@@ -53,17 +53,17 @@
         self: &Rc<Self>,
         clock: NodeClock,
         request: Option<HeaderValue>,
-        offer: LinkOffer,
-    ) -> Result<LinkPromise, Duration> {
+        offer: LinkRequest,
+    ) -> Result<LinkReservation, Duration> {
         let now = clock.now();
         let verdict = self.schedule().offer(now, offer);
         match verdict {
-            LinkVerdict::Promised(key) => {
+            LinkDecision::Promised(key) => {
                 self.load.borrow_mut().promised += 1;
-                let course = AnswerCourse::new(request, now, offer);
-                Ok(LinkPromise::new(self, clock, key, course))
+                let transfer = TransferRecord::new(request, now, offer);
+                Ok(LinkReservation::new(self, clock, key, transfer))
             }
-            LinkVerdict::Refused { retry_after } => {
+            LinkDecision::Refused { retry_after } => {
                 self.load.borrow_mut().refused += 1;
                 Err(retry_after)
             }
@@ -75,46 +75,46 @@
         self: &Rc<Self>,
         clock: NodeClock,
         request: Option<HeaderValue>,
-        offer: LinkOffer,
-    ) -> LinkPromise {
+        offer: LinkRequest,
+    ) -> LinkReservation {
         let key = self
             .schedule()
             .take(offer.bytes, offer.useful_until, offer.ends_at);
-        let course = AnswerCourse::new(request, clock.now(), offer);
-        LinkPromise::new(self, clock, key, course)
+        let transfer = TransferRecord::new(request, clock.now(), offer);
+        LinkReservation::new(self, clock, key, transfer)
     }
 
     /// Notes bytes that were handed over at once.
-    pub fn sent(&self, now: Duration, purpose: LinkUse, bytes: u64) {
+    pub fn sent(&self, now: Duration, purpose: LinkTraffic, bytes: u64) {
         self.schedule().sent(now, bytes);
         self.load.borrow_mut().sent(purpose, bytes);
     }
 
     /// Notes bytes of a promised answer that were handed over.
-    pub(super) fn sent_of(&self, now: Duration, key: LoadKey, bytes: u64) {
+    pub(super) fn sent_of(&self, now: Duration, key: TransferKey, bytes: u64) {
         self.schedule().sent_of(now, key, bytes);
-        self.load.borrow_mut().sent(LinkUse::LongAway, bytes);
+        self.load.borrow_mut().sent(LinkTraffic::LongAway, bytes);
     }
 
     /// Notes what became of a promised answer.
-    pub(super) fn ended(&self, now: Duration, course: &AnswerCourse) {
-        self.load.borrow_mut().ended(course.end());
-        self.notes.ended(now, course);
+    pub(super) fn ended(&self, now: Duration, transfer: &TransferRecord) {
+        self.load.borrow_mut().ended(transfer.end());
+        self.reporter.ended(now, transfer);
     }
 
     /// Tells what the link carried, once a second.
-    pub fn tell_load(&self, now: Duration) {
+    pub fn report_usage(&self, now: Duration) {
         let taken = self.load.borrow_mut().take_after(now, TOLD_EACH);
         if let Some((load, time)) = taken {
             let schedule = self.schedule();
             let (rate, backlog) = (schedule.bytes_per_s(), schedule.backlog(now));
             drop(schedule);
-            self.notes.carried(&load, time, rate, backlog);
+            self.reporter.carried(&load, time, rate, backlog);
         }
     }
 
     /// Keeps whom to wake for a turn.
-    pub(super) fn wait(&self, key: LoadKey, waker: &Waker) {
+    pub(super) fn wait(&self, key: TransferKey, waker: &Waker) {
         self.wakers.borrow_mut().insert(key, waker.clone());
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Forgets whom to wake.
-    pub(super) fn leave(&self, key: LoadKey) {
+    pub(super) fn leave(&self, key: TransferKey) {
         self.wakers.borrow_mut().remove(&key);
     }
 }
--- a/crates/node/src/link/link_use.rs
+++ b/crates/node/src/link/link_traffic.rs
@@ -7,7 +7,7 @@
     Debug, Clone, Copy, PartialEq, Eq, Hash, Display, EnumCount, IntoStaticStr, VariantArray,
 )]
 #[strum(serialize_all = "kebab-case")]
-pub enum LinkUse {
+pub enum LinkTraffic {
     /// A long answer of the backend server here, to another node.
     LongAway,
     /// The body of a short answer to another node.
--- a/crates/node/src/link/link_load.rs
+++ b/crates/node/src/link/link_usage.rs
@@ -4,46 +4,46 @@
 
 use strum::{EnumCount, VariantArray};
 
-use super::{AnswerEnd, LinkUse};
+use super::{LinkTraffic, TransferOutcome};
 
 /// What a link carried since the last look, and what became of the long answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct LinkLoad {
+pub struct LinkUsage {
     since: Duration,
-    bytes: [u64; LinkUse::COUNT],
-    ends: [u32; AnswerEnd::COUNT],
+    bytes: [u64; LinkTraffic::COUNT],
+    ends: [u32; TransferOutcome::COUNT],
     /// Long answers that were promised the link.
     pub promised: u32,
     /// Long answers that were refused it.
     pub refused: u32,
 }
 
-impl LinkLoad {
+impl LinkUsage {
     /// Counts bytes that were handed over.
-    pub fn sent(&mut self, purpose: LinkUse, bytes: u64) {
+    pub fn sent(&mut self, purpose: LinkTraffic, bytes: u64) {
         self.bytes[purpose as usize] += bytes;
     }
 
     /// Counts a long answer that ended.
-    pub fn ended(&mut self, end: AnswerEnd) {
+    pub fn ended(&mut self, end: TransferOutcome) {
         self.ends[end as usize] += 1;
     }
 
     /// Returns the bytes for one purpose.
-    pub const fn bytes(&self, purpose: LinkUse) -> u64 {
+    pub const fn bytes(&self, purpose: LinkTraffic) -> u64 {
         self.bytes[purpose as usize]
     }
 
     /// Returns the bytes for all purposes.
     pub fn all_bytes(&self) -> u64 {
-        LinkUse::VARIANTS
+        LinkTraffic::VARIANTS
             .iter()
             .map(|&purpose| self.bytes(purpose))
             .sum()
     }
 
     /// Returns how many long answers ended so.
-    pub const fn ends(&self, end: AnswerEnd) -> u32 {
+    pub const fn ends(&self, end: TransferOutcome) -> u32 {
         self.ends[end as usize]
     }
 
@@ -53,10 +53,10 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::link::{LinkLoad, LinkUse};
+    /// use geranium_node::link::{LinkUsage, LinkTraffic};
     ///
-    /// let mut load = LinkLoad::default();
-    /// load.sent(LinkUse::Short, 500);
+    /// let mut load = LinkUsage::default();
+    /// load.sent(LinkTraffic::Short, 500);
     /// let second = Duration::from_secs(1);
     /// assert!(load.take_after(Duration::from_millis(900), second).is_none());
     /// let (taken, time) = load.take_after(Duration::from_millis(1_100), second).unwrap();
--- a/crates/node/src/link/mod.rs
+++ b/crates/node/src/link/mod.rs
@@ -1,23 +1,23 @@
 //! What the instance's link carries, and in which order.
 //!
 //! [`LinkSchedule`] decides, without I/O, which long answers are begun and
-//! whose bytes go next. [`LinkLine`] shares it among the answers under way;
-//! each long one holds a [`LinkPromise`] and waits for its turns there. What became
-//! of each stands in its [`AnswerCourse`], what the link carried in a [`LinkLoad`];
-//! [`LinkNotes`] logs and counts both.
+//! whose bytes go next. [`LinkScheduler`] shares it among the answers under way;
+//! each long one holds a [`LinkReservation`] and waits for its turns there. What became
+//! of each stands in its [`TransferRecord`], what the link carried in a [`LinkUsage`];
+//! [`LinkReporter`] logs and counts both.
 
-mod answer_course;
-mod link_line;
-mod link_load;
-mod link_notes;
-mod link_promise;
+mod link_reporter;
+mod link_reservation;
 mod link_schedule;
-mod link_use;
+mod link_scheduler;
+mod link_traffic;
+mod link_usage;
+mod transfer_record;
 
-pub use answer_course::{AnswerCourse, AnswerEnd};
-pub use link_line::LinkLine;
-pub use link_load::LinkLoad;
-pub use link_notes::{LinkCounters, LinkNotes};
-pub use link_promise::LinkPromise;
-pub use link_schedule::{LinkOffer, LinkSchedule, LinkTurn, LinkVerdict, LoadKey};
-pub use link_use::LinkUse;
+pub use link_reporter::{LinkCounters, LinkReporter};
+pub use link_reservation::LinkReservation;
+pub use link_schedule::{LinkDecision, LinkRequest, LinkSchedule, LinkTurn, TransferKey};
+pub use link_scheduler::LinkScheduler;
+pub use link_traffic::LinkTraffic;
+pub use link_usage::LinkUsage;
+pub use transfer_record::{TransferOutcome, TransferRecord};
--- a/crates/node/src/link/answer_course.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -5,14 +5,14 @@
 use http::HeaderValue;
 use strum::{Display, EnumCount, IntoStaticStr, VariantArray};
 
-use super::LinkOffer;
+use super::LinkRequest;
 
 /// How a long answer that was promised the link ended.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, Display, EnumCount, IntoStaticStr, VariantArray,
 )]
 #[strum(serialize_all = "kebab-case")]
-pub enum AnswerEnd {
+pub enum TransferOutcome {
     /// All of it was handed over while it was of full use.
     InTime,
     /// All of it was handed over, later.
@@ -25,13 +25,13 @@
 
 /// What became of one long answer that was promised the link.
 #[derive(Debug, Clone)]
-pub struct AnswerCourse {
+pub struct TransferRecord {
     /// Identifier of the request, for the log.
     pub request: Option<HeaderValue>,
     /// When the link was promised.
     pub asked_at: Duration,
     /// What it was promised for.
-    pub offer: LinkOffer,
+    pub offer: LinkRequest,
     /// Real bytes, if its head told them.
     pub bytes: Option<u64>,
     /// When the answer was made.
@@ -48,9 +48,9 @@
     pub postponed_at: Option<Duration>,
 }
 
-impl AnswerCourse {
+impl TransferRecord {
     /// Begins with a promise.
-    pub const fn new(request: Option<HeaderValue>, asked_at: Duration, offer: LinkOffer) -> Self {
+    pub const fn new(request: Option<HeaderValue>, asked_at: Duration, offer: LinkRequest) -> Self {
         Self {
             request,
             asked_at,
@@ -79,13 +79,13 @@
     }
 
     /// Returns how it ended, when nothing more comes of it.
-    pub fn end(&self) -> AnswerEnd {
+    pub fn end(&self) -> TransferOutcome {
         let in_time = self.sent_at <= Some(self.offer.useful_until);
         match (self.made_at, self.is_whole) {
-            (None, _) => AnswerEnd::Unmade,
-            (Some(_), false) => AnswerEnd::Cut,
-            (Some(_), true) if in_time => AnswerEnd::InTime,
-            (Some(_), true) => AnswerEnd::Late,
+            (None, _) => TransferOutcome::Unmade,
+            (Some(_), false) => TransferOutcome::Cut,
+            (Some(_), true) if in_time => TransferOutcome::InTime,
+            (Some(_), true) => TransferOutcome::Late,
         }
     }
 
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -29,7 +29,7 @@
     event_log::EventLog,
     header_set::HeaderSet,
     inbound::{InboundProxy, InboundSettings},
-    link::{LinkLine, LinkNotes},
+    link::{LinkReporter, LinkScheduler},
     member::{FleetView, LoadReport, MemberKey, MemberRecord, ResponseSizes},
     node_clock::NodeClock,
     node_metrics::NodeMetrics,
@@ -71,7 +71,7 @@
     /// Crashes of backend servers.
     pub crashes: Rc<RefCell<CrashHistory>>,
     /// Link of the instance.
-    pub link: Rc<LinkLine>,
+    pub link: Rc<LinkScheduler>,
     /// Connections to other nodes.
     pub peer_connections: ConnectionPool,
     /// Retries.
@@ -153,8 +153,8 @@
             idle_time: settings.peer_idle_timeout,
         });
         let metrics = NodeMetrics::new(&settings)?;
-        let notes = LinkNotes::new(log.clone(), metrics.link());
-        let link = Rc::new(LinkLine::new(settings.link_mbps, notes));
+        let notes = LinkReporter::new(log.clone(), metrics.link());
+        let link = Rc::new(LinkScheduler::new(settings.link_mbps, notes));
         let crashes = Rc::<RefCell<CrashHistory>>::default();
         let inbound = InboundProxy::new(
             inbound_settings,
@@ -303,7 +303,7 @@
         self.peer_connections.sweep();
         self.inbound.sweep();
         self.resends.borrow_mut().sweep(now);
-        self.link.tell_load(now);
+        self.link.report_usage(now);
         let gone = self.fleet.borrow_mut().sweep(now);
         for record in gone {
             info!(self.log.logger(), "member gone";
--- a/crates/node/src/node_core/open_request_guard.rs
+++ b/crates/node/src/node_core/open_request_guard.rs
@@ -7,7 +7,7 @@
 use super::NodeCore;
 use crate::{
     header_set::{PEER_REFUSAL_HEADER, head_bytes},
-    link::LinkUse,
+    link::LinkTraffic,
     request_origin::RequestOrigin,
 };
 
@@ -26,19 +26,19 @@
     /// Notes the head of the answer, which goes out with its first bytes.
     pub fn sent_head(&self, headers: &HeaderMap) {
         let purpose = if headers.contains_key(&PEER_REFUSAL_HEADER) {
-            LinkUse::Refusal
+            LinkTraffic::Refusal
         } else {
-            LinkUse::Overhead
+            LinkTraffic::Overhead
         };
         self.sent(purpose, head_bytes(headers));
     }
 
     /// Counts bytes sent from the body of a short answer.
     pub fn sent_short_body(&self, bytes: u64) {
-        self.sent(LinkUse::Short, bytes);
+        self.sent(LinkTraffic::Short, bytes);
     }
 
-    fn sent(&self, purpose: LinkUse, bytes: u64) {
+    fn sent(&self, purpose: LinkTraffic, bytes: u64) {
         if self.origin == RequestOrigin::Caller {
             return;
         }
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -18,7 +18,7 @@
         strip_connection, strip_peer_headers,
     },
     inbound::{InboundError, InboundRefusal, InboundRequest},
-    link::LinkUse,
+    link::LinkTraffic,
     member::{LoadReport, MemberKey, MemberRecord},
     node_core::NodeCore,
     request_origin::RequestOrigin,
@@ -113,7 +113,7 @@
         let outgoing = self.outgoing(record);
         let bytes = head_bytes(outgoing.headers()) + self.request.body.len() as u64;
         let link = &self.core.link;
-        link.sent(self.core.clock.now(), LinkUse::Request, bytes);
+        link.sent(self.core.clock.now(), LinkTraffic::Request, bytes);
         let idle_time = self.core.settings.peer_idle_timeout;
         let exchange = self
             .core
--- a/crates/node/src/response_body.rs
+++ b/crates/node/src/response_body.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::{
-    inbound::RunSlot, link::LinkPromise, node_core::OpenRequestGuard, outbound::InFlightGuard,
+    inbound::RunSlot, link::LinkReservation, node_core::OpenRequestGuard, outbound::InFlightGuard,
 };
 
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     slot: Option<RunSlot>,
     guard: Option<InFlightGuard>,
     open: Option<OpenRequestGuard>,
-    promise: Option<LinkPromise>,
+    reservation: Option<LinkReservation>,
 }
 
 /// Longest answer that counts as short: it is read whole before its head is passed
@@ -118,11 +118,11 @@
 
     /// Sends what is long as the link's promise says.
     #[must_use]
-    pub fn with_promise(mut self, promise: Option<LinkPromise>) -> Self {
-        self.promise = promise;
+    pub fn with_reservation(mut self, reservation: Option<LinkReservation>) -> Self {
+        self.reservation = reservation;
         let bytes = self.size_hint().exact();
-        if let Some(promise) = &mut self.promise {
-            promise.made(bytes);
+        if let Some(reservation) = &mut self.reservation {
+            reservation.made(bytes);
         }
         self
     }
@@ -140,14 +140,14 @@
             slot: None,
             guard: None,
             open: None,
-            promise: None,
+            reservation: None,
         }
     }
 
     /// Counts bytes that go out.
     fn count(&mut self, bytes: usize) {
-        match (&mut self.promise, &self.open) {
-            (Some(promise), _) => promise.sent(bytes as u64),
+        match (&mut self.reservation, &self.open) {
+            (Some(reservation), _) => reservation.sent(bytes as u64),
             (None, Some(open)) => open.sent_short_body(bytes as u64),
             (None, None) => {}
         }
@@ -171,8 +171,8 @@
                 ended => return Poll::Ready(ended),
             }
         }
-        let piece = match &mut self.promise {
-            Some(promise) => ready!(promise.poll_turn(cx)),
+        let piece = match &mut self.reservation {
+            Some(reservation) => ready!(reservation.poll_turn(cx)),
             None => rest.len(),
         };
         let piece = rest.split_to(piece.min(rest.len()));
@@ -187,8 +187,8 @@
         if let Some(guard) = self.guard.take() {
             guard.complete();
         }
-        if let Some(promise) = self.promise.take() {
-            promise.complete();
+        if let Some(reservation) = self.reservation.take() {
+            reservation.complete();
         }
         self.open = None;
     }
--- a/crates/node/tests/all/link.rs
+++ b/crates/node/tests/all/link.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use geranium_node::link::{LinkOffer, LinkSchedule, LinkTurn, LinkVerdict, LoadKey};
+use geranium_node::link::{LinkDecision, LinkRequest, LinkSchedule, LinkTurn, TransferKey};
 
 /// Link rate with 940 bytes of payload a millisecond.
 const LINK_MBPS: f64 = 8.0;
@@ -13,8 +13,8 @@
 }
 
 /// A file that is made in 100 ms and due at `due`.
-fn offer(due: u64) -> LinkOffer {
-    LinkOffer {
+fn offer(due: u64) -> LinkRequest {
+    LinkRequest {
         bytes: FILE,
         made_in: at(100),
         useful_until: at(due),
@@ -22,25 +22,25 @@
     }
 }
 
-fn promised(verdict: LinkVerdict) -> LoadKey {
+fn promised(verdict: LinkDecision) -> TransferKey {
     match verdict {
-        LinkVerdict::Promised(key) => key,
-        LinkVerdict::Refused { retry_after } => panic!("refused for {retry_after:?}"),
+        LinkDecision::Promised(key) => key,
+        LinkDecision::Refused { retry_after } => panic!("refused for {retry_after:?}"),
     }
 }
 
-fn is_refused(verdict: LinkVerdict) -> bool {
-    matches!(verdict, LinkVerdict::Refused { .. })
+fn is_refused(verdict: LinkDecision) -> bool {
+    matches!(verdict, LinkDecision::Refused { .. })
 }
 
 /// Guards against promising more long answers than the link can deliver in time.
 #[test]
 fn what_cannot_be_there_when_due_is_refused() {
     let mut link = LinkSchedule::new(LINK_MBPS);
-    let keys: Vec<LoadKey> = (0..6)
+    let keys: Vec<TransferKey> = (0..6)
         .map(|_| promised(link.offer(at(0), offer(800))))
         .collect();
-    let LinkVerdict::Refused { retry_after } = link.offer(at(0), offer(800)) else {
+    let LinkDecision::Refused { retry_after } = link.offer(at(0), offer(800)) else {
         panic!("a seventh can't be there in time");
     };
     assert!(
@@ -122,7 +122,7 @@
 #[test]
 fn files_that_nobody_knew_to_be_long_take_turns() {
     let mut link = LinkSchedule::new(LINK_MBPS);
-    let keys: Vec<LoadKey> = (0..10)
+    let keys: Vec<TransferKey> = (0..10)
         .map(|_| link.take(FILE, at(800), at(1_800)))
         .collect();
     assert!(link.backlog(at(0)) >= at(1_000));
@@ -130,7 +130,7 @@
         is_refused(link.offer(at(0), offer(800))),
         "more can't be in time"
     );
-    let begun: Vec<LoadKey> = keys
+    let begun: Vec<TransferKey> = keys
         .into_iter()
         .filter(|&key| {
             let now = link.turn(at(0), key) == LinkTurn::Now;
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    link::{LinkOffer, LinkSchedule, LinkTurn, LinkVerdict, LoadKey},
+    link::{LinkDecision, LinkRequest, LinkSchedule, LinkTurn, TransferKey},
     outbound::ResendTracker,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -86,7 +86,7 @@
 /// A file that is promised the link.
 #[derive(Debug, Clone, Copy)]
 struct File {
-    key: LoadKey,
+    key: TransferKey,
     left: u64,
     made_at: Duration,
     is_made: bool,
@@ -183,15 +183,15 @@
             .returns
             .first_attempt_at(caller.fingerprint, caller.end);
         let first_attempt_at = known.filter(|_| self.sight.returns).unwrap_or(now);
-        let offer = LinkOffer {
+        let offer = LinkRequest {
             bytes: FILE_BYTES as u64,
             made_in: RUN,
             useful_until: first_attempt_at + TARGET,
             ends_at: caller.end,
         };
         match self.link.offer(now, offer) {
-            LinkVerdict::Promised(key) => self.begin(now, key, caller),
-            LinkVerdict::Refused { retry_after } => {
+            LinkDecision::Promised(key) => self.begin(now, key, caller),
+            LinkDecision::Refused { retry_after } => {
                 self.result.refused += 1;
                 self.send_head(now);
                 self.returns
@@ -205,7 +205,7 @@
         }
     }
 
-    fn begin(&mut self, now: Duration, key: LoadKey, caller: Caller) {
+    fn begin(&mut self, now: Duration, key: TransferKey, caller: Caller) {
         let run = RUN.mul_f64(0.4 + 1.2 * self.rng.random::<f64>());
         let left = self.length();
         self.files.push(File {
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    link::{LinkOffer, LinkSchedule, LinkVerdict, LoadKey},
+    link::{LinkDecision, LinkRequest, LinkSchedule, TransferKey},
     member::{FleetView, LoadReport, MemberKey, MemberRecord, PickQuery, TryOutcome},
     store::Revision,
 };
@@ -76,7 +76,7 @@
 
 /// A file whose transfer was promised by a link.
 struct File {
-    key: LoadKey,
+    key: TransferKey,
     made_at: Duration,
     remaining: u64,
 }
@@ -153,7 +153,7 @@
     /// Returns whether the member's link promised the file.
     fn offer(&mut self, now: Duration, sender: usize, key: MemberKey) -> bool {
         let link = usize::from(self.senders[sender].key_of(peer_addr(2)) == Some(key));
-        let offer = LinkOffer {
+        let offer = LinkRequest {
             bytes: FILE_BYTES,
             made_in: RUN,
             useful_until: now + TARGET,
@@ -170,7 +170,7 @@
         let fleet = &mut self.senders[sender];
         fleet.record_load(now, key, LONG.class, report);
         match verdict {
-            LinkVerdict::Promised(load) => {
+            LinkDecision::Promised(load) => {
                 fleet.record_try_outcome(now, key, TryOutcome::Answered { failed: false });
                 self.files[link].push(File {
                     key: load,
@@ -182,7 +182,7 @@
                 }
                 true
             }
-            LinkVerdict::Refused { retry_after } => {
+            LinkDecision::Refused { retry_after } => {
                 fleet.record_try_outcome(now, key, TryOutcome::LinkRefused { retry_after });
                 self.result.refusals += 1;
                 false
