--- a/crates/node/src/config/mesh_config.rs
+++ b/crates/node/src/config/mesh_config.rs
@@ -155,7 +155,7 @@
     }
 
     /// Whether some route divides its requests between two services.
-    pub fn share_a_route(&self, one: &str, other: &str) -> bool {
+    pub fn have_common_route(&self, one: &str, other: &str) -> bool {
         let mut routes = self.routes.values();
         routes.any(|route| route.shares.allows(one) && route.shares.allows(other))
     }
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -13,7 +13,7 @@
 mod mesh_config;
 mod request_kind;
 mod route_rule;
-mod share_wheel;
+mod weighted_round_robin;
 
 pub use config_delta::ConfigDelta;
 pub use config_error::ConfigError;
@@ -22,4 +22,4 @@
 pub use mesh_config::{CallerLimits, MeshConfig};
 pub use request_kind::RequestKind;
 pub use route_rule::RouteRule;
-pub use share_wheel::ShareWheel;
+pub use weighted_round_robin::WeightedRoundRobin;
--- a/crates/node/src/config/route_rule.rs
+++ b/crates/node/src/config/route_rule.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{ConfigError, RequestKind, RouteInput, ShareWheel};
+use super::{ConfigError, RequestKind, RouteInput, WeightedRoundRobin};
 
 /// Longest time that a route or limit may name: an hour is far beyond any
 /// request, and far from overflow.
@@ -30,7 +30,7 @@
     /// Most backend servers that one request may be sent to.
     pub attempts: u32,
     /// Services that answer.
-    pub shares: ShareWheel,
+    pub shares: WeightedRoundRobin,
 }
 
 impl TryFrom<&Rc<RouteInput>> for RouteRule {
@@ -50,8 +50,9 @@
             return Err(ConfigError::NoAttempts { route: route() });
         }
         let shares = input.shares.iter();
-        let shares =
-            ShareWheel::new(shares.map(|share| (share.service.as_str().into(), share.weight)));
+        let shares = WeightedRoundRobin::new(
+            shares.map(|share| (share.service.as_str().into(), share.weight)),
+        );
         if shares.is_empty() {
             return Err(ConfigError::NoTarget { route: route() });
         }
--- a/crates/node/src/config/share_wheel.rs
+++ b/crates/node/src/config/weighted_round_robin.rs
@@ -17,11 +17,11 @@
 /// random draw of 100 requests at a weight of a half is off by 0.1 in one
 /// window of twenty.
 #[derive(Debug)]
-pub struct ShareWheel {
+pub struct WeightedRoundRobin {
     slots: RefCell<Vec<ShareSlot>>,
 }
 
-impl ShareWheel {
+impl WeightedRoundRobin {
     /// Makes a wheel; services without a weight are left out.
     pub fn new(shares: impl IntoIterator<Item = (Rc<str>, u32)>) -> Self {
         let slots = shares
@@ -53,9 +53,9 @@
     /// # Examples
     ///
     /// ```
-    /// use geranium_node::config::ShareWheel;
+    /// use geranium_node::config::WeightedRoundRobin;
     ///
-    /// let wheel = ShareWheel::new([("a".into(), 3), ("b".into(), 1)]);
+    /// let wheel = WeightedRoundRobin::new([("a".into(), 3), ("b".into(), 1)]);
     /// let drawn: Vec<_> = (0..8).map(|_| wheel.draw()).collect();
     /// assert_eq!(drawn.iter().filter(|service| &***service == "b").count(), 2);
     /// ```
--- a/crates/node/src/node_core/crash_notes.rs
+++ b/crates/node/src/node_core/crash_notes.rs
@@ -52,7 +52,7 @@
         let peers = others.filter(|record| {
             let known = sharing.get(&record.service).copied();
             known.unwrap_or_else(|| {
-                let together = config.share_a_route(own, &record.service);
+                let together = config.have_common_route(own, &record.service);
                 sharing.insert(record.service.clone(), together);
                 together
             })
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -44,7 +44,7 @@
     }
 
     /// Records a request that got a backend server's answer.
-    pub fn note_served(
+    pub fn record_served(
         &self,
         request: &OutboundRequest,
         answer: &Response<ResponseBody>,
@@ -86,7 +86,7 @@
     }
 
     /// Records a request that got an answer of this node's own.
-    pub fn note_failed(
+    pub fn record_failed(
         &self,
         request: &OutboundRequest,
         answer: &LocalReply,
@@ -112,7 +112,7 @@
     }
 
     /// Records that a caller left before its answer.
-    pub fn note_left(&self, request: &OutboundRequest, tries: usize) {
+    pub fn record_caller_left(&self, request: &OutboundRequest, tries: usize) {
         self.metrics.try_failed("caller-left");
         if let Some(log) = self.log.for_request(self.clock.now(), "caller left") {
             info!(log, "caller left";
@@ -124,7 +124,7 @@
     }
 
     /// Records a request that was refused before it had a route.
-    pub fn note_answer(&self, id: Option<&HeaderValue>, answer: &LocalReply) {
+    pub fn record_rejected(&self, id: Option<&HeaderValue>, answer: &LocalReply) {
         let result = if answer.status.is_client_error() {
             RequestResult::CallerFault
         } else {
@@ -148,7 +148,7 @@
     }
 
     /// Records that a door refused a try.
-    pub fn note_refusal(
+    pub fn record_refusal(
         &self,
         request: &OutboundRequest,
         at: &MemberRecord,
@@ -167,7 +167,7 @@
     }
 
     /// Records that a node couldn't be reached.
-    pub fn note_unreachable(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
+    pub fn record_unreachable(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
         self.metrics.try_failed("unreachable");
         self.peer_connections.forget(at.peer_addr);
         if let Some(log) = self.log.for_request(self.clock.now(), "unreachable") {
@@ -180,7 +180,7 @@
     }
 
     /// Records that a member shows no sign of life.
-    pub fn note_silent(&self, request: &OutboundRequest, at: &MemberRecord, patience: Duration) {
+    pub fn record_silent(&self, request: &OutboundRequest, at: &MemberRecord, patience: Duration) {
         self.metrics.try_failed("silent");
         if let Some(log) = self.log.for_request(self.clock.now(), "silent") {
             warn!(log, "member silent";
@@ -192,7 +192,7 @@
     }
 
     /// Records that a try broke after it was sent.
-    pub fn note_broke(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
+    pub fn record_broken_try(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
         self.metrics.try_failed("broke");
         if let Some(log) = self.log.for_request(self.clock.now(), "broke") {
             warn!(log, "try broke";
--- a/crates/node/src/outbound/failed_try.rs
+++ b/crates/node/src/outbound/failed_try.rs
@@ -34,12 +34,12 @@
                 }
                 tries.crashes_servers |= refusal.reason == RefusalReason::Poisoned;
                 tries.refusal = Some(refusal);
-                self.core.note_refusal(self.request, record, &refusal);
+                self.core.record_refusal(self.request, record, &refusal);
             }
             TryFailure::Unreachable(reason) => {
                 self.judge(asked, TryOutcome::Unreachable);
                 tries.never_arrived();
-                self.core.note_unreachable(self.request, record, &reason);
+                self.core.record_unreachable(self.request, record, &reason);
             }
             TryFailure::Broke { reason, diagnosis } => {
                 self.judge(asked, TryOutcome::Broke);
@@ -48,7 +48,7 @@
                     self.core
                         .record_diagnosis(self.request.fingerprint, diagnosis);
                 }
-                self.core.note_broke(self.request, record, &reason);
+                self.core.record_broken_try(self.request, record, &reason);
                 tries.ran = true;
                 tries.broke = Some(reason);
             }
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -57,7 +57,7 @@
         let mut response = match self.receive(incoming, arrived).await {
             Ok(request) => self.serve(&request).await,
             Err(answer) => {
-                self.core.note_answer(id.as_ref(), &answer);
+                self.core.record_rejected(id.as_ref(), &answer);
                 answer.into_response()
             }
         };
@@ -216,7 +216,7 @@
             Ok(response) => {
                 let count = tries.count();
                 self.core
-                    .note_served(request, &response, tries.at.as_ref(), count);
+                    .record_served(request, &response, tries.at.as_ref(), count);
                 *response
             }
             Err(answer) => {
@@ -230,7 +230,7 @@
                 self.note_refused(request);
                 let cause = tries.broke.as_deref();
                 self.core
-                    .note_failed(request, &answer, tries.count(), cause);
+                    .record_failed(request, &answer, tries.count(), cause);
                 answer.into_response()
             }
         }
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -121,7 +121,8 @@
             let mut fleet = self.core.fleet.borrow_mut();
             fleet.record_try_outcome(now, next.key, TryOutcome::Silent);
             drop(fleet);
-            self.core.note_silent(self.request, &next.record, patience);
+            self.core
+                .record_silent(self.request, &next.record, patience);
         }
         let other = if silent && self.may_double(tries) {
             self.next_try(tries)
--- a/crates/node/src/outbound/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -109,7 +109,7 @@
     /// A record that is dropped unsettled belongs to a caller that left.
     fn drop(&mut self) {
         if !self.settled {
-            self.core.note_left(self.request, self.count());
+            self.core.record_caller_left(self.request, self.count());
         }
     }
 }
