--- a/crates/node/src/config/mesh_config.rs
+++ b/crates/node/src/config/mesh_config.rs
@@ -104,8 +104,10 @@
     }
 
     /// Returns the route whose name has this hash.
-    pub fn route_of(&self, class: u64) -> Option<&Rc<RouteRule>> {
-        self.routes.values().find(|route| route.class == class)
+    pub fn route_of(&self, route_hash: u64) -> Option<&Rc<RouteRule>> {
+        self.routes
+            .values()
+            .find(|route| route.route_hash == route_hash)
     }
 
     /// Checks a document. Routes that `before` has as well are taken from
--- a/crates/node/src/config/route_rule.rs
+++ b/crates/node/src/config/route_rule.rs
@@ -18,7 +18,7 @@
     /// Name.
     pub name: Rc<str>,
     /// Hash of the name, by which service times are kept.
-    pub class: u64,
+    pub route_hash: u64,
     /// What may be repeated.
     pub kind: RequestKind,
     /// Time after which the caller gets a final answer.
@@ -59,7 +59,7 @@
         Ok(Self {
             input: Rc::clone(input),
             name: input.name.as_str().into(),
-            class: xxh3_64(input.name.as_bytes()),
+            route_hash: xxh3_64(input.name.as_bytes()),
             kind: input.kind,
             timeout: checked_time(input.timeout_s, &input.name)?,
             target: checked_time(input.target_s, &input.name)?,
--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -41,7 +41,7 @@
     /// Rank of its route; 0 is the most urgent.
     pub rank: u8,
     /// Hash of its route, by which service times are kept.
-    pub class: u64,
+    pub route_hash: u64,
     /// Whether it belongs to a run that has begun.
     pub nested: bool,
     /// Whether it may wait; it probes for a free slot otherwise.
@@ -98,7 +98,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct WaitingJob {
-    class: ClassId,
+    class_id: ClassId,
     late: bool,
     latest: Duration,
     asked_at: Duration,
@@ -140,8 +140,11 @@
     }
 
     /// Returns the mean time of a run of one class.
-    pub fn service_of(&self, class: u64) -> Duration {
-        self.books.service_of(ClassId { rank: 0, class })
+    pub fn service_of(&self, route_hash: u64) -> Duration {
+        self.books.service_of(ClassId {
+            rank: 0,
+            route_hash,
+        })
     }
 
     /// Offers a job.
@@ -156,30 +159,30 @@
     /// let useful_until = Duration::from_millis(400);
     /// let ends_at = Duration::from_millis(1_000);
     /// let offer =
-    ///     AdmissionRequest { rank: 1, class: 7, begun: false, may_wait: true, useful_until, ends_at };
+    ///     AdmissionRequest { rank: 1, route_hash: 7, begun: false, may_wait: true, useful_until, ends_at };
     /// assert_eq!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Run);
     /// assert!(matches!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Wait { .. }));
     /// let freed = queue.finish(Duration::from_millis(100), 7, Some(Duration::from_millis(100)));
     /// assert_eq!(freed.len(), 1);
     /// ```
     pub fn offer(&mut self, now: Duration, offer: AdmissionRequest) -> AdmissionDecision {
-        let class = ClassId {
+        let class_id = ClassId {
             rank: offer.rank,
-            class: offer.class,
+            route_hash: offer.route_hash,
         };
         if self.running >= self.slots && !offer.may_wait {
             return AdmissionDecision::Busy;
         }
-        self.books.offered(now, class);
-        let service = self.books.service_of(class);
+        self.books.offered(now, class_id);
+        let service = self.books.service_of(class_id);
         let late = !offer.nested && now + service > offer.useful_until;
         if self.running < self.slots {
             self.running += 1;
-            self.judge(class, late, true);
+            self.judge(class_id, late, true);
             return AdmissionDecision::Run;
         }
-        if !offer.nested && self.books.is_ahead(now, class) {
-            return self.refuse(class, late, self.wait());
+        if !offer.nested && self.books.is_ahead(now, class_id) {
+            return self.refuse(class_id, late, self.wait());
         }
         self.order += 1;
         let key = QueueKey {
@@ -199,12 +202,12 @@
             latest = latest.min(now + longest);
         }
         let planned = self.wait_before(key);
-        let start = now + self.books.real_wait(class, late, planned);
+        let start = now + self.books.real_wait(class_id, late, planned);
         if start > latest {
-            return self.refuse(class, late, start.saturating_sub(latest));
+            return self.refuse(class_id, late, start.saturating_sub(latest));
         }
         let job = WaitingJob {
-            class,
+            class_id,
             late,
             latest,
             asked_at: now,
@@ -224,15 +227,15 @@
 
     /// Notes whether a job that can be in time got a slot. What comes again
     /// after a refusal was noted then.
-    fn judge(&mut self, class: ClassId, late: bool, served: bool) {
+    fn judge(&mut self, class_id: ClassId, late: bool, served: bool) {
         if !late {
-            self.books.judged(class, served);
+            self.books.judged(class_id, served);
         }
     }
 
-    fn refuse(&mut self, class: ClassId, late: bool, wait: Duration) -> AdmissionDecision {
-        self.judge(class, late, false);
-        self.books.passed_over(class, late);
+    fn refuse(&mut self, class_id: ClassId, late: bool, wait: Duration) -> AdmissionDecision {
+        self.judge(class_id, late, false);
+        self.books.passed_over(class_id, late);
         let retry_after = wait.clamp(RETRY_MIN, RETRY_MAX);
         AdmissionDecision::Refuse { retry_after }
     }
@@ -242,7 +245,7 @@
     pub fn expire(&mut self, key: QueueKey) -> bool {
         let job = self.waiting.remove(&key);
         if let Some(job) = job {
-            self.judge(job.class, job.late, false);
+            self.judge(job.class_id, job.late, false);
             let waited = job.latest.saturating_sub(job.asked_at);
             self.note_wait(job, waited.mul_f64(EXPIRED_WAIT));
         }
@@ -259,16 +262,22 @@
     ///
     /// `took` is the time of a whole run; `None` when it was cut short, which
     /// says nothing about the pace.
-    pub fn finish(&mut self, now: Duration, class: u64, took: Option<Duration>) -> Vec<QueueKey> {
+    pub fn finish(
+        &mut self,
+        now: Duration,
+        route_hash: u64,
+        took: Option<Duration>,
+    ) -> Vec<QueueKey> {
         self.running = self.running.saturating_sub(1);
         if let Some(took) = took {
-            self.books.ran(class, took);
+            self.books.ran(route_hash, took);
         }
         self.grant(now)
     }
 
     fn note_wait(&mut self, job: WaitingJob, waited: Duration) {
-        self.books.waited(job.class, job.late, job.planned, waited);
+        self.books
+            .waited(job.class_id, job.late, job.planned, waited);
     }
 
     /// Returns how soon room is expected for a job at `key`'s place.
@@ -296,7 +305,7 @@
             let Some((&key, &job)) = next else {
                 break;
             };
-            self.judge(job.class, job.late, true);
+            self.judge(job.class_id, job.late, true);
             self.note_wait(job, now.saturating_sub(job.asked_at));
             self.waiting.remove(&key);
             self.running += 1;
--- a/crates/node/src/inbound/class_books.rs
+++ b/crates/node/src/inbound/class_books.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ClassId {
     pub(super) rank: u8,
-    pub(super) class: u64,
+    pub(super) route_hash: u64,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -72,14 +72,14 @@
 impl ClassBooks {
     /// Notes an offer.
     pub(super) fn offered(&mut self, now: Duration, id: ClassId) {
-        let book = self.books.entry(id.class).or_default();
+        let book = self.books.entry(id.route_hash).or_default();
         book.rank = id.rank;
         book.offered_at = now;
     }
 
     /// Notes whether an offer got a slot.
     pub(super) fn judged(&mut self, id: ClassId, served: bool) {
-        if let Some(book) = self.books.get_mut(&id.class) {
+        if let Some(book) = self.books.get_mut(&id.route_hash) {
             let served = f64::from(u8::from(served));
             book.verdicts = book.verdicts.saturating_add(1);
             // The first verdicts count alike, not the very first for most.
@@ -113,7 +113,7 @@
     }
 
     fn pace_of(&mut self, id: ClassId, late: bool) -> &mut MovingMean {
-        let book = self.books.entry(id.class).or_default();
+        let book = self.books.entry(id.route_hash).or_default();
         if late {
             &mut book.late_pace
         } else {
@@ -122,10 +122,10 @@
     }
 
     /// Notes a whole run.
-    pub(super) fn ran(&mut self, class: u64, took: Duration) {
+    pub(super) fn ran(&mut self, route_hash: u64, took: Duration) {
         let seconds = took.as_secs_f64();
         self.overall.observe(seconds, SERVICE_WEIGHT);
-        if let Some(book) = self.books.get_mut(&class) {
+        if let Some(book) = self.books.get_mut(&route_hash) {
             book.service.observe(seconds, SERVICE_WEIGHT);
         }
     }
@@ -139,7 +139,7 @@
     pub(super) fn service_of(&self, id: ClassId) -> Duration {
         let known = self
             .books
-            .get(&id.class)
+            .get(&id.route_hash)
             .and_then(|book| book.service.get());
         known.map_or_else(|| self.service(), Duration::from_secs_f64)
     }
@@ -147,11 +147,11 @@
     /// Whether a class is served clearly more often than another of its rank
     /// or above that wants to be served, too.
     pub(super) fn is_ahead(&self, now: Duration, id: ClassId) -> bool {
-        let Some(own) = self.books.get(&id.class).and_then(ClassBook::share) else {
+        let Some(own) = self.books.get(&id.route_hash).and_then(ClassBook::share) else {
             return false;
         };
-        self.books.iter().any(|(&class, book)| {
-            let rival = class != id.class && book.rank <= id.rank;
+        self.books.iter().any(|(&route_hash, book)| {
+            let rival = route_hash != id.route_hash && book.rank <= id.rank;
             let active = now < book.offered_at + ACTIVE_TIME;
             let served = book.share();
             rival && active && served.is_some_and(|served| own - served > LEAD_MAX)
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -90,11 +90,11 @@
 
 impl InboundState {
     /// Frees a slot and starts who is next.
-    pub(super) fn finish(&self, class: u64, took: Option<Duration>) {
+    pub(super) fn finish(&self, route_hash: u64, took: Option<Duration>) {
         let granted = self
             .queue
             .borrow_mut()
-            .finish(self.clock.now(), class, took);
+            .finish(self.clock.now(), route_hash, took);
         self.wake(granted);
     }
 
@@ -202,14 +202,14 @@
     }
 
     /// Returns the load of the backend server, as whoever asks for runs of
-    /// `class` needs it.
-    pub fn load(&self, class: u64) -> LoadReport {
+    /// `route_hash` needs it.
+    pub fn load(&self, route_hash: u64) -> LoadReport {
         let queue = self.inner.queue.borrow();
         LoadReport {
             running: queue.running(),
             waiting: queue.waiting(),
             service: queue.service(),
-            run: queue.service_of(class),
+            run: queue.service_of(route_hash),
             link: self.inner.link.schedule().backlog(self.inner.clock.now()),
         }
     }
@@ -253,7 +253,7 @@
         self.admit(&request)?;
         self.admit_by_breaker()?;
         let ends_at = request.ends_at + OVERTIME;
-        let (class, fingerprint) = (request.class, request.fingerprint);
+        let (route_hash, fingerprint) = (request.route_hash, request.fingerprint);
         let unscheduled = self.unscheduled_answer(&request);
         let answer = timeout_at(ends_at, self.call(request, idempotent, slot, start)).await;
         if let Ok(result) = &answer {
@@ -265,7 +265,10 @@
         }
         let bytes = answer.body().size_hint().exact();
         if let Some(bytes) = bytes {
-            self.inner.response_sizes.borrow_mut().observe(class, bytes);
+            self.inner
+                .response_sizes
+                .borrow_mut()
+                .observe(route_hash, bytes);
         }
         let reservation = reservation.or_else(|| self.take_link(unscheduled?, bytes?));
         Ok(answer.map(|body| body.with_reservation(reservation)))
--- a/crates/node/src/inbound/inbound_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -22,7 +22,7 @@
     /// Rank of the route.
     pub rank: u8,
     /// Hash of the route.
-    pub class: u64,
+    pub route_hash: u64,
     /// Whether it belongs to a run that has begun.
     pub nested: bool,
     /// Whether it may wait for a slot.
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -28,14 +28,14 @@
         &self,
         request: &InboundRequest,
     ) -> Result<Option<LinkReservation>, InboundError> {
-        let bytes = self.inner.response_sizes.borrow().get(request.class);
+        let bytes = self.inner.response_sizes.borrow().get(request.route_hash);
         if bytes <= SHORT_RESPONSE_MAX_BYTES || request.origin == RequestOrigin::Caller {
             return Ok(None);
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
         let offer = LinkRequest {
             bytes,
-            made_in: self.inner.queue.borrow().service_of(request.class),
+            made_in: self.inner.queue.borrow().service_of(request.route_hash),
             useful_until: clock.at(request.useful_until),
             ends_at: clock.at(request.ends_at),
         };
--- a/crates/node/src/inbound/nested_call_detector.rs
+++ b/crates/node/src/inbound/nested_call_detector.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy)]
 struct TurnedAway {
     at: Duration,
-    class: u64,
+    route_hash: u64,
     followed: bool,
 }
 
@@ -56,14 +56,14 @@
 }
 
 impl NestedCallDetector {
-    /// Notes that a request of `class`, sent on this machine, got no answer, and
+    /// Notes that a request of `route_hash`, sent on this machine, got no answer, and
     /// returns a class that has been found to be calls since.
-    pub fn request_failed(&mut self, now: Duration, class: u64) -> Option<u64> {
+    pub fn request_failed(&mut self, now: Duration, route_hash: u64) -> Option<u64> {
         self.settle(now);
         if self.pending.len() < PENDING_MAX {
             self.pending.push_back(TurnedAway {
                 at: now,
-                class,
+                route_hash,
                 followed: false,
             });
         }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Whether requests of `class`, sent on this machine, are calls of its
+    /// Whether requests of `route_hash`, sent on this machine, are calls of its
     /// backend server.
     ///
     /// # Examples
@@ -96,9 +96,9 @@
     /// assert!(book.is_nested_call(7));
     /// assert!(!book.is_nested_call(8));
     /// ```
-    pub fn is_nested_call(&self, class: u64) -> bool {
+    pub fn is_nested_call(&self, route_hash: u64) -> bool {
         self.shares
-            .get(&class)
+            .get(&route_hash)
             .is_some_and(CallShare::is_nested_call)
     }
 
@@ -109,13 +109,13 @@
                 break;
             }
             self.pending.pop_front();
-            let known = self.shares.entry(away.class).or_default();
+            let known = self.shares.entry(away.route_hash).or_default();
             let before = known.is_nested_call();
             let followed = f64::from(u8::from(away.followed));
             known.share.observe(followed, SHARE_WEIGHT);
             known.seen = known.seen.saturating_add(1);
             if known.is_nested_call() && !before {
-                self.learned = Some(away.class);
+                self.learned = Some(away.route_hash);
             }
         }
     }
--- a/crates/node/src/inbound/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -16,17 +16,17 @@
 #[derive(Debug)]
 pub struct RunSlot {
     inner: Rc<InboundState>,
-    class: u64,
+    route_hash: u64,
     started: Instant,
     sender: Option<PooledSender>,
     made: bool,
 }
 
 impl RunSlot {
-    pub(super) fn new(inner: Rc<InboundState>, class: u64) -> Self {
+    pub(super) fn new(inner: Rc<InboundState>, route_hash: u64) -> Self {
         Self {
             inner,
-            class,
+            route_hash,
             started: Instant::now(),
             sender: None,
             made: false,
@@ -40,7 +40,8 @@
     /// Gives the slot back: the answer is made.
     pub fn made(&mut self) {
         if !std::mem::replace(&mut self.made, true) {
-            self.inner.finish(self.class, Some(self.started.elapsed()));
+            self.inner
+                .finish(self.route_hash, Some(self.started.elapsed()));
         }
     }
 
@@ -56,7 +57,7 @@
 impl Drop for RunSlot {
     fn drop(&mut self) {
         if !self.made {
-            self.inner.finish(self.class, None);
+            self.inner.finish(self.route_hash, None);
         }
     }
 }
--- a/crates/node/src/inbound/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -14,7 +14,7 @@
 struct QueuePlace<'a> {
     inner: &'a Rc<InboundState>,
     key: QueueKey,
-    class: u64,
+    route_hash: u64,
     taken: bool,
 }
 
@@ -27,7 +27,7 @@
         let waited = self.inner.queue.borrow_mut().withdraw(self.key);
         if !waited {
             // Granted in the moment in which the caller left.
-            self.inner.finish(self.class, None);
+            self.inner.finish(self.route_hash, None);
         }
     }
 }
@@ -42,10 +42,10 @@
         &self,
         request: &InboundRequest,
     ) -> Result<RunSlot, InboundError> {
-        let class = request.class;
+        let route_hash = request.route_hash;
         let offer = AdmissionRequest {
             rank: request.rank,
-            class,
+            route_hash,
             nested: request.nested,
             may_wait: request.may_wait,
             useful_until: self.inner.clock.at(request.useful_until),
@@ -54,7 +54,7 @@
         let now = self.inner.clock.now();
         let verdict = self.inner.queue.borrow_mut().offer(now, offer);
         let (key, latest) = match verdict {
-            AdmissionDecision::Run => return Ok(RunSlot::new(Rc::clone(&self.inner), class)),
+            AdmissionDecision::Run => return Ok(RunSlot::new(Rc::clone(&self.inner), route_hash)),
             AdmissionDecision::Busy => return refused(RefusalReason::Busy, RETRY_ELSEWHERE),
             AdmissionDecision::Refuse { retry_after } => {
                 return refused(RefusalReason::Full, retry_after);
@@ -66,13 +66,13 @@
         let mut place = QueuePlace {
             inner: &self.inner,
             key,
-            class,
+            route_hash,
             taken: false,
         };
         let latest = self.inner.clock.instant(latest);
         if timeout_at(latest, granted).await.is_ok() {
             place.taken = true;
-            return Ok(RunSlot::new(Rc::clone(&self.inner), class));
+            return Ok(RunSlot::new(Rc::clone(&self.inner), route_hash));
         }
         // When it was granted in this very moment, the place frees the slot.
         place.taken = self.inner.queue.borrow_mut().expire(key);
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -293,11 +293,17 @@
         }
     }
 
-    /// Takes in the load that came with an answer to a request of `class`, or
+    /// Takes in the load that came with an answer to a request of `route_hash`, or
     /// with a refusal of one.
-    pub fn record_load(&mut self, now: Duration, key: MemberKey, class: u64, report: LoadReport) {
+    pub fn record_load(
+        &mut self,
+        now: Duration,
+        key: MemberKey,
+        route_hash: u64,
+        report: LoadReport,
+    ) {
         let run = report.run.as_secs_f64();
-        let usual = self.class_runs.entry(class).or_default();
+        let usual = self.class_runs.entry(route_hash).or_default();
         if run > 0.0 {
             usual.observe(run, RUN_WEIGHT);
         }
@@ -305,7 +311,7 @@
         let Some((member, pool)) = self.get_with_pool(key) else {
             return;
         };
-        member.record_load(now, class, report, usual);
+        member.record_load(now, route_hash, report, usual);
         if let Some(pool) = pool {
             pool.record_load(report, member.record.slots);
         }
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -193,7 +193,10 @@
         pool: &ServicePool,
         query: &'a PickQuery<'a>,
     ) -> PickCost<'a> {
-        let run = self.class_runs.get(&query.class).and_then(MovingMean::get);
+        let run = self
+            .class_runs
+            .get(&query.route_hash)
+            .and_then(MovingMean::get);
         let usual = UsualRun {
             run: run.map(Duration::from_secs_f64),
             held: pool.usual_held(),
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -191,9 +191,9 @@
         self.served_at
     }
 
-    /// Seconds that a run of `class` takes here.
-    pub(super) fn run_s(&self, now: Duration, class: u64, usual: UsualRun) -> f64 {
-        let told = self.runs.iter().find(|(known, _)| *known == class);
+    /// Seconds that a run of `route_hash` takes here.
+    pub(super) fn run_s(&self, now: Duration, route_hash: u64, usual: UsualRun) -> f64 {
+        let told = self.runs.iter().find(|(known, _)| *known == route_hash);
         let usual = usual.run.unwrap_or(RUN_UNKNOWN).as_secs_f64();
         let run = told.map_or_else(|| usual * self.pace.get().unwrap_or(1.0), |(_, run)| *run);
         if now < self.cold_until {
@@ -203,9 +203,9 @@
         }
     }
 
-    /// Returns what a request of `class` sent now would meet.
-    pub(super) fn outlook(&self, now: Duration, class: u64, usual: UsualRun) -> MemberOutlook {
-        let run_s = self.run_s(now, class, usual);
+    /// Returns what a request of `route_hash` sent now would meet.
+    pub(super) fn outlook(&self, now: Duration, route_hash: u64, usual: UsualRun) -> MemberOutlook {
+        let run_s = self.run_s(now, route_hash, usual);
         let told = self.load.map(|load| load.report.service.as_secs_f64());
         let turn = told.filter(|&turn| turn > 0.0).unwrap_or(run_s);
         let slots = f64::from(self.record.slots.max(1));
@@ -257,12 +257,12 @@
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    /// Takes in the load that came with an answer to a request of `class`;
+    /// Takes in the load that came with an answer to a request of `route_hash`;
     /// `usual` is the fleet's time of such a run.
     pub(super) fn record_load(
         &mut self,
         now: Duration,
-        class: u64,
+        route_hash: u64,
         report: LoadReport,
         usual: Option<f64>,
     ) {
@@ -276,9 +276,9 @@
         if run <= 0.0 {
             return;
         }
-        match self.runs.iter_mut().find(|(known, _)| *known == class) {
+        match self.runs.iter_mut().find(|(known, _)| *known == route_hash) {
             Some((_, told)) => *told = run,
-            None => self.runs.push((class, run)),
+            None => self.runs.push((route_hash, run)),
         }
         if let Some(usual) = usual {
             self.pace.observe(run / usual, PACE_WEIGHT);
--- a/crates/node/src/member/pick_cost.rs
+++ b/crates/node/src/member/pick_cost.rs
@@ -89,7 +89,7 @@
         open.sort_by_cached_key(|(_, member)| {
             let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
             let rate = f64::from(member.record.slots.max(1))
-                / member.run_s(self.now, self.query.class, self.usual);
+                / member.run_s(self.now, self.query.route_hash, self.usual);
             Duration::from_secs_f64(-uniform.ln() / rate.max(f64::EPSILON))
         });
         open.truncate(COMPARED);
@@ -107,7 +107,7 @@
         let compared = self.draw(near.collect(), rng);
         let key = self.cheapest(compared.clone(), rng)?;
         let (_, member) = compared.into_iter().find(|(other, _)| *other == key)?;
-        let outlook = member.outlook(self.now, self.query.class, self.usual);
+        let outlook = member.outlook(self.now, self.query.route_hash, self.usual);
         outlook.is_prompt(self.query.target).then_some(key)
     }
 
@@ -129,7 +129,7 @@
     /// Seconds after which a request sent now would be answered.
     pub(super) fn expected_s(self, member: &MemberView) -> f64 {
         let made = member
-            .outlook(self.now, self.query.class, self.usual)
+            .outlook(self.now, self.query.route_hash, self.usual)
             .made_s();
         if !self.uses_link(member) {
             return made;
@@ -139,7 +139,7 @@
 
     /// What a request sent now would cost, in seconds of waiting.
     fn cost_s(self, member: &MemberView) -> f64 {
-        let outlook = member.outlook(self.now, self.query.class, self.usual);
+        let outlook = member.outlook(self.now, self.query.route_hash, self.usual);
         let cost = outlook.cost_s(self.query.target);
         if !self.uses_link(member) {
             return cost;
--- a/crates/node/src/member/pick_query.rs
+++ b/crates/node/src/member/pick_query.rs
@@ -11,7 +11,7 @@
     /// Service that has to answer.
     pub service: &'a str,
     /// Hash of the route, by which times of runs are kept.
-    pub class: u64,
+    pub route_hash: u64,
     /// Time within which the answer is of full use.
     pub target: Duration,
     /// Members already tried for this request.
--- a/crates/node/src/member/response_sizes.rs
+++ b/crates/node/src/member/response_sizes.rs
@@ -15,14 +15,14 @@
 
 impl ResponseSizes {
     /// Notes the bytes of an answer on the route with this hash.
-    pub fn observe(&mut self, class: u64, bytes: u64) {
-        let size = self.sizes.entry(class).or_default();
+    pub fn observe(&mut self, route_hash: u64, bytes: u64) {
+        let size = self.sizes.entry(route_hash).or_default();
         size.observe(bytes as f64, SIZE_WEIGHT);
     }
 
     /// Returns the usual bytes; 0 when unknown.
-    pub fn get(&self, class: u64) -> u64 {
-        let size = self.sizes.get(&class).and_then(MovingMean::get);
+    pub fn get(&self, route_hash: u64) -> u64 {
+        let size = self.sizes.get(&route_hash).and_then(MovingMean::get);
         size.unwrap_or(0.0) as u64
     }
 }
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -257,15 +257,17 @@
     }
 
     /// Takes in what a member told of its load with an answer to a request of
-    /// `class`.
-    pub fn record_load(&self, key: MemberKey, class: u64, load: LoadReport) {
+    /// `route_hash`.
+    pub fn record_load(&self, key: MemberKey, route_hash: u64, load: LoadReport) {
         let now = self.clock.now();
-        self.fleet.borrow_mut().record_load(now, key, class, load);
+        self.fleet
+            .borrow_mut()
+            .record_load(now, key, route_hash, load);
     }
 
     /// Returns the bytes of a usual answer on a route; 0 when unknown.
-    pub fn response_bytes(&self, class: u64) -> u64 {
-        self.response_sizes.borrow().get(class)
+    pub fn response_bytes(&self, route_hash: u64) -> u64 {
+        self.response_sizes.borrow().get(route_hash)
     }
 
     /// Whether the node was told to stop.
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -33,11 +33,13 @@
         });
     }
 
-    /// Records that requests of `class`, sent on this machine, were found to be
+    /// Records that requests of `route_hash`, sent on this machine, were found to be
     /// calls of its backend server.
-    pub fn record_nested_calls(&self, class: u64) {
+    pub fn record_nested_calls(&self, route_hash: u64) {
         let config = self.config.borrow();
-        let route = config.as_ref().and_then(|config| config.route_of(class));
+        let route = config
+            .as_ref()
+            .and_then(|config| config.route_of(route_hash));
         info!(self.log.logger(), "calls of the backend server recognized";
             "route" => route.map(|route| &*route.name),
             "cause" => "its runs fail when these are turned away");
@@ -55,7 +57,7 @@
         if let Some(bytes) = bytes.filter(|_| answer.status().is_success()) {
             self.response_sizes
                 .borrow_mut()
-                .observe(request.route.class, bytes);
+                .observe(request.route.route_hash, bytes);
         }
         // The door here counts what it answered itself.
         let away = at.is_some_and(|at| at.peer_addr != self.settings.peer_addr);
--- a/crates/node/src/outbound/deadline_tracker.rs
+++ b/crates/node/src/outbound/deadline_tracker.rs
@@ -57,8 +57,8 @@
     /// let left = Duration::from_millis(700);
     /// assert_eq!(book.spent(7, left), Duration::from_millis(300));
     /// ```
-    pub fn time_since_first_attempt(&mut self, class: u64, deadline: Duration) -> Duration {
-        let route = self.routes.entry(class).or_default();
+    pub fn time_since_first_attempt(&mut self, route_hash: u64, deadline: Duration) -> Duration {
+        let route = self.routes.entry(route_hash).or_default();
         route.observe(deadline);
         route.time_since_first_attempt(deadline)
     }
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -111,7 +111,7 @@
             .inbound
             .nested_calls()
             .borrow()
-            .is_nested_call(route.class);
+            .is_nested_call(route.route_hash);
         Ok(OutboundRequest {
             id: id.into(),
             method: head.method,
@@ -179,7 +179,8 @@
             return clock.instant(first);
         }
         let mut deadlines = self.core.deadlines.borrow_mut();
-        let time_since_first_attempt = deadlines.time_since_first_attempt(route.class, deadline);
+        let time_since_first_attempt =
+            deadlines.time_since_first_attempt(route.route_hash, deadline);
         arrived
             .checked_sub(time_since_first_attempt)
             .unwrap_or(arrived)
@@ -222,10 +223,10 @@
             Err(answer) => {
                 let now = self.core.clock.now();
                 let mut nested_calls = self.core.inbound.nested_calls().borrow_mut();
-                let learned = nested_calls.request_failed(now, request.route.class);
+                let learned = nested_calls.request_failed(now, request.route.route_hash);
                 drop(nested_calls);
-                if let Some(class) = learned {
-                    self.core.record_nested_calls(class);
+                if let Some(route_hash) = learned {
+                    self.core.record_nested_calls(route_hash);
                 }
                 self.note_refused(request);
                 let cause = tries.broke.as_deref();
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -279,11 +279,11 @@
     {
         PickQuery {
             service: &self.request.service,
-            class: self.request.route.class,
+            route_hash: self.request.route.route_hash,
             target: self.request.route.target,
             tried: &tries.tried,
             probed: &tries.probed,
-            response_bytes: self.core.response_bytes(self.request.route.class),
+            response_bytes: self.core.response_bytes(self.request.route.route_hash),
         }
     }
 }
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -80,7 +80,7 @@
             headers: request.headers.clone(),
             body: request.body.clone(),
             rank: request.route.rank,
-            class: request.route.class,
+            route_hash: request.route.route_hash,
             nested: request.nested,
             may_wait: self.may_wait,
             useful_until: request.useful_until,
@@ -90,9 +90,9 @@
         };
         let idempotent = request.route.kind.is_idempotent();
         let answer = self.core.inbound.run(inbound_request, idempotent).await;
-        let class = request.route.class;
-        let load = self.core.inbound.load(class);
-        self.core.record_load(guard.key(), class, load);
+        let route_hash = request.route.route_hash;
+        let load = self.core.inbound.load(route_hash);
+        self.core.record_load(guard.key(), route_hash, load);
         match answer {
             Ok(response) => Ok(Box::new(
                 response.map(|body| body.with_in_flight_guard(guard)),
@@ -160,7 +160,7 @@
         let now = Instant::now();
         let note = PeerRequestHeader {
             rank: request.route.rank,
-            class: request.route.class,
+            route_hash: request.route.route_hash,
             nested: request.nested,
             idempotent: request.route.kind.is_idempotent(),
             may_wait: self.may_wait,
@@ -190,7 +190,8 @@
     /// Takes in what the other node says of itself.
     fn learn(self, key: MemberKey, record: &MemberRecord, headers: &HeaderMap) {
         if let Some(load) = parsed::<LoadReport>(headers, &PEER_LOAD_HEADER) {
-            self.core.record_load(key, self.request.route.class, load);
+            self.core
+                .record_load(key, self.request.route.route_hash, load);
         }
         if let Some(version) =
             header_text(headers, &PEER_VERSION_HEADER).and_then(|text| text.parse().ok())
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -87,7 +87,7 @@
             Err(InboundError::Refused { refusal }) => refused(&refusal),
             Err(InboundError::Broke { reason, diagnosis }) => broke(&reason, diagnosis.as_ref()),
         };
-        let load = self.core.inbound.load(note.class);
+        let load = self.core.inbound.load(note.route_hash);
         set_header(response.headers_mut(), &PEER_LOAD_HEADER, &load.to_string());
         response
     }
@@ -115,7 +115,7 @@
             headers,
             body,
             rank: note.rank,
-            class: note.class,
+            route_hash: note.route_hash,
             nested: note.nested,
             may_wait: note.may_wait,
             useful_until: now + note.useful,
--- a/crates/node/src/transport/peer_request_header.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -17,7 +17,7 @@
     /// Rank of the route.
     pub rank: u8,
     /// Hash of the route.
-    pub class: u64,
+    pub route_hash: u64,
     /// Whether it belongs to a run that has begun.
     pub nested: bool,
     /// Whether it may run more than once without harm.
@@ -60,7 +60,7 @@
         write!(
             f,
             "{},{:x},{nested},{repeats},{waits},",
-            self.rank, self.class
+            self.rank, self.route_hash
         )?;
         write!(f, "{useful_ms},{},{}", self.version, self.from)
     }
@@ -84,11 +84,11 @@
     fn from_str(text: &str) -> Result<Self, PeerRequestHeaderError> {
         let mut figures = text.split(',');
         let mut next = || figures.next().ok_or(PeerRequestHeaderError::Missing);
-        let (rank, class) = (next()?.parse()?, u64::from_str_radix(next()?, 16)?);
+        let (rank, route_hash) = (next()?.parse()?, u64::from_str_radix(next()?, 16)?);
         let mut flag = || Ok::<_, PeerRequestHeaderError>(next()?.parse::<u8>()? != 0);
         Ok(Self {
             rank,
-            class,
+            route_hash,
             nested: flag()?,
             idempotent: flag()?,
             may_wait: flag()?,
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -40,7 +40,7 @@
 
 const QUERY: PickQuery<'static> = PickQuery {
     service: "prices",
-    class: 7,
+    route_hash: 7,
     target: Duration::from_millis(400),
     tried: &[],
     probed: &[],
@@ -87,8 +87,8 @@
     let mut fleet = view(1, 1);
     let near = fleet.key_of(peer_addr(1)).expect("it is known");
     let far = fleet.key_of(peer_addr(2)).expect("it is known");
-    fleet.record_load(at(0), near, QUERY.class, load(12, 4, at(100)));
-    fleet.record_load(at(0), far, QUERY.class, load(0, 0, at(100)));
+    fleet.record_load(at(0), near, QUERY.route_hash, load(12, 4, at(100)));
+    fleet.record_load(at(0), far, QUERY.route_hash, load(0, 0, at(100)));
     let long = PickQuery {
         response_bytes: 90_000,
         ..QUERY
@@ -103,7 +103,7 @@
 fn long_answers_are_asked_for_at_home_first() {
     let mut fleet = view(1, 7);
     let near = fleet.key_of(peer_addr(1)).expect("it is known");
-    fleet.record_load(at(0), near, QUERY.class, load(11, 0, at(100)));
+    fleet.record_load(at(0), near, QUERY.route_hash, load(11, 0, at(100)));
     let long = PickQuery {
         response_bytes: 90_000,
         ..QUERY
@@ -137,7 +137,7 @@
         link: at(2_000),
         ..load(1, 0, at(100))
     };
-    fleet.record_load(at(0), own, QUERY.class, full);
+    fleet.record_load(at(0), own, QUERY.route_hash, full);
     let refused = TryOutcome::LinkRefused {
         retry_after: at(300),
     };
@@ -184,7 +184,7 @@
             link: at(400),
             ..load(4, 0, at(100))
         };
-        fleet.record_load(at(0), key, QUERY.class, report);
+        fleet.record_load(at(0), key, QUERY.route_hash, report);
     }
     let own = fleet.key_of(peer_addr(1)).expect("the member is known");
     let long = PickQuery {
@@ -204,7 +204,7 @@
     for number in 1..=4 {
         let key = fleet.key_of(peer_addr(number)).expect("it is known");
         let service = if number == 1 { at(1_000) } else { at(100) };
-        fleet.record_load(at(0), key, QUERY.class, load(1, 0, service));
+        fleet.record_load(at(0), key, QUERY.route_hash, load(1, 0, service));
     }
     let slow = fleet.key_of(peer_addr(1)).expect("it is known");
     assert!(!picks(&fleet, at(0), &QUERY).contains_key(&slow));
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -351,7 +351,7 @@
     fn offer(&mut self, now: Duration, request: Request, may_wait: bool) -> AdmissionDecision {
         let offer = AdmissionRequest {
             rank: 1,
-            class: CLASS,
+            route_hash: CLASS,
             may_wait,
             nested: false,
             useful_until: request.target_at,
@@ -399,7 +399,7 @@
 fn query<'a>(tried: &'a [MemberKey], probed: &'a [MemberKey]) -> PickQuery<'a> {
     PickQuery {
         service: "orders",
-        class: CLASS,
+        route_hash: CLASS,
         target: TARGET,
         tried,
         probed,
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -24,7 +24,7 @@
 
 const LONG: PickQuery<'static> = PickQuery {
     service: "prices",
-    class: 7,
+    route_hash: 7,
     target: TARGET,
     tried: &[],
     probed: &[],
@@ -168,7 +168,7 @@
             link: self.links[link].backlog(now),
         };
         let fleet = &mut self.senders[sender];
-        fleet.record_load(now, key, LONG.class, report);
+        fleet.record_load(now, key, LONG.route_hash, report);
         match verdict {
             LinkDecision::Promised(load) => {
                 fleet.record_try_outcome(now, key, TryOutcome::Answered { failed: false });
--- a/crates/node/tests/all/queue.rs
+++ b/crates/node/tests/all/queue.rs
@@ -8,10 +8,10 @@
     Duration::from_millis(millis)
 }
 
-fn offer(rank: u8, class: u64, useful_until: u64) -> AdmissionRequest {
+fn offer(rank: u8, route_hash: u64, useful_until: u64) -> AdmissionRequest {
     AdmissionRequest {
         rank,
-        class,
+        route_hash,
         nested: false,
         may_wait: true,
         useful_until: at(useful_until),
--- a/crates/node/tests/all/queue_load.rs
+++ b/crates/node/tests/all/queue_load.rs
@@ -107,7 +107,7 @@
             }
             let offer = AdmissionRequest {
                 rank: class.rank,
-                class: number as u64,
+                route_hash: number as u64,
                 nested: false,
                 may_wait: true,
                 useful_until: target_at,
--- a/crates/node/tests/all/starts.rs
+++ b/crates/node/tests/all/starts.rs
@@ -47,7 +47,7 @@
     fleet.record_try_outcome(NOW, key, geranium_node::member::TryOutcome::Unreachable);
     let query = geranium_node::member::PickQuery {
         service: "prices",
-        class: 7,
+        route_hash: 7,
         target: Duration::from_millis(400),
         tried: &[],
         probed: &[],
