--- a/crates/node/src/crash/poison_registry.rs
+++ b/crates/node/src/crash/poison_registry.rs
@@ -30,8 +30,8 @@
 ///     member::{EndpointStart, StartError, StartInput},
 /// };
 ///
-/// let terms = PoisonLimits { crashes: 2, hold: Duration::from_secs(600) };
-/// let mut register = PoisonRegistry::new(terms);
+/// let limits = PoisonLimits { crashes: 2, hold: Duration::from_secs(600) };
+/// let mut registry = PoisonRegistry::new(limits);
 /// let crash = |instance: &str| {
 ///     let instance = instance.to_owned();
 ///     let born_ms = None;
@@ -39,11 +39,11 @@
 ///     Ok::<_, StartError>(CrashRecord { fingerprint: 7, start })
 /// };
 /// let now = Duration::from_secs(1);
-/// assert!(register.record(now, crash("till-1")?));
-/// assert!(!register.record(now, crash("till-1")?));
-/// assert_eq!(register.verdict(now, 7), PoisonStatus::Suspect);
-/// register.record(now, crash("till-2")?);
-/// assert!(matches!(register.verdict(now, 7), PoisonStatus::Refused { .. }));
+/// assert!(registry.record(now, crash("till-1")?));
+/// assert!(!registry.record(now, crash("till-1")?));
+/// assert_eq!(registry.status(now, 7), PoisonStatus::Suspect);
+/// registry.record(now, crash("till-2")?);
+/// assert!(matches!(registry.status(now, 7), PoisonStatus::Refused { .. }));
 /// # Ok::<(), StartError>(())
 /// ```
 #[derive(Debug)]
--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -159,7 +159,7 @@
     /// let useful_until = Duration::from_millis(400);
     /// let ends_at = Duration::from_millis(1_000);
     /// let offer =
-    ///     AdmissionRequest { rank: 1, route_hash: 7, begun: false, may_wait: true, useful_until, ends_at };
+    ///     AdmissionRequest { rank: 1, route_hash: 7, nested: false, may_wait: true, useful_until, ends_at };
     /// assert_eq!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Run);
     /// assert!(matches!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Wait { .. }));
     /// let freed = queue.finish(Duration::from_millis(100), 7, Some(Duration::from_millis(100)));
--- a/crates/node/src/outbound/deadline_tracker.rs
+++ b/crates/node/src/outbound/deadline_tracker.rs
@@ -50,12 +50,12 @@
     /// use std::time::Duration;
     /// use geranium_node::outbound::DeadlineTracker;
     ///
-    /// let mut book = DeadlineTracker::default();
+    /// let mut tracker = DeadlineTracker::default();
     /// for _ in 0..20 {
-    ///     assert_eq!(book.spent(7, Duration::from_secs(1)), Duration::ZERO);
+    ///     assert_eq!(tracker.time_since_first_attempt(7, Duration::from_secs(1)), Duration::ZERO);
     /// }
     /// let left = Duration::from_millis(700);
-    /// assert_eq!(book.spent(7, left), Duration::from_millis(300));
+    /// assert_eq!(tracker.time_since_first_attempt(7, left), Duration::from_millis(300));
     /// ```
     pub fn time_since_first_attempt(&mut self, route_hash: u64, deadline: Duration) -> Duration {
         let route = self.routes.entry(route_hash).or_default();
--- a/crates/node/src/store/store_era.rs
+++ b/crates/node/src/store/store_era.rs
@@ -49,8 +49,8 @@
     /// use geranium_node::store::{EraTracker, StoreEra};
     ///
     /// let eras = EraTracker::default();
-    /// eras.hear(StoreEra(2));
-    /// eras.hear(StoreEra(1));
+    /// eras.observe(StoreEra(2));
+    /// eras.observe(StoreEra(1));
     /// assert_eq!(eras.latest(), StoreEra(2));
     /// ```
     pub fn observe(&self, era: StoreEra) {
--- a/crates/node/src/transport/peer_request_header.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -77,7 +77,7 @@
     /// use geranium_node::transport::PeerRequestHeader;
     ///
     /// let note: PeerRequestHeader = "2,ff,0,1,0,380,12,10.1.0.4:7600".parse()?;
-    /// assert_eq!((note.rank, note.class, note.version.0), (2, 255, 12));
+    /// assert_eq!((note.rank, note.route_hash, note.version.0), (2, 255, 12));
     /// assert_eq!(note.to_string(), "2,ff,0,1,0,380,12,10.1.0.4:7600");
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
