--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -66,7 +66,7 @@
                 announcement.settle(&core);
                 pause = PAUSE_FIRST;
                 select! {
-                    () = core.announce.notified() => {}
+                    () = core.announcement_changed.notified() => {}
                     () = sleep_until(renew_at) => {}
                 }
             }
@@ -193,12 +193,12 @@
             }
             Err(StoreError::Conflict { current, .. }) => {
                 self.revision = current;
-                core.announce.notify_one();
+                core.announcement_changed.notify_one();
                 Ok(())
             }
             Err(StoreError::NoLease) => {
                 self.lease = None;
-                core.announce.notify_one();
+                core.announcement_changed.notify_one();
                 Ok(())
             }
             Err(failure) => Err(failure),
@@ -246,7 +246,7 @@
             None => self.record.is_none(),
         };
         if settled {
-            core.announce_pending.set(false);
+            core.announcement_outdated.set(false);
             core.announced.notify_waiters();
         }
     }
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -31,7 +31,7 @@
     loop {
         if !core.watches_store() {
             after = None;
-            let _idle = timeout(IDLE_LOOK, core.duty_changed.notified()).await;
+            let _idle = timeout(IDLE_LOOK, core.watch_duty_changed.notified()).await;
             continue;
         }
         core.until_store_back().await;
--- a/crates/node/src/discovery/era_watch.rs
+++ b/crates/node/src/discovery/era_watch.rs
@@ -21,7 +21,7 @@
                 "before" => known.0, "era" => era.0);
         }
         known = era;
-        core.announce.notify_one();
+        core.announcement_changed.notify_one();
         core.inbound.broken().write_again(core.clock.now());
     }
 }
--- a/crates/node/src/discovery/fleet_follower.rs
+++ b/crates/node/src/discovery/fleet_follower.rs
@@ -60,7 +60,7 @@
     loop {
         match core.update_source() {
             UpdateSource::Store => {
-                let _idle = timeout(IDLE_LOOK, core.duty_changed.notified()).await;
+                let _idle = timeout(IDLE_LOOK, core.watch_duty_changed.notified()).await;
             }
             UpdateSource::Node(peer_addr) => {
                 let told_lost = follow(&core, peer_addr, lost == Some(peer_addr)).await;
@@ -112,7 +112,7 @@
             false
         }
     };
-    core.duty_changed.notify_waiters();
+    core.watch_duty_changed.notify_waiters();
     lost
 }
 
@@ -124,11 +124,11 @@
 /// When a later one is heard and the guide doesn't bring it soon, that node is asked.
 pub async fn catch_up(core: Rc<NodeCore>) {
     loop {
-        core.ahead_heard.notified().await;
+        core.newer_config_known.notified().await;
         if core.version().0 > 0 {
             sleep(GUIDE_FIRST).await;
         }
-        let Some((version, peer_addr)) = core.ahead.borrow_mut().take() else {
+        let Some((version, peer_addr)) = core.newer_config_at.borrow_mut().take() else {
             continue;
         };
         if version <= core.version() {
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -46,7 +46,7 @@
             continue;
         }
         if !core.watches_store() {
-            let _idle = timeout(IDLE_LOOK, core.duty_changed.notified()).await;
+            let _idle = timeout(IDLE_LOOK, core.watch_duty_changed.notified()).await;
             continue;
         }
         core.until_store_back().await;
@@ -80,7 +80,7 @@
     core.own_lease.set(own.and_then(|item| item.lease));
     core.store_answered();
     if !present.contains(&core.settings.peer_addr) {
-        core.announce.notify_one();
+        core.announcement_changed.notify_one();
     }
     Ok(())
 }
@@ -96,7 +96,7 @@
     fleet.listed(now, list.revision, |peer_addr| present.contains(peer_addr));
     drop(fleet);
     if !present.contains(&core.settings.peer_addr) {
-        core.announce.notify_one();
+        core.announcement_changed.notify_one();
     }
     Ok(())
 }
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -52,7 +52,10 @@
             .borrow()
             .pause(core.store_probe_duty(), share);
         let due = since + pause;
-        if timeout_at(due, core.duty_changed.notified()).await.is_err() {
+        if timeout_at(due, core.watch_duty_changed.notified())
+            .await
+            .is_err()
+        {
             return true;
         }
     }
--- a/crates/node/src/discovery/update_intake.rs
+++ b/crates/node/src/discovery/update_intake.rs
@@ -64,7 +64,7 @@
         let mut fleet = core.fleet.borrow_mut();
         fleet.listed(now, revision, |peer_addr| present.contains(peer_addr));
         if !present.contains(&core.settings.peer_addr) {
-            core.announce.notify_one();
+            core.announcement_changed.notify_one();
         }
     }
     let mut notes = MemberNotes::default();
@@ -91,9 +91,9 @@
         core.inbound.tracker().borrow_mut().restore(now, &record);
         if core.inbound.tracker().borrow().current().is_none() {
             *core.own_record.borrow_mut() = Some(record.clone());
-            core.own_record_heard.notify_one();
+            core.own_record_received.notify_one();
         }
-        core.announce.notify_one();
+        core.announcement_changed.notify_one();
     }
     let row = MemberRow::new(&record, revision);
     if core.fleet.borrow_mut().announce(now, record, revision) {
@@ -112,6 +112,6 @@
             "at" => %peer_addr, "revision" => revision.0);
     }
     if peer_addr == core.settings.peer_addr {
-        core.announce.notify_one();
+        core.announcement_changed.notify_one();
     }
 }
--- a/crates/node/src/header_set.rs
+++ b/crates/node/src/header_names.rs
@@ -6,7 +6,7 @@
 ///
 /// They differ between platforms, so the node is told them at its start.
 #[derive(Debug, Clone)]
-pub struct HeaderSet {
+pub struct HeaderNames {
     /// Identifier of a caller's attempt, echoed in the answer.
     pub request_id: HeaderName,
     /// Milliseconds that the caller still waits.
@@ -69,7 +69,7 @@
 /// # Examples
 ///
 /// ```
-/// use geranium_node::header_set::head_bytes;
+/// use geranium_node::header_names::head_bytes;
 /// use http::{HeaderMap, HeaderValue, header};
 ///
 /// let mut headers = HeaderMap::new();
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     crash::CrashRecord,
-    header_set::{header_text, set_header, strip_connection, strip_peer_headers},
+    header_names::{header_text, set_header, strip_connection, strip_peer_headers},
     member::EndpointStart,
     response_body::{ResponseBody, is_short},
     transport::{ExchangeError, PooledSender},
--- a/crates/node/src/inbound/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -22,7 +22,7 @@
 /// health checks may be wrong.
 pub async fn confirm_endpoint(core: Rc<NodeCore>) {
     loop {
-        core.own_record_heard.notified().await;
+        core.own_record_received.notified().await;
         let record = core.own_record.borrow_mut().take();
         if let Some(record) = record {
             confirm(&core, record).await;
--- a/crates/node/src/inbound/endpoint_health.rs
+++ b/crates/node/src/inbound/endpoint_health.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use super::{InboundProxy, inbound_proxy::IDLE_ONCE};
-use crate::{header_set::header_text, transport::ExchangeError};
+use crate::{header_names::header_text, transport::ExchangeError};
 
 /// Longest time for a health check; it takes a millisecond when a slot is
 /// free. The next heartbeat comes within a second and a half.
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -22,7 +22,7 @@
 };
 use crate::{
     crash::{BreakDiagnosis, BrokenRuns, CrashHistory},
-    header_set::HeaderSet,
+    header_names::HeaderNames,
     link::LinkScheduler,
     member::{EndpointStart, LoadReport, ResponseSizes},
     node_clock::NodeClock,
@@ -114,7 +114,7 @@
 pub struct InboundProxy {
     pub(super) inner: Rc<InboundState>,
     pub(super) settings: InboundSettings,
-    pub(super) headers: HeaderSet,
+    pub(super) headers: HeaderNames,
     pub(super) tracker: RefCell<EndpointTracker>,
     pub(super) broken: BrokenRuns,
     pub(super) crashes: Rc<RefCell<CrashHistory>>,
@@ -129,7 +129,7 @@
     /// Makes a door that is shut until the backend server reports.
     pub fn new(
         settings: InboundSettings,
-        headers: HeaderSet,
+        headers: HeaderNames,
         clock: NodeClock,
         link: Rc<LinkScheduler>,
         crashes: Rc<RefCell<CrashHistory>>,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod discovery;
 pub mod distribution;
 pub mod event_log;
-pub mod header_set;
+pub mod header_names;
 pub mod http_listener;
 pub mod inbound;
 pub mod link;
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -41,7 +41,7 @@
         retry_after: Duration,
     },
     /// The node beside it lives, but has no backend server to give work to.
-    Shut,
+    NoBackend,
     /// The node beside it refused a long answer, for want of room on its
     /// instance's link.
     LinkRefused {
@@ -326,7 +326,7 @@
             TryOutcome::Answered { failed } => member.answered(now, failed),
             TryOutcome::Refused { retry_after } => member.refused(now, retry_after),
             TryOutcome::LinkRefused { retry_after } => member.link_refused(now, retry_after),
-            TryOutcome::Shut => member.shut(now),
+            TryOutcome::NoBackend => member.shut(now),
             TryOutcome::Broke => member.broke(),
             TryOutcome::Unreachable | TryOutcome::Silent => member.unreachable(now),
             TryOutcome::Abandoned => {}
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -21,7 +21,7 @@
     },
     http_listener::{BindError, ConnectionLimits, bind_listener, serve_listener},
     inbound::confirm_endpoint,
-    node_core::{CALLERS_LEAVE, NodeCore, OpenRequestGuard},
+    node_core::{CALLER_DRAIN_TIME, NodeCore, OpenRequestGuard},
     node_settings::ListenAddrs,
     outbound::OutboundProxy,
     peer_handler::PeerHandler,
@@ -149,11 +149,11 @@
 /// any more; other nodes get refusals, upon which they go elsewhere.
 pub async fn stop_node(core: &Rc<NodeCore>) {
     let begun = Instant::now();
-    info!(core.log.logger(), "stopping"; "open" => core.open.get());
-    core.begin_stop();
+    info!(core.log.logger(), "stopping"; "open" => core.open_requests.get());
+    core.begin_shutdown();
     let latest = core.settings.stop_time.saturating_sub(STOP_MARGIN);
     while begun.elapsed() < latest {
-        if begun.elapsed() >= CALLERS_LEAVE && core.open.get() == 0 {
+        if begun.elapsed() >= CALLER_DRAIN_TIME && core.open_requests.get() == 0 {
             break;
         }
         sleep(STOP_LOOK).await;
@@ -164,7 +164,7 @@
         sleep(CLOSE_LOOK).await;
     }
     info!(core.log.logger(), "stopped";
-        "open" => core.open.get(),
+        "open" => core.open_requests.get(),
         "took_ms" => begun.elapsed().as_millis() as u64);
 }
 
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -41,8 +41,8 @@
         }
         if matches!(verdict, ReportOutcome::Adopted | ReportOutcome::Changed) {
             self.inbound.set_slots(slots);
-            self.announce_pending.set(true);
-            self.announce.notify_one();
+            self.announcement_outdated.set(true);
+            self.announcement_changed.notify_one();
             info!(self.log.logger(), "backend server reported";
                 "instance" => %start,
                 "state" => <&'static str>::from(state),
@@ -62,8 +62,8 @@
         );
         info!(self.log.logger(), "backend server said farewell";
             "instance" => name, "here" => here);
-        self.announce_pending.set(here);
-        self.announce.notify_one();
+        self.announcement_outdated.set(here);
+        self.announcement_changed.notify_one();
     }
 
     /// Waits until what changed about the backend server stands in the store, and other
@@ -75,7 +75,7 @@
     /// all the same.
     pub async fn until_announced(&self) {
         let wait = async {
-            while self.announce_pending.get() {
+            while self.announcement_outdated.get() {
                 self.announced.notified().await;
             }
             self.inbound.broken().until_late_told().await;
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -27,7 +27,7 @@
     delegation::DelegatedCallQueue,
     distribution::{ConfigHistory, RelaySelector, StoreAccess},
     event_log::EventLog,
-    header_set::HeaderSet,
+    header_names::HeaderNames,
     inbound::{InboundProxy, InboundSettings},
     link::{LinkReporter, LinkScheduler},
     member::{FleetView, LoadReport, MemberKey, MemberRecord, ResponseSizes},
@@ -42,14 +42,14 @@
 };
 
 /// Slots assumed until the backend server tells: the usual size of one.
-const SLOTS_UNKNOWN: u32 = 8;
+const ASSUMED_SLOTS: u32 = 8;
 /// Part of the allowed time in which a leaving backend server still gets new
 /// work. The rest covers the way of a request that is already here.
 const LEAVING_PART: f64 = 0.4;
 
 /// Time after the signal to stop in which callers are still served: readiness
 /// is checked each second, and two misses take this node out.
-pub const CALLERS_LEAVE: Duration = Duration::from_millis(2_600);
+pub const CALLER_DRAIN_TIME: Duration = Duration::from_millis(2_600);
 
 /// What the parts of a node share.
 ///
@@ -59,7 +59,7 @@
     /// Settings.
     pub settings: NodeSettings,
     /// Names of the headers.
-    pub headers: HeaderSet,
+    pub headers: HeaderNames,
     /// Clock.
     pub clock: NodeClock,
     /// Configuration in force; none until the first was read.
@@ -81,25 +81,25 @@
     /// Metrics.
     pub metrics: NodeMetrics,
     /// Wakes the announcer after the door's state changed.
-    pub announce: Notify,
+    pub announcement_changed: Notify,
     /// Own announcement as an earlier process left it.
     pub own_record: RefCell<Option<MemberRecord>>,
     /// Lease of that announcement.
     pub own_lease: Cell<Option<LeaseId>>,
     /// Wakes who confirms it.
-    pub own_record_heard: Notify,
+    pub own_record_received: Notify,
     /// Wakes who waits until the announcement stands in the store.
     pub announced: Notify,
     /// Whether the announcement in the store is known to be old.
-    pub announce_pending: Cell<bool>,
+    pub announcement_outdated: Cell<bool>,
     /// A node that holds a later configuration than this one.
-    pub ahead: RefCell<Option<(ConfigVersion, SocketAddr)>>,
+    pub newer_config_at: RefCell<Option<(ConfigVersion, SocketAddr)>>,
     /// Wakes the exchange with that node.
-    pub ahead_heard: Notify,
+    pub newer_config_known: Notify,
     /// Wakes whoever waits for a new configuration or member.
     pub updates: Notify,
     /// Wakes whoever depends on whether this node watches the store.
-    pub duty_changed: Notify,
+    pub watch_duty_changed: Notify,
     /// Eras of the store.
     pub eras: Rc<EraTracker>,
     /// Whether the store is called.
@@ -115,7 +115,7 @@
     /// Configurations that other nodes may still hold.
     pub history: RefCell<ConfigHistory>,
     /// Requests of callers that are open.
-    pub open: Cell<u32>,
+    pub open_requests: Cell<u32>,
     /// Connections of others, and ports, that are open.
     pub connections: Cell<u32>,
     /// Whether ports are being shut and connections closed.
@@ -139,13 +139,13 @@
     /// When the metrics can't be registered.
     pub fn new(
         settings: NodeSettings,
-        headers: HeaderSet,
+        headers: HeaderNames,
         log: EventLog,
     ) -> Result<Rc<Self>, Box<dyn std::error::Error>> {
         let clock = NodeClock::start();
         let inbound_settings = InboundSettings {
             endpoint: settings.endpoint,
-            slots: SLOTS_UNKNOWN,
+            slots: ASSUMED_SLOTS,
             leaving_grace: settings.leaving_time.mul_f64(LEAVING_PART),
         };
         let peer_connections = ConnectionPool::new(PoolSettings {
@@ -177,16 +177,16 @@
             peer_connections,
             retries: RefCell::new(RetryBudget::new(settings.retries)),
             log,
-            announce: Notify::new(),
+            announcement_changed: Notify::new(),
             own_record: RefCell::default(),
             own_lease: Cell::new(None),
-            own_record_heard: Notify::new(),
+            own_record_received: Notify::new(),
             announced: Notify::new(),
-            announce_pending: Cell::new(false),
-            ahead: RefCell::default(),
-            ahead_heard: Notify::new(),
+            announcement_outdated: Cell::new(false),
+            newer_config_at: RefCell::default(),
+            newer_config_known: Notify::new(),
             updates: Notify::new(),
-            duty_changed: Notify::new(),
+            watch_duty_changed: Notify::new(),
             eras: Rc::default(),
             store_access: RefCell::default(),
             store_lost: Notify::new(),
@@ -194,7 +194,7 @@
             delegated_calls: DelegatedCallQueue::default(),
             relay_selector: RefCell::new(RelaySelector::new(settings.peer_addr)),
             history: RefCell::default(),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             connections: Cell::new(0),
             closing: watch::Sender::new(false),
             resends: RefCell::default(),
@@ -211,7 +211,7 @@
 
     /// Counts a request as open until the mark is dropped.
     pub fn open_request_guard(self: &Rc<Self>, origin: RequestOrigin) -> OpenRequestGuard {
-        self.open.set(self.open.get() + 1);
+        self.open_requests.set(self.open_requests.get() + 1);
         OpenRequestGuard::new(Rc::clone(self), origin)
     }
 
@@ -252,8 +252,8 @@
         if version <= self.version() {
             return;
         }
-        *self.ahead.borrow_mut() = Some((version, peer_addr));
-        self.ahead_heard.notify_one();
+        *self.newer_config_at.borrow_mut() = Some((version, peer_addr));
+        self.newer_config_known.notify_one();
     }
 
     /// Takes in what a member told of its load with an answer to a request of
@@ -280,18 +280,18 @@
     /// Callers stay on a node that isn't ready while most of their data centre isn't, and
     /// a request that comes shortly before the kill would be cut off. Once those that can
     /// leave have left, the rest is told at once to come back, and what is open can end.
-    pub fn refuses_callers(&self) -> bool {
+    pub fn rejects_new_callers(&self) -> bool {
         let now = self.clock.now();
         self.stopping_since
             .get()
-            .is_some_and(|since| now >= since + CALLERS_LEAVE)
+            .is_some_and(|since| now >= since + CALLER_DRAIN_TIME)
     }
 
     /// Tells every part that the node stops.
-    pub fn begin_stop(&self) {
+    pub fn begin_shutdown(&self) {
         self.stopping_since.set(Some(self.clock.now()));
         self.inbound.stop();
-        self.announce.notify_one();
+        self.announcement_changed.notify_one();
     }
 
     /// Whether callers may be sent here.
--- a/crates/node/src/node_core/open_request_guard.rs
+++ b/crates/node/src/node_core/open_request_guard.rs
@@ -6,7 +6,7 @@
 
 use super::NodeCore;
 use crate::{
-    header_set::{PEER_REFUSAL_HEADER, head_bytes},
+    header_names::{PEER_REFUSAL_HEADER, head_bytes},
     link::LinkTraffic,
     request_origin::RequestOrigin,
 };
@@ -49,7 +49,7 @@
 
 impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        let open = &self.core.open;
+        let open = &self.core.open_requests;
         open.set(open.get().saturating_sub(1));
     }
 }
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -53,7 +53,7 @@
     pub fn tell_store_lost(&self) {
         if self.relay_selector.borrow_mut().store_lost() {
             self.updates.notify_waiters();
-            self.duty_changed.notify_waiters();
+            self.watch_duty_changed.notify_waiters();
         }
     }
 
@@ -73,7 +73,7 @@
         info!(self.log.logger(), "store heard of"; "from" => %peer_addr);
         self.store_access.borrow_mut().probe_succeeded();
         self.store_back.notify_waiters();
-        self.duty_changed.notify_waiters();
+        self.watch_duty_changed.notify_waiters();
     }
 
     /// Waits until the store may be called.
@@ -104,13 +104,13 @@
     /// Notes that another node asked for news.
     pub fn asked(&self) {
         self.relay_selector.borrow_mut().asked(self.clock.now());
-        self.duty_changed.notify_waiters();
+        self.watch_duty_changed.notify_waiters();
     }
 
     /// Notes that the members of this data centre are known.
     pub fn local_members_listed(&self) {
         self.local_members_listed_at.set(Some(self.clock.now()));
-        self.duty_changed.notify_waiters();
+        self.watch_duty_changed.notify_waiters();
     }
 
     /// Whether this node knows whom it can ask for news. When the whole fleet starts for
@@ -162,7 +162,7 @@
     /// Waits until this node needn't watch the store.
     pub async fn until_relieved(&self) {
         while self.watches_store() {
-            let _looked = timeout(DUTY_LOOK, self.duty_changed.notified()).await;
+            let _looked = timeout(DUTY_LOOK, self.watch_duty_changed.notified()).await;
         }
     }
 }
--- a/crates/node/src/outbound/failed_try.rs
+++ b/crates/node/src/outbound/failed_try.rs
@@ -74,7 +74,7 @@
         | RefusalReason::Leaving
         | RefusalReason::OtherInstance
         | RefusalReason::EndpointDown
-        | RefusalReason::Stopping => Some(TryOutcome::Shut),
+        | RefusalReason::Stopping => Some(TryOutcome::NoBackend),
         RefusalReason::Poisoned => None,
     }
 }
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -16,7 +16,7 @@
 use crate::{
     config::{MeshConfig, RouteRule},
     crash::request_fingerprint,
-    header_set::{strip_connection, strip_peer_headers},
+    header_names::{strip_connection, strip_peer_headers},
     node_core::NodeCore,
     response_body::ResponseBody,
     result_code::ResultCode,
@@ -78,7 +78,7 @@
         incoming: Request<Incoming>,
         arrived: Instant,
     ) -> Result<OutboundRequest, LocalReply> {
-        if self.core.refuses_callers() {
+        if self.core.rejects_new_callers() {
             return Err(LocalReply::not_run(ResultCode::Draining, RETRY_STOPPING));
         }
         let (mut head, body) = incoming.into_parts();
@@ -144,7 +144,7 @@
                 return Ok(config);
             }
             let left = FIRST_CONFIG_TIME.saturating_sub(self.core.clock.now());
-            if left.is_zero() || self.core.open.get() > HELD_MAX {
+            if left.is_zero() || self.core.open_requests.get() > HELD_MAX {
                 let retry_after = left.max(RETRY_NOT_READY);
                 return Err(LocalReply::not_run(ResultCode::NotReady, retry_after));
             }
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -12,7 +12,7 @@
 use crate::{
     config::ConfigVersion,
     crash::BreakDiagnosis,
-    header_set::{
+    header_names::{
         PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
         PEER_REQUEST_HEADER, PEER_VERSION_HEADER, head_bytes, header_text, set_header,
         strip_connection, strip_peer_headers,
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -13,7 +13,7 @@
     crash::{BreakDiagnosis, CRASH_PATH, CrashHandler, request_fingerprint},
     delegation::{DELEGATED_CALL_PATH, DelegatedCallHandler},
     discovery::{UPDATE_PATH, UpdateHandler},
-    header_set::{
+    header_names::{
         PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
         PEER_REQUEST_HEADER, PEER_VERSION_HEADER, header_text, set_header, strip_connection,
     },
--- a/crates/node/tests/all/config.rs
+++ b/crates/node/tests/all/config.rs
@@ -9,7 +9,7 @@
     },
     distribution::{ConfigHistory, ConfigUpdate},
     event_log::EventLog,
-    header_set::HeaderSet,
+    header_names::HeaderNames,
     node_core::NodeCore,
     node_settings::{ListenAddrs, NodeSettings},
     retry::RetryLimits,
@@ -238,9 +238,9 @@
     }
 }
 
-fn headers() -> HeaderSet {
+fn headers() -> HeaderNames {
     let name = HeaderName::from_static;
-    HeaderSet {
+    HeaderNames {
         request_id: name("request"),
         deadline_ms: name("deadline"),
         signature: name("signature"),
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -391,7 +391,7 @@
         None,
         "the third may have room"
     );
-    fleet.record_try_outcome(now, keys[2], TryOutcome::Shut);
+    fleet.record_try_outcome(now, keys[2], TryOutcome::NoBackend);
     assert_eq!(fleet.link_wait(now, &query), Some(retry_after));
 }
 
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -169,7 +169,7 @@
             load,
             data_centres,
             crowd: 0.0,
-            shut_end: TryOutcome::Shut,
+            shut_end: TryOutcome::NoBackend,
             senders,
             heard: vec![HashMap::new(); FRONTS],
             receivers,
@@ -433,7 +433,7 @@
 fn nodes_without_a_server_draw_no_work() {
     let load = BUSY * 0.75;
     let node = Fleet::new(Picker::Node, load)
-        .shut(6, TryOutcome::Shut)
+        .shut(6, TryOutcome::NoBackend)
         .play();
     let retry_after = Duration::from_millis(50);
     let naive = Fleet::new(Picker::Node, load)
