--- a/crates/node/tests/all/queue_load.rs
+++ b/crates/node/tests/all/queue_load.rs
@@ -119,7 +119,7 @@
                     waiting.insert(key, (number, target_at, latest));
                 }
                 AdmissionDecision::Refuse { .. } | AdmissionDecision::Busy => {
-                    results[number].refused += 1
+                    results[number].refused += 1;
                 }
             }
         }
