--- a/crates/node/src/crash/crash_news.rs
+++ b/crates/node/src/crash/crash_news.rs
@@ -112,7 +112,7 @@
                     let mut crashes = core.crashes.borrow_mut();
                     crashes.record(now, row.clone(), revision);
                 }
-                core.inbound.broken().remember_written(now, rows);
+                core.inbound.broken_runs().remember_written(now, rows);
                 return;
             }
             Err(cause) => warn!(core.log.logger(), "crash not told"; "cause" => %cause),
--- a/crates/node/src/crash/crash_watch.rs
+++ b/crates/node/src/crash/crash_watch.rs
@@ -36,15 +36,15 @@
 /// once finds it known.
 pub async fn watch_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
-        core.inbound.broken().heard.notified().await;
-        if let Some(late) = core.inbound.broken().take_late() {
+        core.inbound.broken_runs().heard.notified().await;
+        if let Some(late) = core.inbound.broken_runs().take_late() {
             spawn_local(record_late(Rc::clone(&core), Rc::clone(&store), late));
         }
-        for rows in core.inbound.broken().take_unwritten() {
+        for rows in core.inbound.broken_runs().take_unwritten() {
             spawn_local(store_crash(Rc::clone(&core), Rc::clone(&store), rows));
         }
         sleep(GATHER).await;
-        for (start, runs) in by_start(core.inbound.broken().take_waiting()) {
+        for (start, runs) in by_start(core.inbound.broken_runs().take_waiting()) {
             spawn_local(settle(Rc::clone(&core), Rc::clone(&store), start, runs));
         }
     }
@@ -72,11 +72,11 @@
         "runs" => runs.len(),
         "cause" => <&'static str>::from(cause),
         "took_ms" => begun.elapsed().as_millis() as u64,
-        "only_trials" => core.inbound.is_broken());
+        "only_trials" => core.inbound.is_breaker_open());
     if cause == BreakCause::Crashed {
-        core.inbound.broken().drop_later(&start, &mut runs);
+        core.inbound.broken_runs().drop_later(&start, &mut runs);
     } else {
-        core.inbound.broken().not_crashed(&start);
+        core.inbound.broken_runs().not_crashed(&start);
     }
     let rows: Vec<CrashRecord> = runs.iter().map(|run| run.row.clone()).collect();
     if rows.is_empty() {
@@ -89,7 +89,7 @@
     } else {
         let now = core.clock.now();
         for row in rows {
-            core.inbound.broken().remember(now, cause, row);
+            core.inbound.broken_runs().remember(now, cause, row);
         }
     }
     let diagnosis = BreakDiagnosis { cause, start };
@@ -104,7 +104,7 @@
     warn!(core.log.logger(), "backend server crashed";
         "runs" => rows.len(), "evidence" => "another start took its place");
     record(Rc::clone(&core), store, rows).await;
-    core.inbound.broken().told_late();
+    core.inbound.broken_runs().told_late();
 }
 
 /// Records crashes here, with the peers and in the store.
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -78,7 +78,7 @@
     core.metrics.store_call("watch-config");
     let batch = select! {
         batch = store.watch(source.key, after, WATCH_WAIT) => batch?,
-        () = core.until_relieved() => return Ok(after),
+        () = core.until_watch_ends() => return Ok(after),
     };
     // Only the last counts: earlier ones were replaced meanwhile.
     let written = batch.events.iter().rev().find_map(|event| match event {
--- a/crates/node/src/discovery/fleet_follower.rs
+++ b/crates/node/src/discovery/fleet_follower.rs
@@ -10,7 +10,7 @@
 
 use super::{UPDATE_PATH, update_intake::take_answer};
 use crate::{
-    distribution::{StoreContact, UpdateRequest, UpdateResponse, UpdateSource},
+    distribution::{StoreReachability, UpdateRequest, UpdateResponse, UpdateSource},
     node_core::NodeCore,
     transport::{CallError, NodeCall},
 };
@@ -83,7 +83,7 @@
     let now = core.clock.now();
     let lost = match answer {
         Ok(answer) => {
-            let contact = StoreContact {
+            let contact = StoreReachability {
                 age: Duration::from_millis(answer.store_age_ms),
                 lost: answer.store_lost,
             };
@@ -93,14 +93,14 @@
                     "answered_ms_ago" => answer.store_age_ms);
             }
             if lost_known && !contact.lost {
-                core.store_found(peer_addr);
+                core.record_store_reached(peer_addr);
             }
             if core
                 .relay_selector
                 .borrow_mut()
-                .told(now, peer_addr, contact)
+                .record_contact(now, peer_addr, contact)
             {
-                core.doubt_store();
+                core.recheck_store();
             }
             take_answer(core, peer_addr, answer);
             contact.lost
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -111,7 +111,7 @@
     core.metrics.store_call("watch-members");
     let watched = select! {
         batch = store.watch(NODE_PREFIX, after, WATCH_WAIT) => batch,
-        () = core.until_relieved() => return Ok(()),
+        () = core.until_watch_ends() => return Ok(()),
     };
     let batch = match watched {
         Err(StoreError::HistoryGone) => return list_members(core, store).await,
--- a/crates/node/src/distribution/mod.rs
+++ b/crates/node/src/distribution/mod.rs
@@ -15,6 +15,6 @@
 
 pub use config_history::ConfigHistory;
 pub use packed_config::{PackedConfig, UnpackError};
-pub use relay_selector::{RelaySelector, StoreContact, UpdateSource};
+pub use relay_selector::{RelaySelector, StoreReachability, UpdateSource};
 pub use store_access::{StoreAccess, StoreProbeDuty};
 pub use update_message::{ConfigUpdate, UpdateRequest, UpdateRequestError, UpdateResponse};
--- a/crates/node/src/distribution/relay_selector.rs
+++ b/crates/node/src/distribution/relay_selector.rs
@@ -27,7 +27,7 @@
 
 /// A node's contact with the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StoreContact {
+pub struct StoreReachability {
     /// Time since the store last answered it.
     pub age: Duration,
     /// Whether the store doesn't answer it now.
@@ -106,7 +106,12 @@
     /// whether this node should check its own. A node that is cut off from the store is
     /// passed over, unless this one is as well.
     #[must_use]
-    pub fn told(&mut self, now: Duration, peer_addr: SocketAddr, contact: StoreContact) -> bool {
+    pub fn record_contact(
+        &mut self,
+        now: Duration,
+        peer_addr: SocketAddr,
+        contact: StoreReachability,
+    ) -> bool {
         let cut_off = contact.lost || contact.age > STORE_STALE;
         self.asked_cut_off = cut_off;
         if !cut_off || self.is_cut_off(now) {
--- a/crates/node/src/distribution/store_access.rs
+++ b/crates/node/src/distribution/store_access.rs
@@ -61,7 +61,7 @@
 
     /// Lets the next look decide whether the store is there, as other nodes have lost
     /// it; returns whether that is news.
-    pub fn doubt(&mut self) -> bool {
+    pub fn recheck(&mut self) -> bool {
         if self.shut {
             return false;
         }
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -91,7 +91,7 @@
         if status == StatusCode::MISDIRECTED_REQUEST {
             if let Some(actual) = header_text(headers, &self.headers.instance) {
                 let now = self.inner.clock.now();
-                if let Some(ended) = self.tracker.borrow_mut().corrected(actual) {
+                if let Some(ended) = self.tracker.borrow_mut().identified_as(actual) {
                     self.broken.replaced(now, &ended, actual);
                 }
             }
--- a/crates/node/src/inbound/endpoint_tracker.rs
+++ b/crates/node/src/inbound/endpoint_tracker.rs
@@ -49,7 +49,7 @@
 /// the time at which they began, or by their first appearance where that isn't told;
 /// ended starts stay ended. The backend server itself has the last word: it refuses
 /// requests that expect another start and names the one that it is
-/// ([`EndpointTracker::corrected`]).
+/// ([`EndpointTracker::identified_as`]).
 #[derive(Debug, Default)]
 pub struct EndpointTracker {
     current: Option<LocalEndpoint>,
@@ -96,7 +96,7 @@
 
     /// Takes in that the backend server named itself `instance`, and returns the start that
     /// has ended without having said that it leaves.
-    pub fn corrected(&mut self, instance: &str) -> Option<EndpointStart> {
+    pub fn identified_as(&mut self, instance: &str) -> Option<EndpointStart> {
         self.retired
             .retain(|retired| retired.instance() != instance);
         let other = |current: &LocalEndpoint| current.report.start.instance() != instance;
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -172,12 +172,12 @@
 
     /// Whether the backend server has broken so many runs in a row that nothing but
     /// trials is sent to it.
-    pub fn is_broken(&self) -> bool {
+    pub fn is_breaker_open(&self) -> bool {
         self.breaker.borrow().is_open()
     }
 
     /// Returns the runs whose connection broke.
-    pub const fn broken(&self) -> &BrokenRuns {
+    pub const fn broken_runs(&self) -> &BrokenRuns {
         &self.broken
     }
 
@@ -270,7 +270,7 @@
                 .borrow_mut()
                 .observe(route_hash, bytes);
         }
-        let reservation = reservation.or_else(|| self.take_link(unscheduled?, bytes?));
+        let reservation = reservation.or_else(|| self.schedule_long_response(unscheduled?, bytes?));
         Ok(answer.map(|body| body.with_reservation(reservation)))
     }
 
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -49,7 +49,7 @@
     ///
     /// After a start nobody knows which answers are long. Sent all at once, the first
     /// ones fill the link for so long that the node seems dead to the others.
-    pub(super) fn take_link(
+    pub(super) fn schedule_long_response(
         &self,
         answer: UnscheduledAnswer,
         bytes: u64,
@@ -67,7 +67,7 @@
         Some(link.take(clock, answer.id, offer))
     }
 
-    /// Returns what [`InboundProxy::take_link`] needs, if another node sent the request.
+    /// Returns what [`InboundProxy::schedule_long_response`] needs, if another node sent the request.
     pub(super) fn unscheduled_answer(&self, request: &InboundRequest) -> Option<UnscheduledAnswer> {
         (request.origin == RequestOrigin::Node).then(|| UnscheduledAnswer {
             id: self.id_of(request),
--- a/crates/node/src/inbound/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -52,8 +52,8 @@
             ends_at: self.inner.clock.at(request.ends_at),
         };
         let now = self.inner.clock.now();
-        let verdict = self.inner.queue.borrow_mut().offer(now, offer);
-        let (key, latest) = match verdict {
+        let decision = self.inner.queue.borrow_mut().offer(now, offer);
+        let (key, latest) = match decision {
             AdmissionDecision::Run => return Ok(RunSlot::new(Rc::clone(&self.inner), route_hash)),
             AdmissionDecision::Busy => return refused(RefusalReason::Busy, RETRY_ELSEWHERE),
             AdmissionDecision::Refuse { retry_after } => {
--- a/crates/node/src/link/link_scheduler.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -56,8 +56,8 @@
         offer: LinkRequest,
     ) -> Result<LinkReservation, Duration> {
         let now = clock.now();
-        let verdict = self.schedule().offer(now, offer);
-        match verdict {
+        let decision = self.schedule().offer(now, offer);
+        match decision {
             LinkDecision::Promised(key) => {
                 self.load.borrow_mut().promised += 1;
                 let transfer = TransferRecord::new(request, now, offer);
--- a/crates/node/src/member/endpoint_start.rs
+++ b/crates/node/src/member/endpoint_start.rs
@@ -106,11 +106,12 @@
         }
     }
 
-    /// Whether this start had ended once `ended` had: it is that one, or an
+    /// Whether this start had ended once `request_ended` had: it is that one, or an
     /// earlier one under the same identifier.
-    pub fn ended_with(&self, ended: &Self) -> bool {
-        let order = self.order(ended);
-        self.instance == ended.instance && matches!(order, StartOrder::Same | StartOrder::Earlier)
+    pub fn ended_with(&self, request_ended: &Self) -> bool {
+        let order = self.order(request_ended);
+        self.instance == request_ended.instance
+            && matches!(order, StartOrder::Same | StartOrder::Earlier)
     }
 }
 
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -287,9 +287,9 @@
     }
 
     /// Notes that a request goes to `key`.
-    pub fn sent(&mut self, key: MemberKey) {
+    pub fn request_sent(&mut self, key: MemberKey) {
         if let Some(member) = self.get_mut(key) {
-            member.sent();
+            member.request_sent();
         }
     }
 
@@ -337,10 +337,10 @@
     }
 
     /// Notes that nothing more comes of a request; each
-    /// [`FleetView::sent`] needs one call of this.
-    pub fn ended(&mut self, key: MemberKey) {
+    /// [`FleetView::request_sent`] needs one call of this.
+    pub fn request_ended(&mut self, key: MemberKey) {
         if let Some(member) = self.get_mut(key) {
-            member.ended();
+            member.request_ended();
         }
     }
 
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -169,7 +169,12 @@
     /// While no member has told how long such runs take, as after a start, that is the
     /// target time: an assumed one would doubt every member that is slower, and send each
     /// request to two of them when all are cold.
-    pub fn patience(&self, now: Duration, key: MemberKey, query: &PickQuery<'_>) -> Duration {
+    pub fn silence_timeout(
+        &self,
+        now: Duration,
+        key: MemberKey,
+        query: &PickQuery<'_>,
+    ) -> Duration {
         let Some(pool) = self.services.get(query.service) else {
             return PATIENCE_MIN;
         };
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -249,11 +249,11 @@
         (told * kept + usual * (1.0 - kept) + since).max(own)
     }
 
-    pub(super) fn sent(&mut self) {
+    pub(super) fn request_sent(&mut self) {
         self.outstanding += 1;
     }
 
-    pub(super) fn ended(&mut self) {
+    pub(super) fn request_ended(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -31,15 +31,15 @@
         let (start, slots) = (report.start.clone(), report.slots);
         let (state, sequence) = (report.state, report.sequence);
         let before = self.inbound.tracker().borrow().unannounced_end();
-        let verdict = self.inbound.tracker().borrow_mut().report(now, report);
-        if verdict == ReportOutcome::Adopted {
+        let outcome = self.inbound.tracker().borrow_mut().report(now, report);
+        if outcome == ReportOutcome::Adopted {
             self.inbound.forget_connections();
             if let Some(ended) = before {
-                let broken = self.inbound.broken();
+                let broken = self.inbound.broken_runs();
                 broken.replaced(now, &ended, start.instance());
             }
         }
-        if matches!(verdict, ReportOutcome::Adopted | ReportOutcome::Changed) {
+        if matches!(outcome, ReportOutcome::Adopted | ReportOutcome::Changed) {
             self.inbound.set_slots(slots);
             self.announcement_outdated.set(true);
             self.announcement_changed.notify_one();
@@ -49,7 +49,7 @@
                 "slots" => slots,
                 "sequence" => sequence);
         }
-        verdict
+        outcome
     }
 
     /// Takes in the farewell of the backend server.
@@ -78,7 +78,7 @@
             while self.announcement_outdated.get() {
                 self.announced.notified().await;
             }
-            self.inbound.broken().until_late_told().await;
+            self.inbound.broken_runs().until_late_told().await;
         };
         let _written = timeout(ACK_WAIT, wait).await;
     }
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -182,14 +182,19 @@
     }
 
     /// Records that a member shows no sign of life.
-    pub fn record_silent(&self, request: &OutboundRequest, at: &MemberRecord, patience: Duration) {
+    pub fn record_silent(
+        &self,
+        request: &OutboundRequest,
+        at: &MemberRecord,
+        silence_timeout: Duration,
+    ) {
         self.metrics.try_failed("silent");
         if let Some(log) = self.log.for_request(self.clock.now(), "silent") {
             warn!(log, "member silent";
                 "request" => &*request.id,
                 "at" => %at.peer_addr,
                 "instance" => %at.start,
-                "patience_ms" => patience.as_millis() as u64);
+                "patience_ms" => silence_timeout.as_millis() as u64);
         }
     }
 
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -58,15 +58,15 @@
     }
 
     /// Checks the own contact with the store, as nodes that this one followed lost it.
-    pub fn doubt_store(&self) {
-        if self.store_access.borrow_mut().doubt() {
+    pub fn recheck_store(&self) {
+        if self.store_access.borrow_mut().recheck() {
             info!(self.log.logger(), "store doubted"; "cause" => "other nodes lost it");
             self.store_lost.notify_one();
         }
     }
 
     /// Takes in that the node at `peer_addr`, which had lost the store, reaches it again.
-    pub fn store_found(&self, peer_addr: SocketAddr) {
+    pub fn record_store_reached(&self, peer_addr: SocketAddr) {
         if self.store_access.borrow().is_open() {
             return;
         }
@@ -160,7 +160,7 @@
     }
 
     /// Waits until this node needn't watch the store.
-    pub async fn until_relieved(&self) {
+    pub async fn until_watch_ends(&self) {
         while self.watches_store() {
             let _looked = timeout(DUTY_LOOK, self.watch_duty_changed.notified()).await;
         }
--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -16,7 +16,7 @@
 impl InFlightGuard {
     /// Notes that a request goes to `key`.
     pub fn new(core: &Rc<NodeCore>, key: MemberKey) -> Self {
-        core.fleet.borrow_mut().sent(key);
+        core.fleet.borrow_mut().request_sent(key);
         Self {
             core: Rc::clone(core),
             key,
@@ -44,6 +44,6 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.core.fleet.borrow_mut().ended(self.key);
+        self.core.fleet.borrow_mut().request_ended(self.key);
     }
 }
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -106,12 +106,12 @@
     /// answer: it may be the only one to get one.
     async fn send_watched(self, next: NextTry, tries: &mut TryRecord<'_>) -> (NextTry, TryResult) {
         let sent_at = self.core.clock.now();
-        let patience = {
+        let silence_timeout = {
             let fleet = self.core.fleet.borrow();
-            fleet.patience(sent_at, next.key, &self.query(tries))
+            fleet.silence_timeout(sent_at, next.key, &self.query(tries))
         };
         let mut first = Box::pin(self.try_sender(&next).send(next.key, &next.record));
-        if let Ok(result) = timeout(patience, &mut first).await {
+        if let Ok(result) = timeout(silence_timeout, &mut first).await {
             drop(first);
             return (next, result);
         }
@@ -122,7 +122,7 @@
             fleet.record_try_outcome(now, next.key, TryOutcome::Silent);
             drop(fleet);
             self.core
-                .record_silent(self.request, &next.record, patience);
+                .record_silent(self.request, &next.record, silence_timeout);
         }
         let other = if silent && self.may_double(tries) {
             self.next_try(tries)
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -401,5 +401,5 @@
 fn a_member_of_unknown_pace_is_given_the_target_time() {
     let fleet = view(1, 1);
     let key = fleet.key_of(peer_addr(1)).expect("it is announced");
-    assert!(fleet.patience(at(10), key, &QUERY) >= QUERY.target);
+    assert!(fleet.silence_timeout(at(10), key, &QUERY) >= QUERY.target);
 }
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -230,10 +230,10 @@
     fn end_runs(&mut self, now: Duration) {
         for receiver in 0..DOORS {
             let running = std::mem::take(&mut self.receivers[receiver].running);
-            let (ended, running): (Vec<_>, Vec<_>) =
+            let (request_ended, running): (Vec<_>, Vec<_>) =
                 running.into_iter().partition(|run| run.ends_at <= now);
             self.receivers[receiver].running = running;
-            for run in ended {
+            for run in request_ended {
                 self.result.in_time += u32::from(now <= run.request.target_at);
                 let took = now.saturating_sub(run.began);
                 let granted = self.receivers[receiver]
@@ -246,7 +246,7 @@
                     run.request.key,
                     TryOutcome::Answered { failed: false },
                 );
-                view.ended(run.request.key);
+                view.request_ended(run.request.key);
                 for key in granted {
                     let (request, _) = self.receivers[receiver]
                         .waiting
@@ -270,7 +270,7 @@
         for key in late {
             receiver.queue.expire(key);
             let (request, _) = receiver.waiting.remove(&key).expect("it waited");
-            self.senders[request.sender].ended(request.key);
+            self.senders[request.sender].request_ended(request.key);
             self.result.refused += 1;
         }
     }
@@ -325,7 +325,7 @@
                 tried.push(key);
                 continue;
             }
-            self.senders[sender].sent(key);
+            self.senders[sender].request_sent(key);
             match self.offer(now, request, may_wait) {
                 AdmissionDecision::Run => return self.begin(now, request),
                 AdmissionDecision::Wait { key, latest } => {
@@ -342,7 +342,7 @@
                     tried.push(key);
                 }
             }
-            self.senders[sender].ended(key);
+            self.senders[sender].request_ended(key);
             self.observe(now, request);
         }
         self.result.refused += 1;
--- a/crates/node/tests/all/guide.rs
+++ b/crates/node/tests/all/guide.rs
@@ -1,15 +1,15 @@
 //! Which node watches the store for whom.
 
 use geranium_node::{
-    distribution::{RelaySelector, StoreContact, UpdateSource},
+    distribution::{RelaySelector, StoreReachability, UpdateSource},
     member::MemberRecord,
 };
 
 use crate::support::{at, peer_addr, record};
 
-fn contact(age_ms: u64, lost: bool) -> StoreContact {
+fn contact(age_ms: u64, lost: bool) -> StoreReachability {
     let age = at(age_ms);
-    StoreContact { age, lost }
+    StoreReachability { age, lost }
 }
 
 #[test]
@@ -56,14 +56,14 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut relay_selector = RelaySelector::new(peer_addr(3));
     relay_selector.store_answered(at(10_000));
-    assert!(!relay_selector.told(at(10_100), peer_addr(1), contact(6_000, false)));
+    assert!(!relay_selector.record_contact(at(10_100), peer_addr(1), contact(6_000, false)));
     assert_eq!(
         relay_selector.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
     );
     let mut away = RelaySelector::new(peer_addr(3));
     away.store_answered(at(1_000));
-    assert!(!away.told(at(10_100), peer_addr(1), contact(6_000, false)));
+    assert!(!away.record_contact(at(10_100), peer_addr(1), contact(6_000, false)));
     assert_eq!(
         away.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(1))
@@ -107,7 +107,7 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut follower = RelaySelector::new(peer_addr(3));
     follower.store_answered(at(10_000));
-    assert!(!follower.told(at(10_100), peer_addr(1), contact(200, true)));
+    assert!(!follower.record_contact(at(10_100), peer_addr(1), contact(200, true)));
     assert_eq!(
         follower.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
@@ -131,8 +131,8 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut relay_selector = RelaySelector::new(peer_addr(5));
     relay_selector.store_answered(at(10_000));
-    assert!(!relay_selector.told(at(10_100), peer_addr(1), contact(200, true)));
-    assert!(relay_selector.told(at(10_200), peer_addr(2), contact(200, true)));
+    assert!(!relay_selector.record_contact(at(10_100), peer_addr(1), contact(200, true)));
+    assert!(relay_selector.record_contact(at(10_200), peer_addr(2), contact(200, true)));
     assert_eq!(
         relay_selector.choose(at(10_300), &order),
         UpdateSource::Node(peer_addr(3))
--- a/crates/node/tests/all/link.rs
+++ b/crates/node/tests/all/link.rs
@@ -22,15 +22,15 @@
     }
 }
 
-fn promised(verdict: LinkDecision) -> TransferKey {
-    match verdict {
+fn promised(decision: LinkDecision) -> TransferKey {
+    match decision {
         LinkDecision::Promised(key) => key,
         LinkDecision::Refused { retry_after } => panic!("refused for {retry_after:?}"),
     }
 }
 
-fn is_refused(verdict: LinkDecision) -> bool {
-    matches!(verdict, LinkDecision::Refused { .. })
+fn is_refused(decision: LinkDecision) -> bool {
+    matches!(decision, LinkDecision::Refused { .. })
 }
 
 /// Guards against promising more long answers than the link can deliver in time.
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -142,11 +142,11 @@
 
     fn arrive(&mut self, now: Duration) {
         if self.rng.random::<f64>() < self.per_second * STEP.as_secs_f64() {
-            let patience = Duration::from_millis(self.rng.random_range(PATIENCE));
+            let silence_timeout = Duration::from_millis(self.rng.random_range(PATIENCE));
             self.callers.push(Caller {
                 fingerprint: self.rng.random(),
                 first_attempt_at: now,
-                end: now + patience,
+                end: now + silence_timeout,
                 attempts: 0,
                 asks_at: now,
             });
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -159,7 +159,7 @@
             useful_until: now + TARGET,
             ends_at: now + TARGET * 4,
         };
-        let verdict = self.links[link].offer(now, offer);
+        let decision = self.links[link].offer(now, offer);
         let report = LoadReport {
             running: 1,
             waiting: 0,
@@ -169,7 +169,7 @@
         };
         let fleet = &mut self.senders[sender];
         fleet.record_load(now, key, LONG.route_hash, report);
-        match verdict {
+        match decision {
             LinkDecision::Promised(load) => {
                 fleet.record_try_outcome(now, key, TryOutcome::Answered { failed: false });
                 self.files[link].push(File {
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    distribution::{RelaySelector, StoreAccess, StoreContact, StoreProbeDuty, UpdateSource},
+    distribution::{RelaySelector, StoreAccess, StoreProbeDuty, StoreReachability, UpdateSource},
     member::MemberRecord,
 };
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
@@ -16,7 +16,7 @@
 
 /// One node of a data centre while the store is away.
 struct Node {
-    guide: RelaySelector,
+    relay_selector: RelaySelector,
     access: StoreAccess,
     renewal_at: Duration,
     /// When its pause began, and how much of it is drawn.
@@ -26,11 +26,11 @@
 
 impl Node {
     fn new(number: u8, rng: &mut impl Rng) -> Self {
-        let mut guide = RelaySelector::new(peer_addr(number));
+        let mut relay_selector = RelaySelector::new(peer_addr(number));
         let seen = RENEWAL.mul_f64(rng.random());
-        guide.store_answered(at(10_000).saturating_sub(seen));
+        relay_selector.store_answered(at(10_000).saturating_sub(seen));
         Self {
-            guide,
+            relay_selector,
             access: StoreAccess::default(),
             renewal_at: at(10_000) + RENEWAL.saturating_sub(seen),
             pause: (Duration::ZERO, 0.0),
@@ -54,7 +54,7 @@
         let (since, share) = self.pause;
         if now >= since + self.access.pause(duty, share) {
             self.fail(now, rng);
-            self.guide.store_lost();
+            self.relay_selector.store_lost();
         }
     }
 }
@@ -68,23 +68,26 @@
     let mut now = at(10_000);
     while now < at(10_000) + OUTAGE {
         for own in 0..fleet.len() {
-            let choice = fleet[own].guide.choose(now, &order);
+            let choice = fleet[own].relay_selector.choose(now, &order);
             if let UpdateSource::Node(peer_addr) = choice {
-                let guide = order
+                let relay_selector = order
                     .iter()
                     .position(|record| record.peer_addr == peer_addr);
-                let guide = &mut fleet[guide.expect("it is one of them")].guide;
-                guide.asked(now);
-                let contact = StoreContact {
-                    age: guide.store_age(now),
-                    lost: guide.has_lost_store(),
+                let relay_selector =
+                    &mut fleet[relay_selector.expect("it is one of them")].relay_selector;
+                relay_selector.asked(now);
+                let contact = StoreReachability {
+                    age: relay_selector.store_age(now),
+                    lost: relay_selector.has_lost_store(),
                 };
-                let doubted = fleet[own].guide.told(now, peer_addr, contact);
-                if doubted && fleet[own].access.doubt() {
+                let doubted = fleet[own]
+                    .relay_selector
+                    .record_contact(now, peer_addr, contact);
+                if doubted && fleet[own].access.recheck() {
                     fleet[own].pause = (now, rng.random());
                 }
             }
-            let own_duty = choice == UpdateSource::Store || fleet[own].guide.is_asked(now);
+            let own_duty = choice == UpdateSource::Store || fleet[own].relay_selector.is_asked(now);
             let duty = if own_duty {
                 StoreProbeDuty::Own
             } else {
--- a/crates/node/tests/all/queue.rs
+++ b/crates/node/tests/all/queue.rs
@@ -32,8 +32,8 @@
     queue
 }
 
-fn waits(verdict: AdmissionDecision) -> QueueKey {
-    match verdict {
+fn waits(decision: AdmissionDecision) -> QueueKey {
+    match decision {
         AdmissionDecision::Wait { key, .. } => key,
         other => panic!("it doesn't wait: {other:?}"),
     }
@@ -66,9 +66,9 @@
     let mut queue = trained(1);
     queue.offer(at(0), offer(1, 1, 350));
     waits(queue.offer(at(0), offer(1, 1, 350)));
-    let verdict = queue.offer(at(0), offer(1, 1, 350));
-    let AdmissionDecision::Refuse { retry_after } = verdict else {
-        panic!("it isn't refused: {verdict:?}");
+    let decision = queue.offer(at(0), offer(1, 1, 350));
+    let AdmissionDecision::Refuse { retry_after } = decision else {
+        panic!("it isn't refused: {decision:?}");
     };
     assert!(retry_after > Duration::ZERO && retry_after <= at(300));
 }
@@ -159,8 +159,8 @@
     let mut now = 0;
     let mut refused_at_once = false;
     for _ in 0..20 {
-        let verdict = queue.offer(at(now), offer(1, 1, now + 400));
-        let AdmissionDecision::Wait { key, latest } = verdict else {
+        let decision = queue.offer(at(now), offer(1, 1, now + 400));
+        let AdmissionDecision::Wait { key, latest } = decision else {
             refused_at_once = true;
             break;
         };
