--- a/crates/node/src/crash/mod.rs
+++ b/crates/node/src/crash/mod.rs
@@ -1,13 +1,13 @@
 //! Requests that crash the backend servers which run them.
 //!
 //! Callers send such a request again, and each resend takes down one more backend server
-//! of the service. A door whose connections broke ([`BrokenRuns`]) probes whether the
+//! of the service. An inbound proxy whose connections broke ([`BrokenRuns`]) probes whether the
 //! backend server lives ([`watch_crashes`]). If it doesn't, or another start takes its place
 //! soon, each request that was running gets a [`CrashRecord`]. The nodes beside the other
 //! backend servers of the service are told of it ([`CrashHandler`]) before whoever sent the
 //! request is answered; all others hear of it by way of the store ([`CrashHistory`]).
 //! [`PoisonRegistry`] counts the rows of each [`request_fingerprint`] and says from which count
-//! on a request is refused. Nodes refuse it to their callers, and doors to other nodes.
+//! on a request is refused. Nodes refuse it to their callers, and inbound proxies to other nodes.
 //!
 //! Innocent requests that ran beside share the row of a crash. They run again one at a time
 //! on each backend server, so that few of them share a second one, and are told apart by
--- a/crates/node/src/delegation/delegated_call.rs
+++ b/crates/node/src/delegation/delegated_call.rs
@@ -44,7 +44,7 @@
     },
 }
 
-/// What became of an errand.
+/// What became of a delegated call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DelegatedOutcome {
@@ -77,7 +77,7 @@
 }
 
 impl DelegatedCall {
-    /// Makes the errand of a write; none when its value is no text.
+    /// Makes the delegated call of a write; none when its value is no text.
     pub fn of_write(write: &StoreWrite<'_>) -> Option<Self> {
         let value = match write.change {
             StoreChange::Put { value, lease } => {
--- a/crates/node/src/delegation/delegated_call_handler.rs
+++ b/crates/node/src/delegation/delegated_call_handler.rs
@@ -1,4 +1,4 @@
-//! Takes errands of other nodes.
+//! Takes delegated calls of other nodes.
 
 use std::rc::Rc;
 
@@ -13,12 +13,12 @@
     response_body::{ResponseBody, empty_response, json_response},
 };
 
-/// Path at which a node takes errands of others.
+/// Path at which a node takes delegated calls of others.
 pub const DELEGATED_CALL_PATH: &str = "/.geranium/errand";
-/// Longest errand: an announcement is some 300 bytes.
+/// Longest delegated call: an announcement is some 300 bytes.
 const BODY_MAX: usize = 16 * 1024;
 
-/// Takes errands of other nodes.
+/// Takes delegated calls of other nodes.
 #[derive(Debug, Clone)]
 pub struct DelegatedCallHandler {
     core: Rc<NodeCore>,
@@ -30,7 +30,7 @@
         Self { core }
     }
 
-    /// Answers an errand with what became of it.
+    /// Answers a delegated call with what became of it.
     pub async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Limited::new(request.into_body(), BODY_MAX).collect().await;
         let call = body
--- a/crates/node/src/delegation/delegated_call_queue.rs
+++ b/crates/node/src/delegation/delegated_call_queue.rs
@@ -1,4 +1,4 @@
-//! Errands that wait to be run.
+//! Delegated calls that wait to be run.
 
 use std::{cell::RefCell, collections::VecDeque, rc::Rc, time::Duration};
 
@@ -8,10 +8,10 @@
 use super::{DelegatedCall, DelegatedOutcome};
 use crate::{node_core::NodeCore, store::MetaStore};
 
-/// Errands that may wait. Nodes that have lost the store send one in two seconds
+/// Delegated calls that may wait. Nodes that have lost the store send one in two seconds
 /// each; a call takes milliseconds.
 const WAITING_MAX: usize = 64;
-/// Time since the store's last answer after which an errand that failed is taken
+/// Time since the store's last answer after which a delegated call that failed is taken
 /// for a sign that this node has lost the store too.
 const ANSWER_RECENT: Duration = Duration::from_millis(500);
 
@@ -21,7 +21,7 @@
     done: oneshot::Sender<DelegatedOutcome>,
 }
 
-/// Errands that wait to be run.
+/// Delegated calls that wait to be run.
 #[derive(Debug, Default)]
 pub struct DelegatedCallQueue {
     waiting: RefCell<VecDeque<WaitingCall>>,
@@ -29,7 +29,7 @@
 }
 
 impl DelegatedCallQueue {
-    /// Takes an errand in; nothing when too many wait.
+    /// Takes a delegated call in; nothing when too many wait.
     pub fn submit(&self, call: DelegatedCall) -> Option<oneshot::Receiver<DelegatedOutcome>> {
         let mut waiting = self.waiting.borrow_mut();
         if waiting.len() >= WAITING_MAX {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Runs the errands of other nodes until this one ends.
+/// Runs the delegated calls of other nodes until this one ends.
 pub async fn run_delegated_calls(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
         while let Some(WaitingCall { call, done }) = core.delegated_calls.take() {
--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -14,12 +14,12 @@
     transport::{CallError, NodeCall},
 };
 
-/// Longest time for an errand: the store's call takes one at most.
+/// Longest time for a delegated call: the store's call takes one at most.
 const DELEGATED_CALL_TIME: Duration = Duration::from_millis(1_300);
 /// Nodes asked in one round.
 const ASKED_MAX: usize = 2;
 
-/// Failure of an errand.
+/// Failure of a delegated call.
 #[derive(Debug, Snafu)]
 enum DelegationError {
     /// The node can't be asked.
@@ -28,7 +28,7 @@
         /// What was met.
         source: CallError,
     },
-    /// The errand or its outcome can't be written as text, or read.
+    /// The delegated call or its outcome can't be written as text, or read.
     #[snafu(display("{source}"), context(false))]
     Text {
         /// What was met.
@@ -42,7 +42,7 @@
 pub struct DelegatingStore<S> {
     core: Rc<NodeCore>,
     store: Rc<S>,
-    /// Node that made the last errand.
+    /// Node that made the last delegated call.
     helper: Cell<Option<SocketAddr>>,
 }
 
@@ -146,7 +146,7 @@
         done
     }
 
-    /// Sends an errand to a few nodes in turn, first to the one that made the last.
+    /// Sends a delegated call to a few nodes in turn, first to the one that made the last.
     async fn send(&self, delegated_call: &DelegatedCall) -> Result<DelegatedOutcome, StoreError> {
         for peer_addr in self.helpers() {
             match self.ask(peer_addr, delegated_call).await {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Returns the error that an outcome is which doesn't answer its errand.
+/// Returns the error that an outcome is which doesn't answer its delegated call.
 fn unexpected(outcome: DelegatedOutcome) -> StoreError {
     match outcome {
         DelegatedOutcome::NoLease => StoreError::NoLease,
--- a/crates/node/src/discovery/fleet_follower.rs
+++ b/crates/node/src/discovery/fleet_follower.rs
@@ -15,8 +15,8 @@
     transport::{CallError, NodeCall},
 };
 
-/// Longest time that a question waits for news. Within it the guide tells how
-/// old its contact with the store is, so a guide that is cut off is passed
+/// Longest time that a question waits for news. Within it the relay tells how
+/// old its contact with the store is, so a relay that is cut off is passed
 /// over a second or two after that shows.
 const FOLLOW_WAIT: Duration = Duration::from_secs(2);
 /// Longest wait of a question of a node that has no configuration yet: its callers are
@@ -28,7 +28,7 @@
 const FOLLOW_PAUSE: Duration = Duration::from_millis(100);
 /// Time between looks while this node watches the store itself.
 const IDLE_LOOK: Duration = Duration::from_millis(500);
-/// Time left to the guide to bring the news itself.
+/// Time left to the relay to bring the news itself.
 const GUIDE_FIRST: Duration = Duration::from_millis(700);
 
 /// Failure of a question.
@@ -48,12 +48,12 @@
     },
 }
 
-/// Asks the guide for news, again and again, while there is one.
+/// Asks the relay for news, again and again, while there is one.
 ///
-/// A guide that dies, hangs or is cut off from the store shows as a question that fails,
+/// A relay that dies, hangs or is cut off from the store shows as a question that fails,
 /// or as news that are old. It is passed over for some seconds; the next one is asked,
-/// and with none left the store itself. A guide that the store turns away says so at
-/// once, so that a change is in force in time also where every guide is turned away in
+/// and with none left the store itself. A relay that the store turns away says so at
+/// once, so that a change is in force in time also where every relay is turned away in
 /// the same moment.
 pub async fn follow_relay(core: Rc<NodeCore>) {
     let mut lost: Option<SocketAddr> = None;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Asks a guide once, and returns whether it has lost the store.
+/// Asks a relay once, and returns whether it has lost the store.
 async fn follow(core: &NodeCore, peer_addr: SocketAddr, lost_known: bool) -> bool {
     let wait = if core.version().0 == 0 {
         FIRST_WAIT
@@ -118,10 +118,10 @@
 
 /// Asks nodes that are ahead for a newer configuration.
 ///
-/// When the guide hangs, or the store turns this node away while it has no guide, the
+/// When the relay hangs, or the store turns this node away while it has no relay, the
 /// rest of the fleet follows a change and this node's callers are served by an older
 /// configuration. Nodes name the version that they hold with every request and answer.
-/// When a later one is heard and the guide doesn't bring it soon, that node is asked.
+/// When a later one is heard and the relay doesn't bring it soon, that node is asked.
 pub async fn catch_up(core: Rc<NodeCore>) {
     loop {
         core.newer_config_known.notified().await;
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -26,7 +26,7 @@
 /// for good is noticed after this and a second at most.
 const WATCH_WAIT: Duration = Duration::from_secs(6);
 /// Pause after a change, in which further ones gather: each watch costs a
-/// call, and until the news is here the doors refuse what comes too late.
+/// call, and until the news is here the inbound proxies refuse what comes too late.
 const GATHER: Duration = Duration::from_millis(250);
 /// Time between lists while a new fleet announces itself: heartbeats come each
 /// second and a half.
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -39,7 +39,7 @@
 /// Waits until the next look is due; false when the store is back meanwhile.
 ///
 /// The pause is chosen anew whenever the node's duty changes: a follower that loses its
-/// guide must look by itself soon.
+/// relay must look by itself soon.
 async fn until_look_due(core: &NodeCore) -> bool {
     let since = Instant::now();
     let share: f64 = rand::rng().random();
--- a/crates/node/src/distribution/relay_selector.rs
+++ b/crates/node/src/distribution/relay_selector.rs
@@ -8,7 +8,7 @@
 /// from it. Announcements are renewed every two seconds, and a call may take
 /// one.
 const STORE_STALE: Duration = Duration::from_millis(3_500);
-/// Time for which a node that failed as a guide isn't asked again.
+/// Time for which a node that failed as a relay isn't asked again.
 const RELAY_OUT: Duration = Duration::from_secs(5);
 /// Nodes that say they have lost the store from which on it is taken to be away for all.
 const LOST_FOR_ALL: usize = 2;
@@ -40,7 +40,7 @@
 /// if each node watched, the calls would grow with the fleet. All nodes of a data centre
 /// order its members alike, those with the best links first, and ask the first that
 /// doesn't fail them. No election is needed: a node that is asked watches the store,
-/// whatever its own view of the order. A guide that the store turns away tells so at
+/// whatever its own view of the order. A relay that the store turns away tells so at
 /// once, and how old its news are, and is passed over by whoever has heard of the store
 /// since.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
 }
 
 impl RelaySelector {
-    /// Makes the guide of the node at `own`.
+    /// Makes the relay selector of the node at `own`.
     pub fn new(own: SocketAddr) -> Self {
         Self {
             own,
--- a/crates/node/src/inbound/class_books.rs
+++ b/crates/node/src/inbound/class_books.rs
@@ -1,4 +1,4 @@
-//! What is known of each class of requests at one door.
+//! What is known of each class of requests at one inbound proxy.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// What is known of each class of requests at one door: how long they run and what share
+/// What is known of each class of requests at one inbound proxy: how long they run and what share
 /// of them is served.
 ///
 /// When two classes of one rank share a full backend server, an order by target times
--- a/crates/node/src/inbound/endpoint_breaker.rs
+++ b/crates/node/src/inbound/endpoint_breaker.rs
@@ -15,7 +15,7 @@
 /// A backend server that resets or spoils each run at once holds nothing and fills no
 /// link. It looks like the member with the most room and draws what all others refuse,
 /// and each caller hears only that its request may have run. After some breaks in a row
-/// nothing is sent to it, so that callers hear that their request has not run, and fronts
+/// nothing is sent to it, so that callers hear that their request has not run, and outbound proxies
 /// go elsewhere. One trial each pause, which doubles, finds out whether it has recovered;
 /// any answer closes the breaker.
 #[derive(Debug, Default)]
--- a/crates/node/src/inbound/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -1,4 +1,4 @@
-//! Opening the door after a restart of the node alone.
+//! Opening the inbound proxy after a restart of the node alone.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,11 +12,11 @@
 /// health check.
 const CONFIG_LOOK: Duration = Duration::from_millis(500);
 
-/// Opens the door to a backend server that was announced before this process began, once
+/// Opens the inbound proxy to a backend server that was announced before this process began, once
 /// it confirms that it lives.
 ///
 /// When node processes are killed and restarted while their backend servers live on,
-/// doors would stay shut until the next heartbeat. The announcement in the store says
+/// inbound proxies would stay shut until the next heartbeat. The announcement in the store says
 /// which start was ready, and the backend server's health check that it still is that
 /// start and isn't leaving. One alone isn't believed: the announcement may be old, and
 /// health checks may be wrong.
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -1,4 +1,4 @@
-//! The path of a request from the door to the backend server and back.
+//! The path of a request from the inbound proxy to the backend server and back.
 
 use std::{
     cell::{Cell, RefCell},
@@ -46,7 +46,7 @@
 /// Advice after a refusal that isn't about load: another node is asked at once.
 pub(super) const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
 
-/// Settings of a door.
+/// Settings of an inbound proxy.
 #[derive(Debug, Clone)]
 pub struct InboundSettings {
     /// Address of the backend server.
@@ -58,7 +58,7 @@
     pub leaving_grace: Duration,
 }
 
-/// Failure at the door.
+/// Failure at the inbound proxy.
 #[derive(Debug, Snafu)]
 pub enum InboundError {
     /// The request certainly didn't run.
@@ -77,7 +77,7 @@
     },
 }
 
-/// State of the door.
+/// State of the inbound proxy.
 #[derive(Debug)]
 pub(super) struct InboundState {
     pub(super) endpoints: ConnectionPool,
@@ -126,7 +126,7 @@
 }
 
 impl InboundProxy {
-    /// Makes a door that is shut until the backend server reports.
+    /// Makes an inbound proxy that is shut until the backend server reports.
     pub fn new(
         settings: InboundSettings,
         headers: HeaderNames,
--- a/crates/node/src/inbound/inbound_refusal.rs
+++ b/crates/node/src/inbound/inbound_refusal.rs
@@ -4,7 +4,7 @@
 
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// Why the door refused.
+/// Why the inbound proxy refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RefusalReason {
--- a/crates/node/src/inbound/inbound_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -1,4 +1,4 @@
-//! Requests at the door.
+//! Requests at the inbound proxy.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -1,4 +1,4 @@
-//! The link's part in what the door admits.
+//! The link's part in what the inbound proxy admits.
 
 use std::time::Duration;
 
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -56,7 +56,7 @@
     ///
     /// An open one on this node's instance is always compared: its answer uses no link.
     ///
-    /// Long answers are dear to carry between data centres. The door at home knows best
+    /// Long answers are dear to carry between data centres. The inbound proxy at home knows best
     /// whether an answer of it would be in time, and refuses at once when it wouldn't, so
     /// it is asked first, unless it has refused a moment ago.
     pub fn pick_in_data_centre(
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -66,7 +66,7 @@
     pub config: RefCell<Option<Rc<MeshConfig>>>,
     /// Members.
     pub fleet: RefCell<FleetView>,
-    /// Door of the own backend server.
+    /// Inbound proxy of the own backend server.
     pub inbound: InboundProxy,
     /// Crashes of backend servers.
     pub crashes: Rc<RefCell<CrashHistory>>,
@@ -80,7 +80,7 @@
     pub log: EventLog,
     /// Metrics.
     pub metrics: NodeMetrics,
-    /// Wakes the announcer after the door's state changed.
+    /// Wakes the announcer after the inbound proxy's state changed.
     pub announcement_changed: Notify,
     /// Own announcement as an earlier process left it.
     pub own_record: RefCell<Option<MemberRecord>>,
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -59,7 +59,7 @@
                 .borrow_mut()
                 .observe(request.route.route_hash, bytes);
         }
-        // The door here counts what it answered itself.
+        // The inbound proxy here counts what it answered itself.
         let away = at.is_some_and(|at| at.peer_addr != self.settings.peer_addr);
         if away && answer.status().is_success() {
             self.crashes.borrow_mut().completed(request.fingerprint);
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Records that a door refused a try.
+    /// Records that an inbound proxy refused a try.
     pub fn record_refusal(
         &self,
         request: &OutboundRequest,
--- a/crates/node/src/node_metrics.rs
+++ b/crates/node/src/node_metrics.rs
@@ -151,7 +151,7 @@
         self.members.record(count as u64, &[]);
     }
 
-    /// Shows a figure of the door's queue.
+    /// Shows a figure of the inbound proxy's queue.
     pub fn queue(&self, figure: &'static str, value: u32) {
         let labels = [KeyValue::new("figure", figure)];
         self.queue.record(value.into(), &labels);
--- a/crates/node/src/outbound/mod.rs
+++ b/crates/node/src/outbound/mod.rs
@@ -1,6 +1,6 @@
 //! Requests of callers on this machine, from arrival to answer.
 //!
-//! [`OutboundProxy`] reads a request, finds its route, sends it to the door of a
+//! [`OutboundProxy`] reads a request, finds its route, sends it to the inbound proxy of a
 //! picked backend server and decides what to do when that fails. What it
 //! decides by is in the modules without I/O: routes in
 //! [`config`](crate::config), the choice in [`member`](crate::member), further
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -232,7 +232,7 @@
         }
         let rng = &mut rand::rng();
         let home = fleet.pick_in_data_centre(now, &query, rng);
-        // A suspect has to wait for its turn at any door.
+        // A suspect has to wait for its turn at any inbound proxy.
         let suspect = self
             .core
             .crashes
--- a/crates/node/src/outbound/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -14,7 +14,7 @@
     result_code::ResultCode,
 };
 
-/// Members asked for one request, refusals of doors included. A third that is
+/// Members asked for one request, refusals of inbound proxies included. A third that is
 /// full says that the service is.
 pub(super) const TRIES_MAX: usize = 3;
 /// Members probed for a free slot before one is waited for. Each costs both nodes a call.
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -45,7 +45,7 @@
 /// How a try ended: with the backend server's answer, good or not, or without.
 pub type TryResult = Result<Box<Response<ResponseBody>>, TryFailure>;
 
-/// Sends requests to doors, the own one or those of other nodes.
+/// Sends requests to inbound proxies, the own one or those of other nodes.
 #[derive(Debug, Clone, Copy)]
 pub struct TrySender<'a> {
     /// Node.
@@ -57,7 +57,7 @@
 }
 
 impl TrySender<'_> {
-    /// Sends the request to the door of `key`.
+    /// Sends the request to the inbound proxy of `key`.
     ///
     /// # Errors
     ///
