--- a/crates/node/src/distribution/store_access.rs
+++ b/crates/node/src/distribution/store_access.rs
@@ -22,7 +22,7 @@
     Alone,
     /// Another node, which has lost the store as well and tells this one when it is
     /// back.
-    Told,
+    ByRelay,
 }
 
 /// Whether the store is called, for all parts of a node that do.
@@ -89,7 +89,7 @@
     /// assert!(!access.is_open());
     /// assert!(access.pause(StoreProbeDuty::Own, 1.0) <= Duration::from_millis(100));
     /// assert!(!access.failed());
-    /// let told = access.pause(StoreProbeDuty::Told, 0.0);
+    /// let told = access.pause(StoreProbeDuty::ByRelay, 0.0);
     /// assert!(told > access.pause(StoreProbeDuty::Own, 1.0));
     /// ```
     pub fn pause(&self, duty: StoreProbeDuty, share: f64) -> Duration {
@@ -98,8 +98,8 @@
         let pause = match duty {
             StoreProbeDuty::Own => pause.min(PAUSE_MAX),
             StoreProbeDuty::Alone => pause.min(PAUSE_ALONE),
-            StoreProbeDuty::Told if doublings > 0 => PAUSE_TOLD,
-            StoreProbeDuty::Told => pause,
+            StoreProbeDuty::ByRelay if doublings > 0 => PAUSE_TOLD,
+            StoreProbeDuty::ByRelay => pause,
         };
         pause.mul_f64(0.5 + 0.5 * share)
     }
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -153,7 +153,7 @@
         if self.watches_store() || !self.knows_local_members() {
             StoreProbeDuty::Own
         } else if self.relay_selector.borrow().is_relay_cut_off() {
-            StoreProbeDuty::Told
+            StoreProbeDuty::ByRelay
         } else {
             StoreProbeDuty::Alone
         }
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -91,7 +91,7 @@
             let duty = if own_duty {
                 StoreProbeDuty::Own
             } else {
-                StoreProbeDuty::Told
+                StoreProbeDuty::ByRelay
             };
             fleet[own].step(now, duty, &mut rng);
         }
--- a/crates/rig/src/rig_node.rs
+++ b/crates/rig/src/rig_node.rs
@@ -72,7 +72,7 @@
 pub struct RigNode {
     machine: Machine,
     /// Link by which other nodes reach it.
-    pub hop_link: LinkProxy,
+    pub peer_link: LinkProxy,
     /// Link by which it reaches the backend server.
     pub endpoint_link: LinkProxy,
     /// Link by which it reaches the store.
@@ -90,7 +90,7 @@
 impl RigNode {
     /// Returns the key of its announcement in the store.
     pub fn announcement_key(&self) -> AnnouncementKey {
-        AnnouncementKey::new(&self.machine.data_centre, self.hop_link.addr())
+        AnnouncementKey::new(&self.machine.data_centre, self.peer_link.addr())
     }
 
     /// Starts backend server, links and node.
@@ -102,7 +102,7 @@
         let addrs = MachineAddrs::free();
         let links = [HOP_LINK_PORT, ENDPOINT_LINK_PORT, STORE_LINK_PORT];
         let [peer_addr, endpoint, store] = links.map(|port| addrs.other(port));
-        let hop_link = LinkProxy::open(peer_addr, addrs.peer_addr)?;
+        let peer_link = LinkProxy::open(peer_addr, addrs.peer_addr)?;
         let endpoint_link = LinkProxy::open(endpoint, addrs.endpoint)?;
         let store_link = LinkProxy::open(store, plan.store)?;
         let machine = Machine {
@@ -118,7 +118,7 @@
         let mut node = Self {
             endpoint: Arc::new(RigEndpoint::start(machine.clone())),
             machine,
-            hop_link,
+            peer_link,
             endpoint_link,
             store_link,
             process: None,
@@ -161,7 +161,7 @@
             .context(FileSnafu { path: settings })?;
         self.machine.first_start = false;
         let mut command = Command::new(&self.program);
-        let peer_addr = self.hop_link.addr();
+        let peer_addr = self.peer_link.addr();
         command
             .args(["--announce-hop", &peer_addr.to_string()])
             .args([
--- a/crates/rig/src/soak/fault_actor.rs
+++ b/crates/rig/src/soak/fault_actor.rs
@@ -262,7 +262,7 @@
     let link: fn(&RigNode) -> &LinkProxy = match kind {
         FaultKind::EndpointReset | FaultKind::EndpointMute => |node| &node.endpoint_link,
         FaultKind::StoreCut | FaultKind::StoreMute => |node| &node.store_link,
-        _ => |node| &node.hop_link,
+        _ => |node| &node.peer_link,
     };
     let fault = match kind {
         FaultKind::HopDelay => LinkFault::Delay(LINK_DELAY),
