--- a/crates/node/src/operators/operators_port.rs
+++ b/crates/node/src/admin/admin_handler.rs
@@ -9,9 +9,9 @@
 
 use super::NodeStatus;
 use crate::{
-    answer_body::{AnswerBody, json_answer},
     member::MemberRecord,
     node_core::NodeCore,
+    response_body::{ResponseBody, json_response},
 };
 
 /// Path of the metrics, in the Prometheus text format.
@@ -24,18 +24,18 @@
 
 /// Shows metrics and state to operators' programs.
 #[derive(Debug, Clone)]
-pub struct OperatorsPort {
+pub struct AdminHandler {
     core: Rc<NodeCore>,
 }
 
-impl OperatorsPort {
+impl AdminHandler {
     /// Makes the port of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
     /// Answers a request.
-    pub fn answer(&self, request: &Request<Incoming>) -> Response<AnswerBody> {
+    pub fn answer(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             METRICS_PATH => self.metrics(),
             STATUS_PATH => self.status(),
@@ -44,8 +44,8 @@
         }
     }
 
-    fn metrics(&self) -> Response<AnswerBody> {
-        let load = self.core.door.load(0);
+    fn metrics(&self) -> Response<ResponseBody> {
+        let load = self.core.inbound.load(0);
         let metrics = &self.core.metrics;
         metrics.members(self.core.fleet.borrow().len());
         metrics.queue("running", load.running);
@@ -56,20 +56,20 @@
         }
     }
 
-    fn status(&self) -> Response<AnswerBody> {
+    fn status(&self) -> Response<ResponseBody> {
         let settings = &self.core.settings;
-        let load = self.core.door.load(0);
-        let gate = self.core.door.gate().borrow();
+        let load = self.core.inbound.load(0);
+        let tracker = self.core.inbound.tracker().borrow();
         let now = self.core.clock.now();
         let status = NodeStatus {
             instance: settings.instance.clone(),
             data_centre: settings.data_centre.clone(),
             service: settings.service.clone(),
-            hop: settings.hop,
+            peer_addr: settings.peer_addr,
             version: self.core.version().0,
             members: self.core.fleet.borrow().len(),
-            store_age_ms: self.core.guide.borrow().store_age(now).as_millis() as u64,
-            backend: gate
+            store_age_ms: self.core.relay_selector.borrow().store_age(now).as_millis() as u64,
+            backend: tracker
                 .current()
                 .map(|current| current.report.start.to_string()),
             running: load.running,
@@ -79,24 +79,24 @@
         self.json("status", &status)
     }
 
-    fn members(&self) -> Response<AnswerBody> {
+    fn members(&self) -> Response<ResponseBody> {
         let fleet = self.core.fleet.borrow();
         let records: Vec<&MemberRecord> = fleet.records().collect();
         self.json("members", &records)
     }
 
-    fn json(&self, what: &str, value: &impl Serialize) -> Response<AnswerBody> {
-        json_answer(value).unwrap_or_else(|cause| self.failed(what, &cause))
+    fn json(&self, what: &str, value: &impl Serialize) -> Response<ResponseBody> {
+        json_response(value).unwrap_or_else(|cause| self.failed(what, &cause))
     }
 
-    fn failed(&self, what: &str, cause: &dyn std::error::Error) -> Response<AnswerBody> {
+    fn failed(&self, what: &str, cause: &dyn std::error::Error) -> Response<ResponseBody> {
         error!(self.core.log.logger(), "page not shown"; "page" => what, "cause" => %cause);
         page(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", Vec::new())
     }
 }
 
-fn page(status: StatusCode, kind: &'static str, text: Vec<u8>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(text));
+fn page(status: StatusCode, kind: &'static str, text: Vec<u8>) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(text));
     *response.status_mut() = status;
     let kind = HeaderValue::from_static(kind);
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
--- a/crates/node/src/crash/crash_port.rs
+++ b/crates/node/src/crash/crash_handler.rs
@@ -7,10 +7,10 @@
 use hyper::body::Incoming;
 use slog::warn;
 
-use super::CrashRow;
+use super::CrashRecord;
 use crate::{
-    answer_body::{AnswerBody, empty_answer},
     node_core::NodeCore,
+    response_body::{ResponseBody, empty_response},
     store::Revision,
 };
 
@@ -21,30 +21,30 @@
 
 /// Takes in what other nodes tell of crashes.
 #[derive(Debug, Clone)]
-pub struct CrashPort {
+pub struct CrashHandler {
     core: Rc<NodeCore>,
 }
 
-impl CrashPort {
+impl CrashHandler {
     /// Makes the port of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
     /// Takes in crashes, and answers once they count here.
-    pub async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Limited::new(request.into_body(), BODY_MAX).collect().await;
         let body = body.map(Collected::to_bytes).unwrap_or_default();
-        match serde_json::from_slice::<Vec<CrashRow>>(&body) {
+        match serde_json::from_slice::<Vec<CrashRecord>>(&body) {
             Ok(rows) => {
                 for row in rows {
-                    self.core.heard_crash(row, Revision(0));
+                    self.core.record_crash(row, Revision(0));
                 }
-                empty_answer(StatusCode::OK)
+                empty_response(StatusCode::OK)
             }
             Err(cause) => {
                 warn!(self.core.log.logger(), "crash unreadable"; "cause" => %cause);
-                empty_answer(StatusCode::BAD_REQUEST)
+                empty_response(StatusCode::BAD_REQUEST)
             }
         }
     }
--- a/crates/node/src/crash/crash_news.rs
+++ b/crates/node/src/crash/crash_news.rs
@@ -10,11 +10,11 @@
     time::{Instant, sleep},
 };
 
-use super::{CRASH_PATH, CRASH_PREFIX, CrashRow};
+use super::{CRASH_PATH, CRASH_PREFIX, CrashRecord};
 use crate::{
-    hop::NodeCall,
     node_core::NodeCore,
     store::{MetaStore, Revision, StoreError, StoreWrite},
+    transport::NodeCall,
 };
 
 /// Time for which a crash stands in the store. Every node reads it within a second or two
@@ -36,7 +36,7 @@
 
 /// Tells the nodes beside the other backend servers of the service, and returns once they
 /// know or can't be reached in time; those are told again later.
-pub(super) async fn tell_peers(core: &Rc<NodeCore>, rows: &[CrashRow]) {
+pub(super) async fn tell_peers(core: &Rc<NodeCore>, rows: &[CrashRecord]) {
     let body = match serde_json::to_vec(rows) {
         Ok(body) => Bytes::from(body),
         Err(cause) => {
@@ -71,7 +71,7 @@
 /// Tells nodes of crashes, all at once, and returns those that couldn't be told.
 async fn tell(core: &Rc<NodeCore>, peers: Vec<SocketAddr>, body: &Bytes) -> Vec<SocketAddr> {
     let mut calls = JoinSet::new();
-    for hop in peers {
+    for peer_addr in peers {
         let core = Rc::clone(core);
         let call = NodeCall {
             method: Method::POST,
@@ -80,8 +80,14 @@
             time: TELL_TIME,
         };
         calls.spawn_local(async move {
-            let told = call.send(&core.hops, hop, core.settings.hop_idle).await;
-            told.is_err().then_some(hop)
+            let told = call
+                .send(
+                    &core.peer_connections,
+                    peer_addr,
+                    core.settings.peer_idle_timeout,
+                )
+                .await;
+            told.is_err().then_some(peer_addr)
         });
     }
     let missed = calls.join_all().await;
@@ -93,7 +99,7 @@
 pub(super) async fn store_crash(
     core: Rc<NodeCore>,
     store: Rc<impl MetaStore>,
-    rows: Vec<CrashRow>,
+    rows: Vec<CrashRecord>,
 ) {
     let begun = Instant::now();
     while begun.elapsed() < STORE_TIME {
@@ -106,7 +112,7 @@
                     let mut crashes = core.crashes.borrow_mut();
                     crashes.record(now, row.clone(), revision);
                 }
-                core.door.broken().remember_written(now, rows);
+                core.inbound.broken_runs().remember_written(now, rows);
                 return;
             }
             Err(cause) => warn!(core.log.logger(), "crash not told"; "cause" => %cause),
@@ -118,7 +124,7 @@
 async fn write(
     core: &NodeCore,
     store: &impl MetaStore,
-    rows: &[CrashRow],
+    rows: &[CrashRecord],
 ) -> Result<Revision, StoreError> {
     let Some(first) = rows.first() else {
         return Ok(Revision(0));
--- a/crates/node/src/errand/store_way.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -7,28 +7,28 @@
 use slog::info;
 use snafu::Snafu;
 
-use super::{ERRAND_PATH, ErrandOutcome, StoreErrand};
+use super::{DELEGATED_CALL_PATH, DelegatedCall, DelegatedOutcome};
 use crate::{
-    hop::{CallError, NodeCall},
     node_core::NodeCore,
     store::{LeaseGrant, LeaseId, MetaStore, Revision, StoreError, StoreWrite},
+    transport::{CallError, NodeCall},
 };
 
-/// Longest time for an errand: the store's call takes one at most.
-const ERRAND_TIME: Duration = Duration::from_millis(1_300);
+/// Longest time for a delegated call: the store's call takes one at most.
+const DELEGATED_CALL_TIME: Duration = Duration::from_millis(1_300);
 /// Nodes asked in one round.
 const ASKED_MAX: usize = 2;
 
-/// Failure of an errand.
+/// Failure of a delegated call.
 #[derive(Debug, Snafu)]
-enum ErrandError {
+enum DelegationError {
     /// The node can't be asked.
     #[snafu(display("{source}"), context(false))]
     Call {
         /// What was met.
         source: CallError,
     },
-    /// The errand or its outcome can't be written as text, or read.
+    /// The delegated call or its outcome can't be written as text, or read.
     #[snafu(display("{source}"), context(false))]
     Text {
         /// What was met.
@@ -39,14 +39,14 @@
 /// The way by which a node's announcement comes to the store: its own calls, or
 /// those of another node while the store doesn't answer this one.
 #[derive(Debug)]
-pub struct StoreWay<S> {
+pub struct DelegatingStore<S> {
     core: Rc<NodeCore>,
     store: Rc<S>,
-    /// Node that made the last errand.
+    /// Node that made the last delegated call.
     helper: Cell<Option<SocketAddr>>,
 }
 
-impl<S: MetaStore> StoreWay<S> {
+impl<S: MetaStore> DelegatingStore<S> {
     /// Makes the way of a node.
     pub const fn new(core: Rc<NodeCore>, store: Rc<S>) -> Self {
         Self {
@@ -73,9 +73,9 @@
             return self.answered(grant);
         }
         let ttl_ms = ttl.as_millis() as u64;
-        match self.send(&StoreErrand::Grant { ttl_ms }).await? {
-            ErrandOutcome::Granted { lease, era, ttl_ms } => {
-                self.core.eras.hear(era);
+        match self.send(&DelegatedCall::Grant { ttl_ms }).await? {
+            DelegatedOutcome::Granted { lease, era, ttl_ms } => {
+                self.core.eras.observe(era);
                 Ok(LeaseGrant {
                     lease: LeaseId { era, number: lease },
                     ttl: Duration::from_millis(ttl_ms),
@@ -96,12 +96,12 @@
             let renewed = self.store.renew(lease).await;
             return self.answered(renewed);
         }
-        let errand = StoreErrand::Renew {
+        let delegated_call = DelegatedCall::Renew {
             lease: lease.number,
             era: lease.era,
         };
-        match self.send(&errand).await? {
-            ErrandOutcome::Renewed => Ok(()),
+        match self.send(&delegated_call).await? {
+            DelegatedOutcome::Renewed => Ok(()),
             outcome => Err(unexpected(outcome)),
         }
     }
@@ -121,16 +121,17 @@
             let written = self.store.commit(&[write]).await;
             return self.answered(written);
         }
-        let errand = StoreErrand::of_write(&write).ok_or_else(|| StoreError::Unexpected {
-            reason: "the value is no text".to_owned(),
-        })?;
-        match self.send(&errand).await? {
-            ErrandOutcome::Written { revision } => {
+        let delegated_call =
+            DelegatedCall::of_write(&write).ok_or_else(|| StoreError::Unexpected {
+                reason: "the value is no text".to_owned(),
+            })?;
+        match self.send(&delegated_call).await? {
+            DelegatedOutcome::Written { revision } => {
                 let revision = Revision(revision);
-                self.core.eras.hear(revision.era());
+                self.core.eras.observe(revision.era());
                 Ok(revision)
             }
-            ErrandOutcome::Conflict { current } => Err(StoreError::Conflict {
+            DelegatedOutcome::Conflict { current } => Err(StoreError::Conflict {
                 key: write.key.to_owned(),
                 current: Revision(current),
             }),
@@ -145,20 +146,20 @@
         done
     }
 
-    /// Sends an errand to a few nodes in turn, first to the one that made the last.
-    async fn send(&self, errand: &StoreErrand) -> Result<ErrandOutcome, StoreError> {
-        for hop in self.helpers() {
-            match self.ask(hop, errand).await {
-                Ok(ErrandOutcome::Failed) => {}
+    /// Sends a delegated call to a few nodes in turn, first to the one that made the last.
+    async fn send(&self, delegated_call: &DelegatedCall) -> Result<DelegatedOutcome, StoreError> {
+        for peer_addr in self.helpers() {
+            match self.ask(peer_addr, delegated_call).await {
+                Ok(DelegatedOutcome::Failed) => {}
                 Ok(outcome) => {
-                    if self.helper.replace(Some(hop)) != Some(hop) {
+                    if self.helper.replace(Some(peer_addr)) != Some(peer_addr) {
                         info!(self.core.log.logger(), "store reached through another node";
-                            "at" => %hop);
+                            "at" => %peer_addr);
                     }
                     return Ok(outcome);
                 }
                 Err(cause) => info!(self.core.log.logger(), "errand not taken";
-                    "at" => %hop, "cause" => %cause),
+                    "at" => %peer_addr, "cause" => %cause),
             }
         }
         self.helper.set(None);
@@ -170,34 +171,36 @@
     fn helpers(&self) -> Vec<SocketAddr> {
         let last = self.helper.get();
         let fleet = self.core.fleet.borrow();
-        let own = self.core.settings.hop;
+        let own = self.core.settings.peer_addr;
         let others = fleet.reachable(self.core.clock.now());
-        let others = others.filter(|hop| *hop != own && Some(*hop) != last);
+        let others = others.filter(|peer_addr| *peer_addr != own && Some(*peer_addr) != last);
         let drawn = others.sample(&mut rand::rng(), ASKED_MAX);
         last.into_iter().chain(drawn).take(ASKED_MAX).collect()
     }
 
     async fn ask(
         &self,
-        hop: SocketAddr,
-        errand: &StoreErrand,
-    ) -> Result<ErrandOutcome, ErrandError> {
+        peer_addr: SocketAddr,
+        delegated_call: &DelegatedCall,
+    ) -> Result<DelegatedOutcome, DelegationError> {
         let call = NodeCall {
             method: Method::POST,
-            path: ERRAND_PATH,
-            body: serde_json::to_vec(errand)?.into(),
-            time: ERRAND_TIME,
+            path: DELEGATED_CALL_PATH,
+            body: serde_json::to_vec(delegated_call)?.into(),
+            time: DELEGATED_CALL_TIME,
         };
-        let idle_time = self.core.settings.hop_idle;
-        let whole = call.send(&self.core.hops, hop, idle_time).await?;
+        let idle_time = self.core.settings.peer_idle_timeout;
+        let whole = call
+            .send(&self.core.peer_connections, peer_addr, idle_time)
+            .await?;
         Ok(serde_json::from_slice(&whole)?)
     }
 }
 
-/// Returns the error that an outcome is which doesn't answer its errand.
-fn unexpected(outcome: ErrandOutcome) -> StoreError {
+/// Returns the error that an outcome is which doesn't answer its delegated call.
+fn unexpected(outcome: DelegatedOutcome) -> StoreError {
     match outcome {
-        ErrandOutcome::NoLease => StoreError::NoLease,
+        DelegatedOutcome::NoLease => StoreError::NoLease,
         outcome => StoreError::Unexpected {
             reason: format!("errand: {outcome:?}"),
         },
--- a/crates/node/src/follow/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -31,7 +31,7 @@
     loop {
         if !core.watches_store() {
             after = None;
-            let _idle = timeout(IDLE_LOOK, core.duty_changed.notified()).await;
+            let _idle = timeout(IDLE_LOOK, core.watch_duty_changed.notified()).await;
             continue;
         }
         core.until_store_back().await;
@@ -59,7 +59,9 @@
     source: ConfigSource,
 ) -> Result<Revision, StoreError> {
     core.metrics.store_call("read-config");
-    let read = store.read(source.key, core.first_read_age()).await?;
+    let read = store
+        .read(source.key, core.first_read_consistency())
+        .await?;
     if let Some(item) = &read.item {
         take(core, source, item);
     }
@@ -76,7 +78,7 @@
     core.metrics.store_call("watch-config");
     let batch = select! {
         batch = store.watch(source.key, after, WATCH_WAIT) => batch?,
-        () = core.until_relieved() => return Ok(after),
+        () = core.until_watch_ends() => return Ok(after),
     };
     // Only the last counts: earlier ones were replaced meanwhile.
     let written = batch.events.iter().rev().find_map(|event| match event {
--- a/crates/node/src/follow/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration};
 
-use crate::crash::CrashRow;
+use crate::crash::CrashRecord;
 use slog::error;
 use tokio::{
     select,
@@ -12,21 +12,21 @@
 use super::{
     AnnouncementKey, NODE_PREFIX,
     member_notes::MemberNotes,
-    news_intake::{take_lapse, take_record},
     own_key,
+    update_intake::{take_lapse, take_record},
 };
 use crate::{
     crash::CRASH_PREFIX,
     member::MemberRecord,
     node_core::NodeCore,
-    store::{MetaStore, ReadAge, Revision, StoreError, StoreEvent, StoreItem},
+    store::{MetaStore, ReadConsistency, Revision, StoreError, StoreEvent, StoreItem},
 };
 
 /// Longest wait of a watch; the store allows 30 s. A connection gone silent
 /// for good is noticed after this and a second at most.
 const WATCH_WAIT: Duration = Duration::from_secs(6);
 /// Pause after a change, in which further ones gather: each watch costs a
-/// call, and until the news is here the doors refuse what comes too late.
+/// call, and until the news is here the inbound proxies refuse what comes too late.
 const GATHER: Duration = Duration::from_millis(250);
 /// Time between lists while a new fleet announces itself: heartbeats come each
 /// second and a half.
@@ -37,16 +37,16 @@
 /// Watches the announcements in the store while this node has to.
 pub async fn watch_members(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
-        if !core.knows_home() {
+        if !core.knows_local_members() {
             core.until_store_back().await;
             match list_home(&core, &*store).await {
-                Ok(()) => core.home_listed(),
+                Ok(()) => core.local_members_listed(),
                 Err(failure) => core.store_failed("members", &failure),
             }
             continue;
         }
         if !core.watches_store() {
-            let _idle = timeout(IDLE_LOOK, core.duty_changed.notified()).await;
+            let _idle = timeout(IDLE_LOOK, core.watch_duty_changed.notified()).await;
             continue;
         }
         core.until_store_back().await;
@@ -60,7 +60,7 @@
         match step {
             Ok(()) => {
                 core.store_answered();
-                core.news.notify_waiters();
+                core.updates.notify_waiters();
                 sleep(if settling { SETTLE_LOOK } else { GATHER }).await;
             }
             Err(failure) => core.store_failed("members", &failure),
@@ -73,28 +73,30 @@
 async fn list_home(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
     core.metrics.store_call("list-home");
     let prefix = AnnouncementKey::prefix(&core.settings.data_centre);
-    let list = store.list(&prefix, ReadAge::Current).await?;
+    let list = store.list(&prefix, ReadConsistency::Linearizable).await?;
     let present: Vec<SocketAddr> = take_items(core, &list.items);
     let key = own_key(core);
     let own = list.items.iter().find(|item| item.key == key.as_str());
     core.own_lease.set(own.and_then(|item| item.lease));
     core.store_answered();
-    if !present.contains(&core.settings.hop) {
-        core.announce.notify_one();
+    if !present.contains(&core.settings.peer_addr) {
+        core.announcement_changed.notify_one();
     }
     Ok(())
 }
 
 async fn list_members(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
     core.metrics.store_call("list-members");
-    let list = store.list(NODE_PREFIX, core.first_read_age()).await?;
+    let list = store
+        .list(NODE_PREFIX, core.first_read_consistency())
+        .await?;
     let present: HashSet<SocketAddr> = take_items(core, &list.items).into_iter().collect();
     let now = core.clock.now();
     let mut fleet = core.fleet.borrow_mut();
-    fleet.listed(now, list.revision, |hop| present.contains(hop));
+    fleet.listed(now, list.revision, |peer_addr| present.contains(peer_addr));
     drop(fleet);
-    if !present.contains(&core.settings.hop) {
-        core.announce.notify_one();
+    if !present.contains(&core.settings.peer_addr) {
+        core.announcement_changed.notify_one();
     }
     Ok(())
 }
@@ -109,7 +111,7 @@
     core.metrics.store_call("watch-members");
     let watched = select! {
         batch = store.watch(NODE_PREFIX, after, WATCH_WAIT) => batch,
-        () = core.until_relieved() => return Ok(()),
+        () = core.until_watch_ends() => return Ok(()),
     };
     let batch = match watched {
         Err(StoreError::HistoryGone) => return list_members(core, store).await,
@@ -133,9 +135,9 @@
     let taken = items
         .iter()
         .filter_map(|item| take_item(core, item, &mut notes));
-    let hops = taken.collect();
+    let peer_addrs = taken.collect();
     notes.write(core.log.logger());
-    hops
+    peer_addrs
 }
 
 /// Takes in an item, and returns whose announcement it is.
@@ -151,11 +153,11 @@
     }
     let cause = match parse_record(item) {
         Ok(record) if key_of(&record).as_str() == item.key => {
-            let hop = record.hop;
+            let peer_addr = record.peer_addr;
             take_record(core, record, item.revision, notes);
-            return Some(hop);
+            return Some(peer_addr);
         }
-        Ok(record) => format!("it is of {}", record.hop),
+        Ok(record) => format!("it is of {}", record.peer_addr),
         Err(cause) => cause.to_string(),
     };
     error!(core.log.logger(), "announcement unreadable";
@@ -167,20 +169,20 @@
 /// Takes in that there is no announcement at a key. A key at which its node wouldn't
 /// announce itself says nothing of a member.
 fn take_removal(core: &NodeCore, key: &str, revision: Revision) {
-    let Some(hop) = AnnouncementKey::hop_in(key) else {
+    let Some(peer_addr) = AnnouncementKey::peer_addr_in(key) else {
         return;
     };
     let known = {
         let fleet = core.fleet.borrow();
-        fleet.at(hop).map(|member| key_of(&member.record))
+        fleet.at(peer_addr).map(|member| key_of(&member.record))
     };
     if known.is_none_or(|known| known.as_str() == key) {
-        take_lapse(core, hop, revision);
+        take_lapse(core, peer_addr, revision);
     }
 }
 
 fn key_of(record: &MemberRecord) -> AnnouncementKey {
-    AnnouncementKey::new(&record.data_centre, record.hop)
+    AnnouncementKey::new(&record.data_centre, record.peer_addr)
 }
 
 fn parse_record(item: &StoreItem) -> Result<MemberRecord, serde_json::Error> {
@@ -188,10 +190,10 @@
 }
 
 fn take_crashes(core: &NodeCore, item: &StoreItem) {
-    match serde_json::from_slice::<Vec<CrashRow>>(&item.value) {
+    match serde_json::from_slice::<Vec<CrashRecord>>(&item.value) {
         Ok(rows) => {
             for row in rows {
-                core.heard_crash(row, item.revision);
+                core.record_crash(row, item.revision);
             }
         }
         Err(cause) => error!(core.log.logger(), "crash unreadable";
--- a/crates/node/src/follow/news_intake.rs
+++ b/crates/node/src/discovery/update_intake.rs
@@ -7,27 +7,27 @@
 use super::member_notes::{MemberNotes, MemberRow};
 use crate::{
     config::MeshConfig,
-    distribution::{ConfigNews, FollowAnswer},
-    member::{MemberNews, MemberRecord},
+    distribution::{ConfigUpdate, UpdateResponse},
+    member::{MemberRecord, MemberUpdate},
     node_core::NodeCore,
     store::Revision,
 };
 
 /// Takes in what another node told.
-pub(super) fn take_answer(core: &NodeCore, from: SocketAddr, answer: FollowAnswer) {
-    if let Some(news) = answer.config {
-        take_config(core, from, news);
+pub(super) fn take_answer(core: &NodeCore, from: SocketAddr, answer: UpdateResponse) {
+    if let Some(updates) = answer.config {
+        take_config(core, from, updates);
     }
     for (revision, row) in answer.crashes {
-        core.heard_crash(row, Revision(revision));
+        core.record_crash(row, Revision(revision));
     }
     take_members(core, answer.members);
 }
 
-fn take_config(core: &NodeCore, from: SocketAddr, news: ConfigNews) {
+fn take_config(core: &NodeCore, from: SocketAddr, updates: ConfigUpdate) {
     let before = core.config.borrow().clone();
-    let input = match news {
-        ConfigNews::Whole(packed) => match packed.unpack() {
+    let input = match updates {
+        ConfigUpdate::Whole(packed) => match packed.unpack() {
             Ok(input) => Some(Rc::new(input)),
             Err(cause) => {
                 error!(core.log.logger(), "configuration unreadable";
@@ -35,7 +35,7 @@
                 None
             }
         },
-        ConfigNews::Delta(delta) => before
+        ConfigUpdate::Delta(delta) => before
             .as_ref()
             .and_then(|before| delta.apply(&before.input))
             .map(Rc::new),
@@ -51,29 +51,32 @@
     }
 }
 
-fn take_members(core: &NodeCore, news: MemberNews) {
-    let revision = Revision(news.revision);
-    core.eras.hear(revision.era());
-    if news.whole {
+fn take_members(core: &NodeCore, updates: MemberUpdate) {
+    let revision = Revision(updates.revision);
+    core.eras.observe(revision.era());
+    if updates.whole {
         let now = core.clock.now();
-        let present: HashSet<SocketAddr> =
-            news.written.iter().map(|(record, _)| record.hop).collect();
+        let present: HashSet<SocketAddr> = updates
+            .written
+            .iter()
+            .map(|(record, _)| record.peer_addr)
+            .collect();
         let mut fleet = core.fleet.borrow_mut();
-        fleet.listed(now, revision, |hop| present.contains(hop));
-        if !present.contains(&core.settings.hop) {
-            core.announce.notify_one();
+        fleet.listed(now, revision, |peer_addr| present.contains(peer_addr));
+        if !present.contains(&core.settings.peer_addr) {
+            core.announcement_changed.notify_one();
         }
     }
     let mut notes = MemberNotes::default();
-    for (record, revision) in news.written {
+    for (record, revision) in updates.written {
         take_record(core, record, Revision(revision), &mut notes);
     }
     notes.write(core.log.logger());
-    for (hop, revision) in news.lapsed {
-        take_lapse(core, hop, Revision(revision));
+    for (peer_addr, revision) in updates.lapsed {
+        take_lapse(core, peer_addr, Revision(revision));
     }
     core.fleet.borrow_mut().advance(revision);
-    core.news.notify_waiters();
+    core.updates.notify_waiters();
 }
 
 /// Takes in an announcement, and notes it if it changes anything.
@@ -84,13 +87,13 @@
     notes: &mut MemberNotes,
 ) {
     let now = core.clock.now();
-    if record.hop == core.settings.hop {
-        core.door.gate().borrow_mut().restore(now, &record);
-        if core.door.gate().borrow().current().is_none() {
+    if record.peer_addr == core.settings.peer_addr {
+        core.inbound.tracker().borrow_mut().restore(now, &record);
+        if core.inbound.tracker().borrow().current().is_none() {
             *core.own_record.borrow_mut() = Some(record.clone());
-            core.own_record_heard.notify_one();
+            core.own_record_received.notify_one();
         }
-        core.announce.notify_one();
+        core.announcement_changed.notify_one();
     }
     let row = MemberRow::new(&record, revision);
     if core.fleet.borrow_mut().announce(now, record, revision) {
@@ -99,16 +102,16 @@
 }
 
 /// Takes in that an announcement is missing.
-pub(super) fn take_lapse(core: &NodeCore, hop: SocketAddr, revision: Revision) {
+pub(super) fn take_lapse(core: &NodeCore, peer_addr: SocketAddr, revision: Revision) {
     let known = core
         .fleet
         .borrow_mut()
-        .lapse(core.clock.now(), hop, revision);
+        .lapse(core.clock.now(), peer_addr, revision);
     if known {
         info!(core.log.logger(), "announcement missing";
-            "at" => %hop, "revision" => revision.0);
+            "at" => %peer_addr, "revision" => revision.0);
     }
-    if hop == core.settings.hop {
-        core.announce.notify_one();
+    if peer_addr == core.settings.peer_addr {
+        core.announcement_changed.notify_one();
     }
 }
--- a/crates/node/src/http_port.rs
+++ b/crates/node/src/http_listener.rs
@@ -14,7 +14,7 @@
     time::{sleep, timeout},
 };
 
-use crate::{answer_body::AnswerBody, hop::tune_socket, node_core::NodeCore};
+use crate::{node_core::NodeCore, response_body::ResponseBody, transport::tune_socket};
 
 /// Connections that may wait to be accepted: a burst of a second's new callers
 /// at twenty times today's rate. Beyond it the kernel drops opening packets,
@@ -36,14 +36,14 @@
 /// A port that can't be opened.
 #[derive(Debug, Snafu)]
 #[snafu(display("can't listen on {addr}: {source}"))]
-pub struct PortError {
+pub struct BindError {
     addr: SocketAddr,
     source: std::io::Error,
 }
 
 /// Limits of a port.
 #[derive(Debug, Clone, Copy)]
-pub struct PortLimits {
+pub struct ConnectionLimits {
     /// Longest time that a connection may stay idle or a head may take.
     pub idle_time: Duration,
     /// Most bytes of a head.
@@ -55,14 +55,14 @@
 /// # Errors
 ///
 /// When the address can't be bound.
-pub fn open_port(addr: SocketAddr) -> Result<TcpListener, PortError> {
+pub fn bind_listener(addr: SocketAddr) -> Result<TcpListener, BindError> {
     let listen = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(addr)?;
         socket.listen(BACKLOG)
     };
-    listen().context(PortSnafu { addr })
+    listen().context(BindSnafu { addr })
 }
 
 /// Answers every request that comes to a port with what `answer` makes of it.
@@ -75,24 +75,24 @@
 /// connections that bring nothing are closed and the others end with their next answer. A
 /// connection that is too new to have brought its first request gets a moment for it. The
 /// port counts as a connection until then, so the process waits for it.
-pub async fn serve_port<F>(
+pub async fn serve_listener<F>(
     core: Rc<NodeCore>,
     listener: TcpListener,
-    limits: impl Fn() -> PortLimits,
+    limits: impl Fn() -> ConnectionLimits,
     answer: impl Fn(Request<Incoming>) -> F + Clone + 'static,
 ) where
-    F: Future<Output = Response<AnswerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let mut closing = core.closing.subscribe();
-    let _port_mark = core.connection_mark();
+    let _port_mark = core.connection_guard();
     let serve = |stream: TcpStream| {
         tune_socket(&stream);
         let closing = core.closing.subscribe();
-        let mark = core.connection_mark();
+        let guard = core.connection_guard();
         let connection = serve_connection(stream, limits(), answer.clone(), closing);
         tokio::task::spawn_local(async move {
             connection.await;
-            drop(mark);
+            drop(guard);
         });
     };
     loop {
@@ -132,11 +132,11 @@
 
 async fn serve_connection<F>(
     stream: TcpStream,
-    limits: PortLimits,
+    limits: ConnectionLimits,
     answer: impl Fn(Request<Incoming>) -> F,
     mut closing: watch::Receiver<bool>,
 ) where
-    F: Future<Output = Response<AnswerBody>>,
+    F: Future<Output = Response<ResponseBody>>,
 {
     let asked = Rc::new(Notify::new());
     let service = service_fn({
--- a/crates/node/src/door/door_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -25,7 +25,7 @@
 
 /// A waiting job; the least runs next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct JobKey {
+pub struct QueueKey {
     /// Whether it has yet to begin; a call belongs to a run that has.
     fresh: bool,
     rank: u8,
@@ -37,13 +37,13 @@
 
 /// A request that wants to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct JobOffer {
+pub struct AdmissionRequest {
     /// Rank of its route; 0 is the most urgent.
     pub rank: u8,
     /// Hash of its route, by which service times are kept.
-    pub class: u64,
+    pub route_hash: u64,
     /// Whether it belongs to a run that has begun.
-    pub begun: bool,
+    pub nested: bool,
     /// Whether it may wait; it probes for a free slot otherwise.
     pub may_wait: bool,
     /// Time by which its answer is of full use.
@@ -54,7 +54,7 @@
 
 /// What becomes of an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OfferVerdict {
+pub enum AdmissionDecision {
     /// It runs now.
     Run,
     /// Every slot is taken, and it may not wait.
@@ -62,7 +62,7 @@
     /// It waits; refuse it when it still does at `latest`.
     Wait {
         /// Key by which it is granted or withdrawn.
-        key: JobKey,
+        key: QueueKey,
         /// Last moment at which starting it is of use.
         latest: Duration,
     },
@@ -88,17 +88,17 @@
 /// how long places in the queue really took, as jobs are overtaken. A job that waits is
 /// refused as soon as starting it is of no use.
 #[derive(Debug)]
-pub struct DoorQueue {
+pub struct AdmissionQueue {
     slots: u32,
     running: u32,
     order: u64,
-    waiting: BTreeMap<JobKey, WaitingJob>,
+    waiting: BTreeMap<QueueKey, WaitingJob>,
     books: ClassBooks,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct WaitingJob {
-    class: ClassId,
+    class_id: ClassId,
     late: bool,
     latest: Duration,
     asked_at: Duration,
@@ -106,7 +106,7 @@
     planned: Duration,
 }
 
-impl DoorQueue {
+impl AdmissionQueue {
     /// Makes an empty queue in front of `slots` slots.
     pub fn new(slots: u32) -> Self {
         Self {
@@ -119,7 +119,7 @@
     }
 
     /// Changes the number of slots and returns the jobs that run now.
-    pub fn set_slots(&mut self, now: Duration, slots: u32) -> Vec<JobKey> {
+    pub fn set_slots(&mut self, now: Duration, slots: u32) -> Vec<QueueKey> {
         self.slots = slots.max(1);
         self.grant(now)
     }
@@ -140,8 +140,11 @@
     }
 
     /// Returns the mean time of a run of one class.
-    pub fn service_of(&self, class: u64) -> Duration {
-        self.books.service_of(ClassId { rank: 0, class })
+    pub fn service_of(&self, route_hash: u64) -> Duration {
+        self.books.service_of(ClassId {
+            rank: 0,
+            route_hash,
+        })
     }
 
     /// Offers a job.
@@ -150,68 +153,68 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::door::{DoorQueue, JobOffer, OfferVerdict};
+    /// use geranium_node::inbound::{AdmissionQueue, AdmissionRequest, AdmissionDecision};
     ///
-    /// let mut queue = DoorQueue::new(1);
+    /// let mut queue = AdmissionQueue::new(1);
     /// let useful_until = Duration::from_millis(400);
     /// let ends_at = Duration::from_millis(1_000);
     /// let offer =
-    ///     JobOffer { rank: 1, class: 7, begun: false, may_wait: true, useful_until, ends_at };
-    /// assert_eq!(queue.offer(Duration::ZERO, offer), OfferVerdict::Run);
-    /// assert!(matches!(queue.offer(Duration::ZERO, offer), OfferVerdict::Wait { .. }));
+    ///     AdmissionRequest { rank: 1, route_hash: 7, nested: false, may_wait: true, useful_until, ends_at };
+    /// assert_eq!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Run);
+    /// assert!(matches!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Wait { .. }));
     /// let freed = queue.finish(Duration::from_millis(100), 7, Some(Duration::from_millis(100)));
     /// assert_eq!(freed.len(), 1);
     /// ```
-    pub fn offer(&mut self, now: Duration, offer: JobOffer) -> OfferVerdict {
-        let class = ClassId {
+    pub fn offer(&mut self, now: Duration, offer: AdmissionRequest) -> AdmissionDecision {
+        let class_id = ClassId {
             rank: offer.rank,
-            class: offer.class,
+            route_hash: offer.route_hash,
         };
         if self.running >= self.slots && !offer.may_wait {
-            return OfferVerdict::Busy;
+            return AdmissionDecision::Busy;
         }
-        self.books.offered(now, class);
-        let service = self.books.service_of(class);
-        let late = !offer.begun && now + service > offer.useful_until;
+        self.books.offered(now, class_id);
+        let service = self.books.service_of(class_id);
+        let late = !offer.nested && now + service > offer.useful_until;
         if self.running < self.slots {
             self.running += 1;
-            self.judge(class, late, true);
-            return OfferVerdict::Run;
+            self.judge(class_id, late, true);
+            return AdmissionDecision::Run;
         }
-        if !offer.begun && self.books.is_ahead(now, class) {
-            return self.refuse(class, late, self.wait());
+        if !offer.nested && self.books.is_ahead(now, class_id) {
+            return self.refuse(class_id, late, self.wait());
         }
         self.order += 1;
-        let key = JobKey {
-            fresh: !offer.begun,
+        let key = QueueKey {
+            fresh: !offer.nested,
             rank: offer.rank,
             late,
             useful_until: offer.useful_until,
             order: self.order,
         };
-        let end = if offer.begun || late {
+        let end = if offer.nested || late {
             offer.ends_at
         } else {
             offer.useful_until
         };
         let mut latest = end.saturating_sub(service.mul_f64(RUN_MARGIN));
-        if let Some(longest) = self.longest_wait(service).filter(|_| !offer.begun) {
+        if let Some(longest) = self.longest_wait(service).filter(|_| !offer.nested) {
             latest = latest.min(now + longest);
         }
         let planned = self.wait_before(key);
-        let start = now + self.books.real_wait(class, late, planned);
+        let start = now + self.books.real_wait(class_id, late, planned);
         if start > latest {
-            return self.refuse(class, late, start.saturating_sub(latest));
+            return self.refuse(class_id, late, start.saturating_sub(latest));
         }
         let job = WaitingJob {
-            class,
+            class_id,
             late,
             latest,
             asked_at: now,
             planned,
         };
         self.waiting.insert(key, job);
-        OfferVerdict::Wait { key, latest }
+        AdmissionDecision::Wait { key, latest }
     }
 
     /// Returns how long a job of this mean run may wait that hasn't begun. After a
@@ -224,25 +227,25 @@
 
     /// Notes whether a job that can be in time got a slot. What comes again
     /// after a refusal was noted then.
-    fn judge(&mut self, class: ClassId, late: bool, served: bool) {
+    fn judge(&mut self, class_id: ClassId, late: bool, served: bool) {
         if !late {
-            self.books.judged(class, served);
+            self.books.judged(class_id, served);
         }
     }
 
-    fn refuse(&mut self, class: ClassId, late: bool, wait: Duration) -> OfferVerdict {
-        self.judge(class, late, false);
-        self.books.passed_over(class, late);
+    fn refuse(&mut self, class_id: ClassId, late: bool, wait: Duration) -> AdmissionDecision {
+        self.judge(class_id, late, false);
+        self.books.passed_over(class_id, late);
         let retry_after = wait.clamp(RETRY_MIN, RETRY_MAX);
-        OfferVerdict::Refuse { retry_after }
+        AdmissionDecision::Refuse { retry_after }
     }
 
     /// Refuses a waiting job whose latest start has passed; `false` if it
     /// doesn't wait any more.
-    pub fn expire(&mut self, key: JobKey) -> bool {
+    pub fn expire(&mut self, key: QueueKey) -> bool {
         let job = self.waiting.remove(&key);
         if let Some(job) = job {
-            self.judge(job.class, job.late, false);
+            self.judge(job.class_id, job.late, false);
             let waited = job.latest.saturating_sub(job.asked_at);
             self.note_wait(job, waited.mul_f64(EXPIRED_WAIT));
         }
@@ -251,7 +254,7 @@
 
     /// Withdraws a waiting job whose caller left; `false` if it doesn't wait
     /// any more.
-    pub fn withdraw(&mut self, key: JobKey) -> bool {
+    pub fn withdraw(&mut self, key: QueueKey) -> bool {
         self.waiting.remove(&key).is_some()
     }
 
@@ -259,20 +262,26 @@
     ///
     /// `took` is the time of a whole run; `None` when it was cut short, which
     /// says nothing about the pace.
-    pub fn finish(&mut self, now: Duration, class: u64, took: Option<Duration>) -> Vec<JobKey> {
+    pub fn finish(
+        &mut self,
+        now: Duration,
+        route_hash: u64,
+        took: Option<Duration>,
+    ) -> Vec<QueueKey> {
         self.running = self.running.saturating_sub(1);
         if let Some(took) = took {
-            self.books.ran(class, took);
+            self.books.ran(route_hash, took);
         }
         self.grant(now)
     }
 
     fn note_wait(&mut self, job: WaitingJob, waited: Duration) {
-        self.books.waited(job.class, job.late, job.planned, waited);
+        self.books
+            .waited(job.class_id, job.late, job.planned, waited);
     }
 
     /// Returns how soon room is expected for a job at `key`'s place.
-    fn wait_before(&self, key: JobKey) -> Duration {
+    fn wait_before(&self, key: QueueKey) -> Duration {
         self.wait_behind(self.waiting.range(..key).count() as u32)
     }
 
@@ -289,14 +298,14 @@
 
     /// Starts waiting jobs while there is room. Jobs past their latest start
     /// are left to their own timers, which refuse them.
-    fn grant(&mut self, now: Duration) -> Vec<JobKey> {
+    fn grant(&mut self, now: Duration) -> Vec<QueueKey> {
         let mut granted = Vec::new();
         while self.running < self.slots {
             let next = self.waiting.iter().find(|(_, job)| job.latest >= now);
             let Some((&key, &job)) = next else {
                 break;
             };
-            self.judge(job.class, job.late, true);
+            self.judge(job.class_id, job.late, true);
             self.note_wait(job, now.saturating_sub(job.asked_at));
             self.waiting.remove(&key);
             self.running += 1;
--- a/crates/node/src/door/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -7,27 +7,27 @@
 use tokio::time::Instant;
 
 use super::{
-    DoorError, DoorFlow, DoorRequest, RefusalReason, RunSlot,
-    door_flow::{IDLE_ONCE, IDLE_REPEATABLE, RETRY_ELSEWHERE, broke, refused},
+    InboundError, InboundProxy, InboundRequest, RefusalReason, RunSlot,
+    inbound_proxy::{IDLE_ONCE, IDLE_REPEATABLE, RETRY_ELSEWHERE, broke, refused},
 };
 use crate::{
-    answer_body::{AnswerBody, is_short},
-    crash::CrashRow,
-    header_set::{header_text, set_header, strip_connection, strip_hop},
-    hop::{ExchangeError, PooledSender},
+    crash::CrashRecord,
+    header_names::{header_text, set_header, strip_connection, strip_peer_headers},
     member::EndpointStart,
+    response_body::{ResponseBody, is_short},
+    transport::{ExchangeError, PooledSender},
 };
 
-impl DoorFlow {
+impl InboundProxy {
     pub(super) async fn call(
         &self,
-        request: DoorRequest,
+        request: InboundRequest,
         idempotent: bool,
         slot: RunSlot,
         start: EndpointStart,
-    ) -> Result<Response<AnswerBody>, DoorError> {
+    ) -> Result<Response<ResponseBody>, InboundError> {
         let id = request.headers.get(&self.headers.request_id).cloned();
-        let print = request.print;
+        let fingerprint = request.fingerprint;
         let outgoing = self.outgoing(request, start.instance());
         let idle_time = if idempotent {
             IDLE_REPEATABLE
@@ -49,26 +49,23 @@
             Err(ExchangeError::Broke { reason }) => {
                 // The backend server's place is free, whatever is found.
                 drop(slot);
-                let row = CrashRow {
-                    fingerprint: print,
-                    start,
-                };
+                let row = CrashRecord { fingerprint, start };
                 let now = self.inner.clock.now();
-                let finding = self.broken.push(now, began, row).await.ok();
-                return Err(DoorError::Broke { reason, finding });
+                let diagnosis = self.broken.push(now, began, row).await.ok();
+                return Err(InboundError::Broke { reason, diagnosis });
             }
         };
         self.check(&response, id.as_ref())?;
         if response.status().is_server_error() {
             let now = self.inner.clock.now();
-            self.calls.borrow_mut().run_failed(now);
+            self.nested_calls.borrow_mut().run_failed(now);
         }
         deliver(response, slot, sender).await
     }
 
-    fn outgoing(&self, request: DoorRequest, instance: &str) -> Request<Full<Bytes>> {
+    fn outgoing(&self, request: InboundRequest, instance: &str) -> Request<Full<Bytes>> {
         let mut headers = request.headers;
-        strip_hop(&mut headers);
+        strip_peer_headers(&mut headers);
         let left = request.ends_at.saturating_duration_since(Instant::now());
         headers.insert(
             &self.headers.deadline_ms,
@@ -88,13 +85,13 @@
         &self,
         response: &Response<Incoming>,
         id: Option<&HeaderValue>,
-    ) -> Result<(), DoorError> {
+    ) -> Result<(), InboundError> {
         let headers = response.headers();
         let status = response.status();
         if status == StatusCode::MISDIRECTED_REQUEST {
             if let Some(actual) = header_text(headers, &self.headers.instance) {
                 let now = self.inner.clock.now();
-                if let Some(ended) = self.gate.borrow_mut().corrected(actual) {
+                if let Some(ended) = self.tracker.borrow_mut().identified_as(actual) {
                     self.broken.replaced(now, &ended, actual);
                 }
             }
@@ -123,16 +120,16 @@
     response: Response<Incoming>,
     mut slot: RunSlot,
     sender: PooledSender,
-) -> Result<Response<AnswerBody>, DoorError> {
+) -> Result<Response<ResponseBody>, InboundError> {
     let (mut head, body) = response.into_parts();
     strip_connection(&mut head.headers);
-    strip_hop(&mut head.headers);
+    strip_peer_headers(&mut head.headers);
     slot.hold(sender);
     if !is_short(&body) {
         slot.made();
         return Ok(Response::from_parts(
             head,
-            AnswerBody::stream(body).with_slot(slot),
+            ResponseBody::stream(body).with_slot(slot),
         ));
     }
     match body.collect().await {
@@ -140,7 +137,7 @@
             slot.complete();
             Ok(Response::from_parts(
                 head,
-                AnswerBody::whole(whole.to_bytes()),
+                ResponseBody::whole(whole.to_bytes()),
             ))
         }
         Err(error) => broke(error.to_string()),
--- a/crates/node/src/door/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -1,4 +1,4 @@
-//! Opening the door after a restart of the node alone.
+//! Opening the inbound proxy after a restart of the node alone.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,17 +12,17 @@
 /// health check.
 const CONFIG_LOOK: Duration = Duration::from_millis(500);
 
-/// Opens the door to a backend server that was announced before this process began, once
+/// Opens the inbound proxy to a backend server that was announced before this process began, once
 /// it confirms that it lives.
 ///
 /// When node processes are killed and restarted while their backend servers live on,
-/// doors would stay shut until the next heartbeat. The announcement in the store says
+/// inbound proxies would stay shut until the next heartbeat. The announcement in the store says
 /// which start was ready, and the backend server's health check that it still is that
 /// start and isn't leaving. One alone isn't believed: the announcement may be old, and
 /// health checks may be wrong.
 pub async fn confirm_endpoint(core: Rc<NodeCore>) {
     loop {
-        core.own_record_heard.notified().await;
+        core.own_record_received.notified().await;
         let record = core.own_record.borrow_mut().take();
         if let Some(record) = record {
             confirm(&core, record).await;
@@ -35,11 +35,11 @@
     let Some(path) = config.health_path(&record.service) else {
         return;
     };
-    let healthy = core.door.health(path).await;
+    let healthy = core.inbound.health(path).await;
     let same = healthy.as_deref() == Some(record.start.instance());
     info!(core.log.logger(), "backend server asked";
         "instance" => %record.start, "healthy" => healthy, "opened" => same);
-    if same && core.door.gate().borrow().current().is_none() {
+    if same && core.inbound.tracker().borrow().current().is_none() {
         core.report(EndpointReport {
             start: record.start,
             service: record.service,
@@ -54,7 +54,7 @@
 
 async fn first_config(core: &NodeCore) -> Rc<MeshConfig> {
     loop {
-        let heard = core.news.notified();
+        let heard = core.updates.notified();
         let config = core.config.borrow().clone();
         if let Some(config) = config {
             return config;
--- a/crates/node/src/door/door_flow.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -1,4 +1,4 @@
-//! The path of a request from the door to the backend server and back.
+//! The path of a request from the inbound proxy to the backend server and back.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,17 +17,17 @@
 };
 
 use super::{
-    CallBook, DoorQueue, DoorRefusal, DoorRequest, EndpointBreaker, EndpointGate, JobKey,
-    RefusalReason,
+    AdmissionQueue, EndpointBreaker, EndpointTracker, InboundRefusal, InboundRequest,
+    NestedCallDetector, QueueKey, RefusalReason,
 };
 use crate::{
-    answer_body::AnswerBody,
-    crash::{BreakFinding, BrokenRuns, CrashBook},
-    header_set::HeaderSet,
-    hop::{ConnectionPool, PoolSettings},
-    link::LinkLine,
-    member::{AnswerSizes, EndpointStart, LoadReport},
+    crash::{BreakDiagnosis, BrokenRuns, CrashHistory},
+    header_names::HeaderNames,
+    link::LinkScheduler,
+    member::{EndpointStart, LoadReport, ResponseSizes},
     node_clock::NodeClock,
+    response_body::ResponseBody,
+    transport::{ConnectionPool, PoolSettings},
 };
 
 /// Longest time to open a connection to the backend server on this machine;
@@ -46,9 +46,9 @@
 /// Advice after a refusal that isn't about load: another node is asked at once.
 pub(super) const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
 
-/// Settings of a door.
+/// Settings of an inbound proxy.
 #[derive(Debug, Clone)]
-pub struct DoorSettings {
+pub struct InboundSettings {
     /// Address of the backend server.
     pub endpoint: SocketAddr,
     /// Slots assumed until the backend server tells.
@@ -58,14 +58,14 @@
     pub leaving_grace: Duration,
 }
 
-/// Failure at the door.
+/// Failure at the inbound proxy.
 #[derive(Debug, Snafu)]
-pub enum DoorError {
+pub enum InboundError {
     /// The request certainly didn't run.
     #[snafu(display("refused: {refusal}"))]
     Refused {
         /// Reason and advice.
-        refusal: DoorRefusal,
+        refusal: InboundRefusal,
     },
     /// The request may have run; there is no usable answer.
     #[snafu(display("broke: {reason}"))]
@@ -73,32 +73,32 @@
         /// What was met.
         reason: String,
         /// What was found of the backend server, where its connection broke.
-        finding: Option<BreakFinding>,
+        diagnosis: Option<BreakDiagnosis>,
     },
 }
 
-/// State of the door.
+/// State of the inbound proxy.
 #[derive(Debug)]
-pub(super) struct DoorInner {
+pub(super) struct InboundState {
     pub(super) endpoints: ConnectionPool,
     pub(super) clock: NodeClock,
-    pub(super) link: Rc<LinkLine>,
-    pub(super) sizes: RefCell<AnswerSizes>,
-    pub(super) queue: RefCell<DoorQueue>,
-    pub(super) waiters: RefCell<HashMap<JobKey, oneshot::Sender<()>>>,
+    pub(super) link: Rc<LinkScheduler>,
+    pub(super) response_sizes: RefCell<ResponseSizes>,
+    pub(super) queue: RefCell<AdmissionQueue>,
+    pub(super) waiters: RefCell<HashMap<QueueKey, oneshot::Sender<()>>>,
 }
 
-impl DoorInner {
+impl InboundState {
     /// Frees a slot and starts who is next.
-    pub(super) fn finish(&self, class: u64, took: Option<Duration>) {
+    pub(super) fn finish(&self, route_hash: u64, took: Option<Duration>) {
         let granted = self
             .queue
             .borrow_mut()
-            .finish(self.clock.now(), class, took);
+            .finish(self.clock.now(), route_hash, took);
         self.wake(granted);
     }
 
-    fn wake(&self, granted: Vec<JobKey>) {
+    fn wake(&self, granted: Vec<QueueKey>) {
         for key in granted {
             let waiter = self.waiters.borrow_mut().remove(&key);
             // A waiter that has just gone frees its slot itself.
@@ -111,73 +111,73 @@
 
 /// The only way in to the backend server beside this node.
 #[derive(Debug)]
-pub struct DoorFlow {
-    pub(super) inner: Rc<DoorInner>,
-    pub(super) settings: DoorSettings,
-    pub(super) headers: HeaderSet,
-    pub(super) gate: RefCell<EndpointGate>,
+pub struct InboundProxy {
+    pub(super) inner: Rc<InboundState>,
+    pub(super) settings: InboundSettings,
+    pub(super) headers: HeaderNames,
+    pub(super) tracker: RefCell<EndpointTracker>,
     pub(super) broken: BrokenRuns,
-    pub(super) crashes: Rc<RefCell<CrashBook>>,
+    pub(super) crashes: Rc<RefCell<CrashHistory>>,
     /// Held while a request runs that was running when a backend server crashed.
     pub(super) suspect_turn: Semaphore,
     pub(super) breaker: RefCell<EndpointBreaker>,
-    pub(super) calls: RefCell<CallBook>,
+    pub(super) nested_calls: RefCell<NestedCallDetector>,
     stopping_since: Cell<Option<Duration>>,
 }
 
-impl DoorFlow {
-    /// Makes a door that is shut until the backend server reports.
+impl InboundProxy {
+    /// Makes an inbound proxy that is shut until the backend server reports.
     pub fn new(
-        settings: DoorSettings,
-        headers: HeaderSet,
+        settings: InboundSettings,
+        headers: HeaderNames,
         clock: NodeClock,
-        link: Rc<LinkLine>,
-        crashes: Rc<RefCell<CrashBook>>,
+        link: Rc<LinkScheduler>,
+        crashes: Rc<RefCell<CrashHistory>>,
     ) -> Self {
         let endpoints = ConnectionPool::new(PoolSettings {
             connect_time: CONNECT_TIME,
             idle_time: IDLE_REPEATABLE,
         });
-        let inner = DoorInner {
+        let inner = InboundState {
             endpoints,
             clock,
             link,
-            sizes: RefCell::default(),
-            queue: RefCell::new(DoorQueue::new(settings.slots)),
+            response_sizes: RefCell::default(),
+            queue: RefCell::new(AdmissionQueue::new(settings.slots)),
             waiters: RefCell::default(),
         };
         Self {
             inner: Rc::new(inner),
             settings,
             headers,
-            gate: RefCell::default(),
+            tracker: RefCell::default(),
             broken: BrokenRuns::default(),
             crashes,
             suspect_turn: Semaphore::new(1),
             breaker: RefCell::default(),
-            calls: RefCell::default(),
+            nested_calls: RefCell::default(),
             stopping_since: Cell::new(None),
         }
     }
 
     /// Returns the gate, to report to it.
-    pub fn gate(&self) -> &RefCell<EndpointGate> {
-        &self.gate
+    pub fn tracker(&self) -> &RefCell<EndpointTracker> {
+        &self.tracker
     }
 
     /// Returns what is known of the backend server's calls.
-    pub const fn calls(&self) -> &RefCell<CallBook> {
-        &self.calls
+    pub const fn nested_calls(&self) -> &RefCell<NestedCallDetector> {
+        &self.nested_calls
     }
 
     /// Whether the backend server has broken so many runs in a row that nothing but
     /// trials is sent to it.
-    pub fn is_broken(&self) -> bool {
+    pub fn is_breaker_open(&self) -> bool {
         self.breaker.borrow().is_open()
     }
 
     /// Returns the runs whose connection broke.
-    pub const fn broken(&self) -> &BrokenRuns {
+    pub const fn broken_runs(&self) -> &BrokenRuns {
         &self.broken
     }
 
@@ -195,21 +195,21 @@
     }
 
     /// Whether requests of other nodes are refused.
-    pub fn refuses_hops(&self) -> bool {
+    pub fn refuses_peers(&self) -> bool {
         let now = self.inner.clock.now();
         let since = self.stopping_since.get();
         since.is_some_and(|since| now >= since + self.settings.leaving_grace)
     }
 
     /// Returns the load of the backend server, as whoever asks for runs of
-    /// `class` needs it.
-    pub fn load(&self, class: u64) -> LoadReport {
+    /// `route_hash` needs it.
+    pub fn load(&self, route_hash: u64) -> LoadReport {
         let queue = self.inner.queue.borrow();
         LoadReport {
             running: queue.running(),
             waiting: queue.waiting(),
             service: queue.service(),
-            run: queue.service_of(class),
+            run: queue.service_of(route_hash),
             link: self.inner.link.schedule().backlog(self.inner.clock.now()),
         }
     }
@@ -238,22 +238,22 @@
     /// Whether it may have run.
     pub async fn run(
         &self,
-        request: DoorRequest,
+        request: InboundRequest,
         idempotent: bool,
-    ) -> Result<Response<AnswerBody>, DoorError> {
-        let turn = self.admit_print(&request).await?;
+    ) -> Result<Response<ResponseBody>, InboundError> {
+        let turn = self.admit_fingerprint(&request).await?;
         let start = self.admit(&request)?;
-        let promise = self.promise_link(&request)?;
+        let reservation = self.reserve_link(&request)?;
         let slot = self.wait_for_slot(&request).await?;
         // A backend server may have crashed meanwhile, or this one begun to leave.
         let _turn = match turn {
             Some(turn) => Some(turn),
-            None => self.admit_print(&request).await?,
+            None => self.admit_fingerprint(&request).await?,
         };
         self.admit(&request)?;
         self.admit_by_breaker()?;
         let ends_at = request.ends_at + OVERTIME;
-        let (class, print) = (request.class, request.print);
+        let (route_hash, fingerprint) = (request.route_hash, request.fingerprint);
         let unscheduled = self.unscheduled_answer(&request);
         let answer = timeout_at(ends_at, self.call(request, idempotent, slot, start)).await;
         if let Ok(result) = &answer {
@@ -261,52 +261,55 @@
         }
         let answer = answer.unwrap_or_else(|_elapsed| broke("no answer in time"))?;
         if answer.status().is_success() {
-            self.crashes.borrow_mut().completed(print);
+            self.crashes.borrow_mut().completed(fingerprint);
         }
         let bytes = answer.body().size_hint().exact();
         if let Some(bytes) = bytes {
-            self.inner.sizes.borrow_mut().observe(class, bytes);
+            self.inner
+                .response_sizes
+                .borrow_mut()
+                .observe(route_hash, bytes);
         }
-        let promise = promise.or_else(|| self.take_link(unscheduled?, bytes?));
-        Ok(answer.map(|body| body.with_promise(promise)))
+        let reservation = reservation.or_else(|| self.schedule_long_response(unscheduled?, bytes?));
+        Ok(answer.map(|body| body.with_reservation(reservation)))
     }
 
-    fn admit_by_breaker(&self) -> Result<(), DoorError> {
+    fn admit_by_breaker(&self) -> Result<(), InboundError> {
         let admitted = self.breaker.borrow_mut().admit(self.inner.clock.now());
         admitted.or_else(|wait| refused(RefusalReason::EndpointDown, wait))
     }
 
     /// Tells the breaker how a run ended. A refusal says nothing.
-    fn note_run(&self, result: &Result<Response<AnswerBody>, DoorError>) {
+    fn note_run(&self, result: &Result<Response<ResponseBody>, InboundError>) {
         let mut breaker = self.breaker.borrow_mut();
         match result {
             Ok(_) => breaker.answered(),
-            Err(DoorError::Broke { .. }) => breaker.broke(self.inner.clock.now()),
-            Err(DoorError::Refused { .. }) => {}
+            Err(InboundError::Broke { .. }) => breaker.broke(self.inner.clock.now()),
+            Err(InboundError::Refused { .. }) => {}
         }
     }
 
-    fn admit(&self, request: &DoorRequest) -> Result<EndpointStart, DoorError> {
-        let gate = self.gate.borrow();
+    fn admit(&self, request: &InboundRequest) -> Result<EndpointStart, InboundError> {
+        let tracker = self.tracker.borrow();
         let grace = self.settings.leaving_grace;
         let now = self.inner.clock.now();
-        match gate.admits(now, request.instance.as_deref(), grace) {
+        match tracker.admits(now, request.instance.as_deref(), grace) {
             Ok(current) => Ok(current.report.start.clone()),
             Err(reason) => refused(reason, RETRY_ELSEWHERE),
         }
     }
 }
 
-pub(super) fn refused<T>(reason: RefusalReason, retry_after: Duration) -> Result<T, DoorError> {
-    let refusal = DoorRefusal {
+pub(super) fn refused<T>(reason: RefusalReason, retry_after: Duration) -> Result<T, InboundError> {
+    let refusal = InboundRefusal {
         reason,
         retry_after,
     };
-    Err(DoorError::Refused { refusal })
+    Err(InboundError::Refused { refusal })
 }
 
-pub(super) fn broke<T>(reason: impl Into<String>) -> Result<T, DoorError> {
+pub(super) fn broke<T>(reason: impl Into<String>) -> Result<T, InboundError> {
     let reason = reason.into();
-    let finding = None;
-    Err(DoorError::Broke { reason, finding })
+    let diagnosis = None;
+    Err(InboundError::Broke { reason, diagnosis })
 }
--- a/crates/node/src/door/door_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -1,4 +1,4 @@
-//! Requests at the door.
+//! Requests at the inbound proxy.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
@@ -8,7 +8,7 @@
 
 /// A request for the backend server beside this node.
 #[derive(Debug, Clone)]
-pub struct DoorRequest {
+pub struct InboundRequest {
     /// Whether a caller or another node sent it.
     pub origin: RequestOrigin,
     /// Method.
@@ -22,9 +22,9 @@
     /// Rank of the route.
     pub rank: u8,
     /// Hash of the route.
-    pub class: u64,
+    pub route_hash: u64,
     /// Whether it belongs to a run that has begun.
-    pub begun: bool,
+    pub nested: bool,
     /// Whether it may wait for a slot.
     pub may_wait: bool,
     /// Time by which the answer is of full use.
@@ -32,7 +32,7 @@
     /// Time at which the caller gets a final answer.
     pub ends_at: Instant,
     /// Hash by which it is known when it comes again.
-    pub print: u64,
+    pub fingerprint: u64,
     /// Start of the backend server that the sender picked.
     pub instance: Option<String>,
 }
--- a/crates/node/src/door/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -1,15 +1,15 @@
-//! The link's part in what the door admits.
+//! The link's part in what the inbound proxy admits.
 
 use std::time::Duration;
 
 use http::HeaderValue;
 use tokio::time::Instant;
 
-use super::{DoorError, DoorFlow, DoorRequest, RefusalReason, door_flow::refused};
+use super::{InboundError, InboundProxy, InboundRequest, RefusalReason, inbound_proxy::refused};
 use crate::{
-    answer_body::SHORT_MAX,
-    link::{LinkOffer, LinkPromise},
+    link::{LinkRequest, LinkReservation},
     request_origin::RequestOrigin,
+    response_body::SHORT_RESPONSE_MAX_BYTES,
 };
 
 /// Data kept from a request to schedule its answer if that turns out long.
@@ -21,26 +21,26 @@
     ends_at: Instant,
 }
 
-impl DoorFlow {
+impl InboundProxy {
     /// Promises the link to a long answer for another node, or refuses the request if the
     /// answer couldn't arrive in time.
-    pub(super) fn promise_link(
+    pub(super) fn reserve_link(
         &self,
-        request: &DoorRequest,
-    ) -> Result<Option<LinkPromise>, DoorError> {
-        let bytes = self.inner.sizes.borrow().get(request.class);
-        if bytes <= SHORT_MAX || request.origin == RequestOrigin::Caller {
+        request: &InboundRequest,
+    ) -> Result<Option<LinkReservation>, InboundError> {
+        let bytes = self.inner.response_sizes.borrow().get(request.route_hash);
+        if bytes <= SHORT_RESPONSE_MAX_BYTES || request.origin == RequestOrigin::Caller {
             return Ok(None);
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
-        let offer = LinkOffer {
+        let offer = LinkRequest {
             bytes,
-            made_in: self.inner.queue.borrow().service_of(request.class),
+            made_in: self.inner.queue.borrow().service_of(request.route_hash),
             useful_until: clock.at(request.useful_until),
             ends_at: clock.at(request.ends_at),
         };
         match link.offer(clock, self.id_of(request), offer) {
-            Ok(promise) => Ok(Some(promise)),
+            Ok(reservation) => Ok(Some(reservation)),
             Err(retry_after) => refused(RefusalReason::LinkFull, retry_after),
         }
     }
@@ -49,12 +49,16 @@
     ///
     /// After a start nobody knows which answers are long. Sent all at once, the first
     /// ones fill the link for so long that the node seems dead to the others.
-    pub(super) fn take_link(&self, answer: UnscheduledAnswer, bytes: u64) -> Option<LinkPromise> {
-        if bytes <= SHORT_MAX {
+    pub(super) fn schedule_long_response(
+        &self,
+        answer: UnscheduledAnswer,
+        bytes: u64,
+    ) -> Option<LinkReservation> {
+        if bytes <= SHORT_RESPONSE_MAX_BYTES {
             return None;
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
-        let offer = LinkOffer {
+        let offer = LinkRequest {
             bytes,
             made_in: Duration::ZERO,
             useful_until: clock.at(answer.useful_until),
@@ -63,8 +67,8 @@
         Some(link.take(clock, answer.id, offer))
     }
 
-    /// Returns what [`DoorFlow::take_link`] needs, if another node sent the request.
-    pub(super) fn unscheduled_answer(&self, request: &DoorRequest) -> Option<UnscheduledAnswer> {
+    /// Returns what [`InboundProxy::schedule_long_response`] needs, if another node sent the request.
+    pub(super) fn unscheduled_answer(&self, request: &InboundRequest) -> Option<UnscheduledAnswer> {
         (request.origin == RequestOrigin::Node).then(|| UnscheduledAnswer {
             id: self.id_of(request),
             useful_until: request.useful_until,
@@ -73,7 +77,7 @@
     }
 
     /// Returns the identifier of a request, for the log.
-    fn id_of(&self, request: &DoorRequest) -> Option<HeaderValue> {
+    fn id_of(&self, request: &InboundRequest) -> Option<HeaderValue> {
         request.headers.get(&self.headers.request_id).cloned()
     }
 }
--- a/crates/node/src/door/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -5,15 +5,16 @@
 use tokio::{sync::oneshot, time::timeout_at};
 
 use super::{
-    DoorError, DoorFlow, DoorRequest, JobKey, JobOffer, OfferVerdict, RefusalReason, RunSlot,
-    door_flow::{DoorInner, RETRY_ELSEWHERE, refused},
+    AdmissionDecision, AdmissionRequest, InboundError, InboundProxy, InboundRequest, QueueKey,
+    RefusalReason, RunSlot,
+    inbound_proxy::{InboundState, RETRY_ELSEWHERE, refused},
 };
 
 /// A place in the queue; dropped early, it is given up.
 struct QueuePlace<'a> {
-    inner: &'a Rc<DoorInner>,
-    key: JobKey,
-    class: u64,
+    inner: &'a Rc<InboundState>,
+    key: QueueKey,
+    route_hash: u64,
     taken: bool,
 }
 
@@ -26,49 +27,52 @@
         let waited = self.inner.queue.borrow_mut().withdraw(self.key);
         if !waited {
             // Granted in the moment in which the caller left.
-            self.inner.finish(self.class, None);
+            self.inner.finish(self.route_hash, None);
         }
     }
 }
 
-impl DoorFlow {
+impl InboundProxy {
     /// Waits for a slot of the backend server.
     ///
     /// # Errors
     ///
     /// When there is none soon enough for the request.
-    pub(super) async fn wait_for_slot(&self, request: &DoorRequest) -> Result<RunSlot, DoorError> {
-        let class = request.class;
-        let offer = JobOffer {
+    pub(super) async fn wait_for_slot(
+        &self,
+        request: &InboundRequest,
+    ) -> Result<RunSlot, InboundError> {
+        let route_hash = request.route_hash;
+        let offer = AdmissionRequest {
             rank: request.rank,
-            class,
-            begun: request.begun,
+            route_hash,
+            nested: request.nested,
             may_wait: request.may_wait,
             useful_until: self.inner.clock.at(request.useful_until),
             ends_at: self.inner.clock.at(request.ends_at),
         };
         let now = self.inner.clock.now();
-        let verdict = self.inner.queue.borrow_mut().offer(now, offer);
-        let (key, latest) = match verdict {
-            OfferVerdict::Run => return Ok(RunSlot::new(Rc::clone(&self.inner), class)),
-            OfferVerdict::Busy => return refused(RefusalReason::Busy, RETRY_ELSEWHERE),
-            OfferVerdict::Refuse { retry_after } => {
+        let decision = self.inner.queue.borrow_mut().offer(now, offer);
+        let (key, latest) = match decision {
+            AdmissionDecision::Run => return Ok(RunSlot::new(Rc::clone(&self.inner), route_hash)),
+            AdmissionDecision::Busy => return refused(RefusalReason::Busy, RETRY_ELSEWHERE),
+            AdmissionDecision::Refuse { retry_after } => {
                 return refused(RefusalReason::Full, retry_after);
             }
-            OfferVerdict::Wait { key, latest } => (key, latest),
+            AdmissionDecision::Wait { key, latest } => (key, latest),
         };
         let (grant, granted) = oneshot::channel();
         self.inner.waiters.borrow_mut().insert(key, grant);
         let mut place = QueuePlace {
             inner: &self.inner,
             key,
-            class,
+            route_hash,
             taken: false,
         };
         let latest = self.inner.clock.instant(latest);
         if timeout_at(latest, granted).await.is_ok() {
             place.taken = true;
-            return Ok(RunSlot::new(Rc::clone(&self.inner), class));
+            return Ok(RunSlot::new(Rc::clone(&self.inner), route_hash));
         }
         // When it was granted in this very moment, the place frees the slot.
         place.taken = self.inner.queue.borrow_mut().expire(key);
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    LoadReport, MemberKey, MemberNews, MemberRecord, MemberView, MovingMean,
+    LoadReport, MemberKey, MemberRecord, MemberUpdate, MemberView, MovingMean,
     member_distance::NodeLocation, service_pool::ServicePool,
 };
 use crate::store::Revision;
@@ -29,7 +29,7 @@
 
 /// How a try at a member ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum TryOutcome {
     /// It answered; `failed` when with a failure of its own.
     Answered {
         /// Whether the answer was a failure.
@@ -41,7 +41,7 @@
         retry_after: Duration,
     },
     /// The node beside it lives, but has no backend server to give work to.
-    Shut,
+    NoBackend,
     /// The node beside it refused a long answer, for want of room on its
     /// instance's link.
     LinkRefused {
@@ -85,7 +85,7 @@
     }
 
     /// Makes an empty view for a node in `data_centre` whose own backend server is
-    /// announced at `hop`.
+    /// announced at `peer_addr`.
     ///
     /// # Examples
     ///
@@ -96,13 +96,16 @@
     /// assert!(fleet.is_empty());
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
-    pub fn with_local_endpoint(data_centre: impl Into<String>, hop: SocketAddr) -> Self {
-        Self::with_location(data_centre.into(), Some(hop))
+    pub fn with_local_endpoint(data_centre: impl Into<String>, peer_addr: SocketAddr) -> Self {
+        Self::with_location(data_centre.into(), Some(peer_addr))
     }
 
-    fn with_location(data_centre: String, hop: Option<SocketAddr>) -> Self {
+    fn with_location(data_centre: String, peer_addr: Option<SocketAddr>) -> Self {
         Self {
-            location: NodeLocation { data_centre, hop },
+            location: NodeLocation {
+                data_centre,
+                peer_addr,
+            },
             members: Slab::new(),
             keys: HashMap::new(),
             services: HashMap::new(),
@@ -119,7 +122,7 @@
     /// News come over several ways, the node's own writes among them; an
     /// announcement older than the one known changes nothing.
     pub fn announce(&mut self, now: Duration, record: MemberRecord, revision: Revision) -> bool {
-        let Some(&key) = self.keys.get(&record.hop) else {
+        let Some(&key) = self.keys.get(&record.peer_addr) else {
             self.insert(now, record, revision);
             return true;
         };
@@ -142,8 +145,8 @@
     ///
     /// The member is kept for a moment: the store drops announcements while it
     /// is away, and a node that lives writes its own again.
-    pub fn lapse(&mut self, now: Duration, hop: SocketAddr, revision: Revision) -> bool {
-        let key = self.keys.get(&hop);
+    pub fn lapse(&mut self, now: Duration, peer_addr: SocketAddr, revision: Revision) -> bool {
+        let key = self.keys.get(&peer_addr);
         key.is_some_and(|key| self.members[key.index as usize].lapse(now, revision))
     }
 
@@ -159,7 +162,7 @@
         present: impl Fn(&SocketAddr) -> bool,
     ) {
         for (_, member) in &mut self.members {
-            if !present(&member.record.hop) {
+            if !present(&member.record.peer_addr) {
                 member.lapse(now, revision);
             }
         }
@@ -178,8 +181,8 @@
         let mut records = Vec::with_capacity(gone.len());
         for index in gone {
             let member = self.members.remove(index);
-            self.keys.remove(&member.record.hop);
-            self.note_drop(member.record.hop, member.revision);
+            self.keys.remove(&member.record.peer_addr);
+            self.note_drop(member.record.peer_addr, member.revision);
             records.push(member.record);
         }
         if !records.is_empty() {
@@ -189,10 +192,10 @@
     }
 
     /// Drops a member that said farewell.
-    pub fn remove(&mut self, hop: SocketAddr, revision: Revision) {
-        if let Some(key) = self.keys.remove(&hop) {
+    pub fn remove(&mut self, peer_addr: SocketAddr, revision: Revision) {
+        if let Some(key) = self.keys.remove(&peer_addr) {
             self.members.remove(key.index as usize);
-            self.note_drop(hop, revision);
+            self.note_drop(peer_addr, revision);
             self.index_services();
         }
     }
@@ -208,7 +211,7 @@
     }
 
     /// Returns what happened after `since`, for another node.
-    pub fn news_since(&self, since: Revision) -> MemberNews {
+    pub fn update_since(&self, since: Revision) -> MemberUpdate {
         let whole = since == Revision(0) || since < self.forgotten;
         let fresh = |revision: Revision| whole || revision > since;
         let members = self.members.iter().map(|(_, member)| member);
@@ -217,27 +220,29 @@
         let dropped = self.dropped.iter().filter(|(_, revision)| fresh(*revision));
         let lapsed = lapsed
             .into_iter()
-            .map(|member| (member.record.hop, member.revision));
+            .map(|member| (member.record.peer_addr, member.revision));
         let lapsed = lapsed.chain(dropped.copied());
         let written = written.into_iter();
-        MemberNews {
+        MemberUpdate {
             revision: self.revision.0,
             whole,
             written: written
                 .map(|member| (member.record.clone(), member.revision.0))
                 .collect(),
-            lapsed: lapsed.map(|(hop, revision)| (hop, revision.0)).collect(),
+            lapsed: lapsed
+                .map(|(peer_addr, revision)| (peer_addr, revision.0))
+                .collect(),
         }
     }
 
     /// Returns the members of this node's data centre, best link first, in an
     /// order that all nodes share.
-    pub fn carriers(&self) -> Vec<&MemberRecord> {
+    pub fn relay_candidates(&self) -> Vec<&MemberRecord> {
         let near = self.members.iter().map(|(_, member)| member);
         let near = near.filter(|member| member.is_near() && !member.has_lapsed());
         let mut records: Vec<&MemberRecord> = near.map(|member| &member.record).collect();
         records.sort_by_key(|record| {
-            let place = xxh3_64(record.hop.to_string().as_bytes());
+            let place = xxh3_64(record.peer_addr.to_string().as_bytes());
             (Reverse(record.link_mbps), place)
         });
         records
@@ -247,7 +252,7 @@
     pub fn reachable(&self, now: Duration) -> impl Iterator<Item = SocketAddr> {
         let open = self.members.iter().map(|(_, member)| member);
         let open = open.filter(move |member| !member.has_lapsed() && member.is_open(now));
-        open.map(|member| member.record.hop)
+        open.map(|member| member.record.peer_addr)
     }
 
     /// Returns a member, unless it has gone.
@@ -256,14 +261,14 @@
         (member.generation == key.generation).then_some(member)
     }
 
-    /// Returns the key of the member at `hop`.
-    pub fn key_of(&self, hop: SocketAddr) -> Option<MemberKey> {
-        self.keys.get(&hop).copied()
+    /// Returns the key of the member at `peer_addr`.
+    pub fn key_of(&self, peer_addr: SocketAddr) -> Option<MemberKey> {
+        self.keys.get(&peer_addr).copied()
     }
 
-    /// Returns the member at `hop`, if one is known.
-    pub fn at(&self, hop: SocketAddr) -> Option<&MemberView> {
-        self.get(self.key_of(hop)?)
+    /// Returns the member at `peer_addr`, if one is known.
+    pub fn at(&self, peer_addr: SocketAddr) -> Option<&MemberView> {
+        self.get(self.key_of(peer_addr)?)
     }
 
     /// Returns the members' announcements.
@@ -282,17 +287,23 @@
     }
 
     /// Notes that a request goes to `key`.
-    pub fn sent(&mut self, key: MemberKey) {
+    pub fn request_sent(&mut self, key: MemberKey) {
         if let Some(member) = self.get_mut(key) {
-            member.sent();
+            member.request_sent();
         }
     }
 
-    /// Takes in the load that came with an answer to a request of `class`, or
+    /// Takes in the load that came with an answer to a request of `route_hash`, or
     /// with a refusal of one.
-    pub fn loaded(&mut self, now: Duration, key: MemberKey, class: u64, report: LoadReport) {
+    pub fn record_load(
+        &mut self,
+        now: Duration,
+        key: MemberKey,
+        route_hash: u64,
+        report: LoadReport,
+    ) {
         let run = report.run.as_secs_f64();
-        let usual = self.class_runs.entry(class).or_default();
+        let usual = self.class_runs.entry(route_hash).or_default();
         if run > 0.0 {
             usual.observe(run, RUN_WEIGHT);
         }
@@ -300,36 +311,36 @@
         let Some((member, pool)) = self.get_with_pool(key) else {
             return;
         };
-        member.loaded(now, class, report, usual);
+        member.record_load(now, route_hash, report, usual);
         if let Some(pool) = pool {
-            pool.loaded(report, member.record.slots);
+            pool.record_load(report, member.record.slots);
         }
     }
 
     /// Takes in how a try at `key` went, as soon as that is known.
-    pub fn judged(&mut self, now: Duration, key: MemberKey, end: TryEnd) {
+    pub fn record_try_outcome(&mut self, now: Duration, key: MemberKey, end: TryOutcome) {
         let Some((member, pool)) = self.get_with_pool(key) else {
             return;
         };
         match end {
-            TryEnd::Answered { failed } => member.answered(now, failed),
-            TryEnd::Refused { retry_after } => member.refused(now, retry_after),
-            TryEnd::LinkRefused { retry_after } => member.link_refused(now, retry_after),
-            TryEnd::Shut => member.shut(now),
-            TryEnd::Broke => member.broke(),
-            TryEnd::Unreachable | TryEnd::Silent => member.unreachable(now),
-            TryEnd::Abandoned => {}
+            TryOutcome::Answered { failed } => member.answered(now, failed),
+            TryOutcome::Refused { retry_after } => member.refused(now, retry_after),
+            TryOutcome::LinkRefused { retry_after } => member.link_refused(now, retry_after),
+            TryOutcome::NoBackend => member.shut(now),
+            TryOutcome::Broke => member.broke(),
+            TryOutcome::Unreachable | TryOutcome::Silent => member.unreachable(now),
+            TryOutcome::Abandoned => {}
         }
-        if let (TryEnd::Answered { failed }, Some(pool)) = (end, pool) {
+        if let (TryOutcome::Answered { failed }, Some(pool)) = (end, pool) {
             pool.answered(failed);
         }
     }
 
     /// Notes that nothing more comes of a request; each
-    /// [`FleetView::sent`] needs one call of this.
-    pub fn ended(&mut self, key: MemberKey) {
+    /// [`FleetView::request_sent`] needs one call of this.
+    pub fn request_ended(&mut self, key: MemberKey) {
         if let Some(member) = self.get_mut(key) {
-            member.ended();
+            member.request_ended();
         }
     }
 
@@ -354,23 +365,23 @@
     fn insert(&mut self, now: Duration, record: MemberRecord, revision: Revision) {
         self.generation += 1;
         let distance = self.location.distance(&record);
-        let (hop, service) = (record.hop, record.service.clone());
+        let (peer_addr, service) = (record.peer_addr, record.service.clone());
         let mut member = MemberView::new(now, record, distance, self.generation);
         member.revision = revision;
         let index = self.members.insert(member) as u32;
         let generation = self.generation;
         let key = MemberKey { index, generation };
-        self.keys.insert(hop, key);
+        self.keys.insert(peer_addr, key);
         self.services.entry(service).or_default().keys.push(key);
     }
 
-    fn note_drop(&mut self, hop: SocketAddr, revision: Revision) {
+    fn note_drop(&mut self, peer_addr: SocketAddr, revision: Revision) {
         if self.dropped.len() == DROPS_KEPT
             && let Some((_, forgotten)) = self.dropped.pop_front()
         {
             self.forgotten = self.forgotten.max(forgotten);
         }
-        self.dropped.push_back((hop, revision));
+        self.dropped.push_back((peer_addr, revision));
     }
 
     fn index_services(&mut self) {
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -56,10 +56,10 @@
     ///
     /// An open one on this node's instance is always compared: its answer uses no link.
     ///
-    /// Long answers are dear to carry between data centres. The door at home knows best
+    /// Long answers are dear to carry between data centres. The inbound proxy at home knows best
     /// whether an answer of it would be in time, and refuses at once when it wouldn't, so
     /// it is asked first, unless it has refused a moment ago.
-    pub fn pick_home(
+    pub fn pick_in_data_centre(
         &self,
         now: Duration,
         query: &PickQuery<'_>,
@@ -169,7 +169,12 @@
     /// While no member has told how long such runs take, as after a start, that is the
     /// target time: an assumed one would doubt every member that is slower, and send each
     /// request to two of them when all are cold.
-    pub fn patience(&self, now: Duration, key: MemberKey, query: &PickQuery<'_>) -> Duration {
+    pub fn silence_timeout(
+        &self,
+        now: Duration,
+        key: MemberKey,
+        query: &PickQuery<'_>,
+    ) -> Duration {
         let Some(pool) = self.services.get(query.service) else {
             return PATIENCE_MIN;
         };
@@ -193,7 +198,10 @@
         pool: &ServicePool,
         query: &'a PickQuery<'a>,
     ) -> PickCost<'a> {
-        let run = self.class_runs.get(&query.class).and_then(MovingMean::get);
+        let run = self
+            .class_runs
+            .get(&query.route_hash)
+            .and_then(MovingMean::get);
         let usual = UsualRun {
             run: run.map(Duration::from_secs_f64),
             held: pool.usual_held(),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -12,21 +12,21 @@
 };
 
 use crate::{
-    answer_body::AnswerBody,
+    admin::AdminHandler,
     crash::watch_crashes,
-    door::confirm_endpoint,
-    errand::run_errands,
-    follow::{
-        ConfigSource, catch_up, follow_guide, keep_announced, look_for_store, watch_config,
+    delegation::run_delegated_calls,
+    discovery::{
+        ConfigSource, catch_up, follow_relay, keep_announced, probe_store, watch_config,
         watch_eras, watch_members,
     },
-    front::FrontFlow,
-    hop_port::HopPort,
-    http_port::{PortError, PortLimits, open_port, serve_port},
-    node_core::{CALLERS_LEAVE, NodeCore, OpenMark},
+    http_listener::{BindError, ConnectionLimits, bind_listener, serve_listener},
+    inbound::confirm_endpoint,
+    node_core::{CALLER_DRAIN_TIME, NodeCore, OpenRequestGuard},
     node_settings::ListenAddrs,
-    operators::OperatorsPort,
+    outbound::OutboundProxy,
+    peer_handler::PeerHandler,
     request_origin::RequestOrigin,
+    response_body::ResponseBody,
     store::MetaStore,
 };
 
@@ -51,90 +51,93 @@
 
 /// The ports of a node, open.
 #[derive(Debug)]
-pub struct NodePorts {
+pub struct NodeListeners {
     callers: TcpListener,
-    hop: TcpListener,
+    peers: TcpListener,
     readiness: TcpListener,
     reports: TcpListener,
     metrics: Option<TcpListener>,
 }
 
-impl NodePorts {
+impl NodeListeners {
     /// Opens them. A node whose metrics port is taken runs without metrics:
     /// callers must not suffer for it.
     ///
     /// # Errors
     ///
     /// When another address can't be bound.
-    pub fn open(addrs: &ListenAddrs, logger: &Logger) -> Result<Self, PortError> {
+    pub fn open(addrs: &ListenAddrs, logger: &Logger) -> Result<Self, BindError> {
         let metrics = addrs.metrics.and_then(|addr| {
-            let opened = open_port(addr);
+            let opened = bind_listener(addr);
             opened
                 .inspect_err(|cause| warn!(logger, "no metrics"; "cause" => %cause))
                 .ok()
         });
         Ok(Self {
-            callers: open_port(addrs.callers)?,
-            hop: open_port(addrs.hop)?,
-            readiness: open_port(addrs.readiness)?,
-            reports: open_port(addrs.reports)?,
+            callers: bind_listener(addrs.callers)?,
+            peers: bind_listener(addrs.peers)?,
+            readiness: bind_listener(addrs.readiness)?,
+            reports: bind_listener(addrs.reports)?,
             metrics,
         })
     }
 }
 
 /// What the platform asks of a node, as its adapter answers it.
-pub trait PlatformPort: Clone + 'static {
+pub trait PlatformHandler: Clone + 'static {
     /// Answers a readiness check.
-    fn readiness(self, request: Request<Incoming>) -> impl Future<Output = Response<AnswerBody>>;
+    fn readiness(self, request: Request<Incoming>) -> impl Future<Output = Response<ResponseBody>>;
 
     /// Answers a heartbeat or farewell of the backend server.
-    fn report(self, request: Request<Incoming>) -> impl Future<Output = Response<AnswerBody>>;
+    fn report(self, request: Request<Incoming>) -> impl Future<Output = Response<ResponseBody>>;
 }
 
 /// Starts every task of a node on the current thread's executor.
 pub fn start_node(
     core: &Rc<NodeCore>,
-    ports: NodePorts,
-    platform: impl PlatformPort,
+    listeners: NodeListeners,
+    platform: impl PlatformHandler,
     store: Rc<impl MetaStore>,
     source: ConfigSource,
 ) {
     info!(core.log.logger(), "started";
-        "hop" => %core.settings.hop,
+        "hop" => %core.settings.peer_addr,
         "endpoint" => %core.settings.endpoint,
         "service" => &*core.settings.service,
         "data_centre" => &*core.settings.data_centre);
-    serve_callers(core, ports.callers);
-    serve_inner(core, ports.hop, {
-        let port = HopPort::new(Rc::clone(core));
+    serve_callers(core, listeners.callers);
+    serve_inner(core, listeners.peers, {
+        let handler = PeerHandler::new(Rc::clone(core));
         let core = Rc::clone(core);
         move |request| {
-            let (port, open) = (port.clone(), core.open_mark(RequestOrigin::Node));
-            async move { opened(port.answer(request).await, open) }
+            let (handler, open) = (
+                handler.clone(),
+                core.open_request_guard(RequestOrigin::Node),
+            );
+            async move { opened(handler.answer(request).await, open) }
         }
     });
     let readiness = platform.clone();
-    serve_inner(core, ports.readiness, move |request| {
+    serve_inner(core, listeners.readiness, move |request| {
         readiness.clone().readiness(request)
     });
-    serve_inner(core, ports.reports, move |request| {
+    serve_inner(core, listeners.reports, move |request| {
         platform.clone().report(request)
     });
-    if let Some(metrics) = ports.metrics {
-        let port = OperatorsPort::new(Rc::clone(core));
+    if let Some(metrics) = listeners.metrics {
+        let handler = AdminHandler::new(Rc::clone(core));
         serve_inner(core, metrics, move |request| {
-            std::future::ready(port.answer(&request))
+            std::future::ready(handler.answer(&request))
         });
     }
     spawn_local(watch_config(Rc::clone(core), Rc::clone(&store), source));
     spawn_local(watch_members(Rc::clone(core), Rc::clone(&store)));
-    spawn_local(follow_guide(Rc::clone(core)));
+    spawn_local(follow_relay(Rc::clone(core)));
     spawn_local(confirm_endpoint(Rc::clone(core)));
-    spawn_local(look_for_store(Rc::clone(core), Rc::clone(&store)));
+    spawn_local(probe_store(Rc::clone(core), Rc::clone(&store)));
     spawn_local(watch_eras(Rc::clone(core)));
     spawn_local(watch_crashes(Rc::clone(core), Rc::clone(&store)));
-    spawn_local(run_errands(Rc::clone(core), Rc::clone(&store)));
+    spawn_local(run_delegated_calls(Rc::clone(core), Rc::clone(&store)));
     spawn_local(keep_announced(Rc::clone(core), store));
     spawn_local(catch_up(Rc::clone(core)));
     spawn_local(sweep(Rc::clone(core)));
@@ -146,11 +149,11 @@
 /// any more; other nodes get refusals, upon which they go elsewhere.
 pub async fn stop_node(core: &Rc<NodeCore>) {
     let begun = Instant::now();
-    info!(core.log.logger(), "stopping"; "open" => core.open.get());
-    core.begin_stop();
+    info!(core.log.logger(), "stopping"; "open" => core.open_requests.get());
+    core.begin_shutdown();
     let latest = core.settings.stop_time.saturating_sub(STOP_MARGIN);
     while begun.elapsed() < latest {
-        if begun.elapsed() >= CALLERS_LEAVE && core.open.get() == 0 {
+        if begun.elapsed() >= CALLER_DRAIN_TIME && core.open_requests.get() == 0 {
             break;
         }
         sleep(STOP_LOOK).await;
@@ -161,34 +164,37 @@
         sleep(CLOSE_LOOK).await;
     }
     info!(core.log.logger(), "stopped";
-        "open" => core.open.get(),
+        "open" => core.open_requests.get(),
         "took_ms" => begun.elapsed().as_millis() as u64);
 }
 
 /// Counts an answer as open, and on the link, until its end.
-fn opened(answer: Response<AnswerBody>, open: OpenMark) -> Response<AnswerBody> {
+fn opened(answer: Response<ResponseBody>, open: OpenRequestGuard) -> Response<ResponseBody> {
     open.sent_head(answer.headers());
-    answer.map(|body| body.with_open(open))
+    answer.map(|body| body.with_open_request_guard(open))
 }
 
 fn serve_callers(core: &Rc<NodeCore>, listener: TcpListener) {
-    let flow = FrontFlow::new(Rc::clone(core));
+    let flow = OutboundProxy::new(Rc::clone(core));
     let (counted, limited) = (Rc::clone(core), Rc::clone(core));
     let answer = move |request| {
-        let (flow, open) = (flow.clone(), counted.open_mark(RequestOrigin::Caller));
+        let (flow, open) = (
+            flow.clone(),
+            counted.open_request_guard(RequestOrigin::Caller),
+        );
         async move { opened(flow.answer(request).await, open) }
     };
     let limits = move || match &*limited.config.borrow() {
-        Some(config) => PortLimits {
+        Some(config) => ConnectionLimits {
             idle_time: config.limits.idle_time,
             head_bytes: config.limits.head_bytes,
         },
-        None => PortLimits {
+        None => ConnectionLimits {
             idle_time: FIRST_IDLE,
             head_bytes: INNER_HEAD,
         },
     };
-    spawn_local(serve_port(Rc::clone(core), listener, limits, answer));
+    spawn_local(serve_listener(Rc::clone(core), listener, limits, answer));
 }
 
 fn serve_inner<F>(
@@ -196,13 +202,13 @@
     listener: TcpListener,
     answer: impl Fn(Request<Incoming>) -> F + Clone + 'static,
 ) where
-    F: Future<Output = Response<AnswerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
-    let limits = || PortLimits {
+    let limits = || ConnectionLimits {
         idle_time: INNER_IDLE,
         head_bytes: INNER_HEAD,
     };
-    spawn_local(serve_port(Rc::clone(core), listener, limits, answer));
+    spawn_local(serve_listener(Rc::clone(core), listener, limits, answer));
 }
 
 async fn sweep(core: Rc<NodeCore>) {
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -1,9 +1,9 @@
 //! What the parts of a node share.
 
-mod connection_mark;
+mod connection_guard;
 mod crash_notes;
 mod endpoint_reports;
-mod open_mark;
+mod open_request_guard;
 mod request_notes;
 mod store_contact;
 
@@ -18,38 +18,38 @@
 use slog::info;
 use tokio::sync::{Notify, watch};
 
-pub use connection_mark::ConnectionMark;
-pub use open_mark::OpenMark;
+pub use connection_guard::ConnectionGuard;
+pub use open_request_guard::OpenRequestGuard;
 
 use crate::{
     config::{ConfigVersion, MeshConfig},
-    crash::CrashBook,
-    distribution::{ConfigHistory, Guide, StoreAccess},
-    door::{DoorFlow, DoorSettings},
-    errand::ErrandDesk,
+    crash::CrashHistory,
+    delegation::DelegatedCallQueue,
+    distribution::{ConfigHistory, RelaySelector, StoreAccess},
     event_log::EventLog,
-    front::{DeadlineBook, ReturnBook},
-    header_set::HeaderSet,
-    hop::{ConnectionPool, PoolSettings},
-    link::{LinkLine, LinkNotes},
-    member::{AnswerSizes, FleetView, LoadReport, MemberKey, MemberRecord},
+    header_names::HeaderNames,
+    inbound::{InboundProxy, InboundSettings},
+    link::{LinkReporter, LinkScheduler},
+    member::{FleetView, LoadReport, MemberKey, MemberRecord, ResponseSizes},
     node_clock::NodeClock,
     node_metrics::NodeMetrics,
     node_settings::NodeSettings,
+    outbound::{DeadlineTracker, ResendTracker},
     request_origin::RequestOrigin,
     retry::RetryBudget,
     store::{EraTracker, LeaseId},
+    transport::{ConnectionPool, PoolSettings},
 };
 
 /// Slots assumed until the backend server tells: the usual size of one.
-const SLOTS_UNKNOWN: u32 = 8;
+const ASSUMED_SLOTS: u32 = 8;
 /// Part of the allowed time in which a leaving backend server still gets new
 /// work. The rest covers the way of a request that is already here.
 const LEAVING_PART: f64 = 0.4;
 
 /// Time after the signal to stop in which callers are still served: readiness
 /// is checked each second, and two misses take this node out.
-pub const CALLERS_LEAVE: Duration = Duration::from_millis(2_600);
+pub const CALLER_DRAIN_TIME: Duration = Duration::from_millis(2_600);
 
 /// What the parts of a node share.
 ///
@@ -59,47 +59,47 @@
     /// Settings.
     pub settings: NodeSettings,
     /// Names of the headers.
-    pub headers: HeaderSet,
+    pub headers: HeaderNames,
     /// Clock.
     pub clock: NodeClock,
     /// Configuration in force; none until the first was read.
     pub config: RefCell<Option<Rc<MeshConfig>>>,
     /// Members.
     pub fleet: RefCell<FleetView>,
-    /// Door of the own backend server.
-    pub door: DoorFlow,
+    /// Inbound proxy of the own backend server.
+    pub inbound: InboundProxy,
     /// Crashes of backend servers.
-    pub crashes: Rc<RefCell<CrashBook>>,
+    pub crashes: Rc<RefCell<CrashHistory>>,
     /// Link of the instance.
-    pub link: Rc<LinkLine>,
+    pub link: Rc<LinkScheduler>,
     /// Connections to other nodes.
-    pub hops: ConnectionPool,
+    pub peer_connections: ConnectionPool,
     /// Retries.
     pub retries: RefCell<RetryBudget>,
     /// Log.
     pub log: EventLog,
     /// Metrics.
     pub metrics: NodeMetrics,
-    /// Wakes the announcer after the door's state changed.
-    pub announce: Notify,
+    /// Wakes the announcer after the inbound proxy's state changed.
+    pub announcement_changed: Notify,
     /// Own announcement as an earlier process left it.
     pub own_record: RefCell<Option<MemberRecord>>,
     /// Lease of that announcement.
     pub own_lease: Cell<Option<LeaseId>>,
     /// Wakes who confirms it.
-    pub own_record_heard: Notify,
+    pub own_record_received: Notify,
     /// Wakes who waits until the announcement stands in the store.
     pub announced: Notify,
     /// Whether the announcement in the store is known to be old.
-    pub announce_pending: Cell<bool>,
+    pub announcement_outdated: Cell<bool>,
     /// A node that holds a later configuration than this one.
-    pub ahead: RefCell<Option<(ConfigVersion, SocketAddr)>>,
+    pub newer_config_at: RefCell<Option<(ConfigVersion, SocketAddr)>>,
     /// Wakes the exchange with that node.
-    pub ahead_heard: Notify,
+    pub newer_config_known: Notify,
     /// Wakes whoever waits for a new configuration or member.
-    pub news: Notify,
+    pub updates: Notify,
     /// Wakes whoever depends on whether this node watches the store.
-    pub duty_changed: Notify,
+    pub watch_duty_changed: Notify,
     /// Eras of the store.
     pub eras: Rc<EraTracker>,
     /// Whether the store is called.
@@ -109,26 +109,26 @@
     /// Wakes who waits for the store.
     pub store_back: Notify,
     /// Calls to the store for other nodes.
-    pub errands: ErrandDesk,
+    pub delegated_calls: DelegatedCallQueue,
     /// Which node watches the store for whom.
-    pub guide: RefCell<Guide>,
+    pub relay_selector: RefCell<RelaySelector>,
     /// Configurations that other nodes may still hold.
     pub history: RefCell<ConfigHistory>,
     /// Requests of callers that are open.
-    pub open: Cell<u32>,
+    pub open_requests: Cell<u32>,
     /// Connections of others, and ports, that are open.
     pub connections: Cell<u32>,
     /// Whether ports are being shut and connections closed.
     pub closing: watch::Sender<bool>,
     /// When callers that come again first asked.
-    pub returns: RefCell<ReturnBook>,
+    pub resends: RefCell<ResendTracker>,
     /// How long ago callers first asked.
-    pub deadlines: RefCell<DeadlineBook>,
-    sizes: RefCell<AnswerSizes>,
+    pub deadlines: RefCell<DeadlineTracker>,
+    response_sizes: RefCell<ResponseSizes>,
     caller_service: RefCell<HeaderValue>,
     stopping_since: Cell<Option<Duration>>,
     /// When the members of this data centre were first read.
-    home_listed_at: Cell<Option<Duration>>,
+    local_members_listed_at: Cell<Option<Duration>>,
 }
 
 impl NodeCore {
@@ -139,25 +139,25 @@
     /// When the metrics can't be registered.
     pub fn new(
         settings: NodeSettings,
-        headers: HeaderSet,
+        headers: HeaderNames,
         log: EventLog,
     ) -> Result<Rc<Self>, Box<dyn std::error::Error>> {
         let clock = NodeClock::start();
-        let door_settings = DoorSettings {
+        let inbound_settings = InboundSettings {
             endpoint: settings.endpoint,
-            slots: SLOTS_UNKNOWN,
+            slots: ASSUMED_SLOTS,
             leaving_grace: settings.leaving_time.mul_f64(LEAVING_PART),
         };
-        let hops = ConnectionPool::new(PoolSettings {
-            connect_time: settings.hop_connect,
-            idle_time: settings.hop_idle,
+        let peer_connections = ConnectionPool::new(PoolSettings {
+            connect_time: settings.peer_connect_timeout,
+            idle_time: settings.peer_idle_timeout,
         });
         let metrics = NodeMetrics::new(&settings)?;
-        let notes = LinkNotes::new(log.clone(), metrics.link());
-        let link = Rc::new(LinkLine::new(settings.link_mbps, notes));
-        let crashes = Rc::<RefCell<CrashBook>>::default();
-        let door = DoorFlow::new(
-            door_settings,
+        let notes = LinkReporter::new(log.clone(), metrics.link());
+        let link = Rc::new(LinkScheduler::new(settings.link_mbps, notes));
+        let crashes = Rc::<RefCell<CrashHistory>>::default();
+        let inbound = InboundProxy::new(
+            inbound_settings,
             headers.clone(),
             clock,
             Rc::clone(&link),
@@ -166,43 +166,43 @@
         let caller_service = endpoint_reports::service_value(&settings.service);
         Ok(Rc::new(Self {
             metrics,
-            door,
+            inbound,
             link,
             config: RefCell::default(),
             crashes,
             fleet: RefCell::new(FleetView::with_local_endpoint(
                 settings.data_centre.clone(),
-                settings.hop,
+                settings.peer_addr,
             )),
-            hops,
+            peer_connections,
             retries: RefCell::new(RetryBudget::new(settings.retries)),
             log,
-            announce: Notify::new(),
+            announcement_changed: Notify::new(),
             own_record: RefCell::default(),
             own_lease: Cell::new(None),
-            own_record_heard: Notify::new(),
+            own_record_received: Notify::new(),
             announced: Notify::new(),
-            announce_pending: Cell::new(false),
-            ahead: RefCell::default(),
-            ahead_heard: Notify::new(),
-            news: Notify::new(),
-            duty_changed: Notify::new(),
+            announcement_outdated: Cell::new(false),
+            newer_config_at: RefCell::default(),
+            newer_config_known: Notify::new(),
+            updates: Notify::new(),
+            watch_duty_changed: Notify::new(),
             eras: Rc::default(),
             store_access: RefCell::default(),
             store_lost: Notify::new(),
             store_back: Notify::new(),
-            errands: ErrandDesk::default(),
-            guide: RefCell::new(Guide::new(settings.hop)),
+            delegated_calls: DelegatedCallQueue::default(),
+            relay_selector: RefCell::new(RelaySelector::new(settings.peer_addr)),
             history: RefCell::default(),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             connections: Cell::new(0),
             closing: watch::Sender::new(false),
-            returns: RefCell::default(),
+            resends: RefCell::default(),
             deadlines: RefCell::default(),
-            sizes: RefCell::default(),
+            response_sizes: RefCell::default(),
             caller_service: RefCell::new(caller_service),
             stopping_since: Cell::new(None),
-            home_listed_at: Cell::new(None),
+            local_members_listed_at: Cell::new(None),
             settings,
             headers,
             clock,
@@ -210,15 +210,15 @@
     }
 
     /// Counts a request as open until the mark is dropped.
-    pub fn open_mark(self: &Rc<Self>, origin: RequestOrigin) -> OpenMark {
-        self.open.set(self.open.get() + 1);
-        OpenMark::new(Rc::clone(self), origin)
+    pub fn open_request_guard(self: &Rc<Self>, origin: RequestOrigin) -> OpenRequestGuard {
+        self.open_requests.set(self.open_requests.get() + 1);
+        OpenRequestGuard::new(Rc::clone(self), origin)
     }
 
     /// Counts a connection or a port as open until the mark is dropped.
-    pub fn connection_mark(self: &Rc<Self>) -> ConnectionMark {
+    pub fn connection_guard(self: &Rc<Self>) -> ConnectionGuard {
         self.connections.set(self.connections.get() + 1);
-        ConnectionMark(Rc::clone(self))
+        ConnectionGuard(Rc::clone(self))
     }
 
     /// Returns the version in force; 0 for none.
@@ -243,29 +243,31 @@
         self.metrics.config_version(config.version.0);
         self.history.borrow_mut().push(Rc::clone(&config.input));
         *self.config.borrow_mut() = Some(Rc::new(config));
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
         true
     }
 
-    /// Takes in that the node at `hop` holds `version`.
-    pub fn heard_version(&self, version: ConfigVersion, hop: SocketAddr) {
+    /// Takes in that the node at `peer_addr` holds `version`.
+    pub fn record_peer_version(&self, version: ConfigVersion, peer_addr: SocketAddr) {
         if version <= self.version() {
             return;
         }
-        *self.ahead.borrow_mut() = Some((version, hop));
-        self.ahead_heard.notify_one();
+        *self.newer_config_at.borrow_mut() = Some((version, peer_addr));
+        self.newer_config_known.notify_one();
     }
 
     /// Takes in what a member told of its load with an answer to a request of
-    /// `class`.
-    pub fn loaded(&self, key: MemberKey, class: u64, load: LoadReport) {
+    /// `route_hash`.
+    pub fn record_load(&self, key: MemberKey, route_hash: u64, load: LoadReport) {
         let now = self.clock.now();
-        self.fleet.borrow_mut().loaded(now, key, class, load);
+        self.fleet
+            .borrow_mut()
+            .record_load(now, key, route_hash, load);
     }
 
     /// Returns the bytes of a usual answer on a route; 0 when unknown.
-    pub fn answer_bytes(&self, class: u64) -> u64 {
-        self.sizes.borrow().get(class)
+    pub fn response_bytes(&self, route_hash: u64) -> u64 {
+        self.response_sizes.borrow().get(route_hash)
     }
 
     /// Whether the node was told to stop.
@@ -278,18 +280,18 @@
     /// Callers stay on a node that isn't ready while most of their data centre isn't, and
     /// a request that comes shortly before the kill would be cut off. Once those that can
     /// leave have left, the rest is told at once to come back, and what is open can end.
-    pub fn refuses_callers(&self) -> bool {
+    pub fn rejects_new_callers(&self) -> bool {
         let now = self.clock.now();
         self.stopping_since
             .get()
-            .is_some_and(|since| now >= since + CALLERS_LEAVE)
+            .is_some_and(|since| now >= since + CALLER_DRAIN_TIME)
     }
 
     /// Tells every part that the node stops.
-    pub fn begin_stop(&self) {
+    pub fn begin_shutdown(&self) {
         self.stopping_since.set(Some(self.clock.now()));
-        self.door.stop();
-        self.announce.notify_one();
+        self.inbound.stop();
+        self.announcement_changed.notify_one();
     }
 
     /// Whether callers may be sent here.
@@ -300,14 +302,14 @@
     /// Does what is due now and then: closes idle connections forgets
     /// members that vanished, and tells what the link carried.
     pub fn sweep(&self, now: Duration) {
-        self.hops.sweep();
-        self.door.sweep();
-        self.returns.borrow_mut().sweep(now);
-        self.link.tell_load(now);
+        self.peer_connections.sweep();
+        self.inbound.sweep();
+        self.resends.borrow_mut().sweep(now);
+        self.link.report_usage(now);
         let gone = self.fleet.borrow_mut().sweep(now);
         for record in gone {
             info!(self.log.logger(), "member gone";
-                "at" => %record.hop,
+                "at" => %record.peer_addr,
                 "instance" => %record.start,
                 "service" => record.service,
                 "cause" => "announcement missing");
--- a/crates/node/src/node_core/open_mark.rs
+++ b/crates/node/src/node_core/open_request_guard.rs
@@ -6,39 +6,39 @@
 
 use super::NodeCore;
 use crate::{
-    header_set::{HOP_REFUSAL, head_bytes},
-    link::LinkUse,
+    header_names::{PEER_REFUSAL_HEADER, head_bytes},
+    link::LinkTraffic,
     request_origin::RequestOrigin,
 };
 
 /// Counts a request as open until dropped.
 #[derive(Debug)]
-pub struct OpenMark {
+pub struct OpenRequestGuard {
     core: Rc<NodeCore>,
     origin: RequestOrigin,
 }
 
-impl OpenMark {
+impl OpenRequestGuard {
     pub(super) const fn new(core: Rc<NodeCore>, origin: RequestOrigin) -> Self {
         Self { core, origin }
     }
 
     /// Notes the head of the answer, which goes out with its first bytes.
     pub fn sent_head(&self, headers: &HeaderMap) {
-        let purpose = if headers.contains_key(&HOP_REFUSAL) {
-            LinkUse::Refusal
+        let purpose = if headers.contains_key(&PEER_REFUSAL_HEADER) {
+            LinkTraffic::Refusal
         } else {
-            LinkUse::Overhead
+            LinkTraffic::Overhead
         };
         self.sent(purpose, head_bytes(headers));
     }
 
     /// Counts bytes sent from the body of a short answer.
     pub fn sent_short_body(&self, bytes: u64) {
-        self.sent(LinkUse::Short, bytes);
+        self.sent(LinkTraffic::Short, bytes);
     }
 
-    fn sent(&self, purpose: LinkUse, bytes: u64) {
+    fn sent(&self, purpose: LinkTraffic, bytes: u64) {
         if self.origin == RequestOrigin::Caller {
             return;
         }
@@ -47,9 +47,9 @@
     }
 }
 
-impl Drop for OpenMark {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        let open = &self.core.open;
+        let open = &self.core.open_requests;
         open.set(open.get().saturating_sub(1));
     }
 }
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -8,18 +8,18 @@
 
 use super::NodeCore;
 use crate::{
-    answer_body::AnswerBody,
-    door::DoorRefusal,
-    front::{FrontAnswer, FrontRequest},
+    inbound::InboundRefusal,
     member::MemberRecord,
     node_metrics::{RequestCount, RequestResult},
+    outbound::{LocalReply, OutboundRequest},
+    response_body::ResponseBody,
     result_code::ResultCode,
 };
 
 impl NodeCore {
     fn count(
         &self,
-        request: &FrontRequest,
+        request: &OutboundRequest,
         code: ResultCode,
         result: RequestResult,
         took: Duration,
@@ -33,32 +33,36 @@
         });
     }
 
-    /// Records that requests of `class`, sent on this machine, were found to be
+    /// Records that requests of `route_hash`, sent on this machine, were found to be
     /// calls of its backend server.
-    pub fn note_calls(&self, class: u64) {
+    pub fn record_nested_calls(&self, route_hash: u64) {
         let config = self.config.borrow();
-        let route = config.as_ref().and_then(|config| config.route_of(class));
+        let route = config
+            .as_ref()
+            .and_then(|config| config.route_of(route_hash));
         info!(self.log.logger(), "calls of the backend server recognized";
             "route" => route.map(|route| &*route.name),
             "cause" => "its runs fail when these are turned away");
     }
 
     /// Records a request that got a backend server's answer.
-    pub fn note_served(
+    pub fn record_served(
         &self,
-        request: &FrontRequest,
-        answer: &Response<AnswerBody>,
+        request: &OutboundRequest,
+        answer: &Response<ResponseBody>,
         at: Option<&MemberRecord>,
         tries: usize,
     ) {
         let bytes = answer.body().size_hint().exact();
         if let Some(bytes) = bytes.filter(|_| answer.status().is_success()) {
-            self.sizes.borrow_mut().observe(request.route.class, bytes);
+            self.response_sizes
+                .borrow_mut()
+                .observe(request.route.route_hash, bytes);
         }
-        // The door here counts what it answered itself.
-        let away = at.is_some_and(|at| at.hop != self.settings.hop);
+        // The inbound proxy here counts what it answered itself.
+        let away = at.is_some_and(|at| at.peer_addr != self.settings.peer_addr);
         if away && answer.status().is_success() {
-            self.crashes.borrow_mut().completed(request.print);
+            self.crashes.borrow_mut().completed(request.fingerprint);
         }
         let took = request.arrived.elapsed();
         let result = match answer.status() {
@@ -75,7 +79,7 @@
                 "request" => &*request.id,
                 "route" => &*request.route.name,
                 "status" => answer.status().as_u16(),
-                "at" => at.map(|at| at.hop.to_string()),
+                "at" => at.map(|at| at.peer_addr.to_string()),
                 "instance" => at.map(|at| at.start.to_string()),
                 "tries" => tries,
                 "target_ms" => request.route.target.as_millis() as u64,
@@ -84,10 +88,10 @@
     }
 
     /// Records a request that got an answer of this node's own.
-    pub fn note_failed(
+    pub fn record_failed(
         &self,
-        request: &FrontRequest,
-        answer: &FrontAnswer,
+        request: &OutboundRequest,
+        answer: &LocalReply,
         tries: usize,
         cause: Option<&str>,
     ) {
@@ -110,7 +114,7 @@
     }
 
     /// Records that a caller left before its answer.
-    pub fn note_left(&self, request: &FrontRequest, tries: usize) {
+    pub fn record_caller_left(&self, request: &OutboundRequest, tries: usize) {
         self.metrics.try_failed("caller-left");
         if let Some(log) = self.log.for_request(self.clock.now(), "caller left") {
             info!(log, "caller left";
@@ -122,7 +126,7 @@
     }
 
     /// Records a request that was refused before it had a route.
-    pub fn note_answer(&self, id: Option<&HeaderValue>, answer: &FrontAnswer) {
+    pub fn record_rejected(&self, id: Option<&HeaderValue>, answer: &LocalReply) {
         let result = if answer.status.is_client_error() {
             RequestResult::CallerFault
         } else {
@@ -145,14 +149,19 @@
         }
     }
 
-    /// Records that a door refused a try.
-    pub fn note_refusal(&self, request: &FrontRequest, at: &MemberRecord, refusal: &DoorRefusal) {
+    /// Records that an inbound proxy refused a try.
+    pub fn record_refusal(
+        &self,
+        request: &OutboundRequest,
+        at: &MemberRecord,
+        refusal: &InboundRefusal,
+    ) {
         let reason: &'static str = refusal.reason.into();
         self.metrics.try_failed(reason);
         if let Some(log) = self.log.for_request(self.clock.now(), "door refused") {
             info!(log, "door refused";
                 "request" => &*request.id,
-                "at" => %at.hop,
+                "at" => %at.peer_addr,
                 "instance" => %at.start,
                 "reason" => reason,
                 "retry_after_ms" => refusal.retry_after.as_millis() as u64);
@@ -160,37 +169,42 @@
     }
 
     /// Records that a node couldn't be reached.
-    pub fn note_unreachable(&self, request: &FrontRequest, at: &MemberRecord, cause: &str) {
+    pub fn record_unreachable(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
         self.metrics.try_failed("unreachable");
-        self.hops.forget(at.hop);
+        self.peer_connections.forget(at.peer_addr);
         if let Some(log) = self.log.for_request(self.clock.now(), "unreachable") {
             warn!(log, "node unreachable";
                 "request" => &*request.id,
-                "at" => %at.hop,
+                "at" => %at.peer_addr,
                 "instance" => %at.start,
                 "cause" => cause);
         }
     }
 
     /// Records that a member shows no sign of life.
-    pub fn note_silent(&self, request: &FrontRequest, at: &MemberRecord, patience: Duration) {
+    pub fn record_silent(
+        &self,
+        request: &OutboundRequest,
+        at: &MemberRecord,
+        silence_timeout: Duration,
+    ) {
         self.metrics.try_failed("silent");
         if let Some(log) = self.log.for_request(self.clock.now(), "silent") {
             warn!(log, "member silent";
                 "request" => &*request.id,
-                "at" => %at.hop,
+                "at" => %at.peer_addr,
                 "instance" => %at.start,
-                "patience_ms" => patience.as_millis() as u64);
+                "patience_ms" => silence_timeout.as_millis() as u64);
         }
     }
 
     /// Records that a try broke after it was sent.
-    pub fn note_broke(&self, request: &FrontRequest, at: &MemberRecord, cause: &str) {
+    pub fn record_broken_try(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
         self.metrics.try_failed("broke");
         if let Some(log) = self.log.for_request(self.clock.now(), "broke") {
             warn!(log, "try broke";
                 "request" => &*request.id,
-                "at" => %at.hop,
+                "at" => %at.peer_addr,
                 "instance" => %at.start,
                 "cause" => cause);
         }
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -7,8 +7,8 @@
 
 use super::NodeCore;
 use crate::{
-    distribution::{GuideChoice, LookDuty},
-    store::{ReadAge, Revision, StoreError},
+    distribution::{StoreProbeDuty, UpdateSource},
+    store::{ReadConsistency, Revision, StoreError},
 };
 
 /// Time between looks at whether this node still has to watch the store.
@@ -25,9 +25,9 @@
     /// Notes that the store answered.
     pub fn store_answered(&self) {
         let now = self.clock.now();
-        if self.guide.borrow_mut().store_answered(now) {
+        if self.relay_selector.borrow_mut().store_answered(now) {
             // Followers that wait to hear of the return.
-            self.news.notify_waiters();
+            self.updates.notify_waiters();
         }
         if self.store_access.borrow_mut().succeeded() {
             info!(self.log.logger(), "store regained");
@@ -36,7 +36,7 @@
 
     /// Notes that a call to the store failed.
     pub fn store_failed(&self, call: &'static str, cause: &StoreError) {
-        let age = self.guide.borrow().store_age(self.clock.now());
+        let age = self.relay_selector.borrow().store_age(self.clock.now());
         if self.store_access.borrow_mut().failed() {
             warn!(self.log.logger(), "store lost";
                 "for" => call,
@@ -51,29 +51,29 @@
     /// Tells the nodes that follow this one that the store doesn't answer it. One
     /// failed call doesn't say so: connections are reset, and answers lost.
     pub fn tell_store_lost(&self) {
-        if self.guide.borrow_mut().store_lost() {
-            self.news.notify_waiters();
-            self.duty_changed.notify_waiters();
+        if self.relay_selector.borrow_mut().store_lost() {
+            self.updates.notify_waiters();
+            self.watch_duty_changed.notify_waiters();
         }
     }
 
     /// Checks the own contact with the store, as nodes that this one followed lost it.
-    pub fn doubt_store(&self) {
-        if self.store_access.borrow_mut().doubt() {
+    pub fn recheck_store(&self) {
+        if self.store_access.borrow_mut().recheck() {
             info!(self.log.logger(), "store doubted"; "cause" => "other nodes lost it");
             self.store_lost.notify_one();
         }
     }
 
-    /// Takes in that the node at `hop`, which had lost the store, reaches it again.
-    pub fn store_found(&self, hop: SocketAddr) {
+    /// Takes in that the node at `peer_addr`, which had lost the store, reaches it again.
+    pub fn record_store_reached(&self, peer_addr: SocketAddr) {
         if self.store_access.borrow().is_open() {
             return;
         }
-        info!(self.log.logger(), "store heard of"; "from" => %hop);
-        self.store_access.borrow_mut().looked();
+        info!(self.log.logger(), "store heard of"; "from" => %peer_addr);
+        self.store_access.borrow_mut().probe_succeeded();
         self.store_back.notify_waiters();
-        self.duty_changed.notify_waiters();
+        self.watch_duty_changed.notify_waiters();
     }
 
     /// Waits until the store may be called.
@@ -93,30 +93,30 @@
     ///
     /// When a whole fleet starts for the first time there is nothing in the store to be
     /// behind of, and each node reads it by itself, as it knows no other one yet.
-    pub fn first_read_age(&self) -> ReadAge {
+    pub fn first_read_consistency(&self) -> ReadConsistency {
         if self.is_settling() {
-            ReadAge::Recent
+            ReadConsistency::Serializable
         } else {
-            ReadAge::Current
+            ReadConsistency::Linearizable
         }
     }
 
     /// Notes that another node asked for news.
     pub fn asked(&self) {
-        self.guide.borrow_mut().asked(self.clock.now());
-        self.duty_changed.notify_waiters();
+        self.relay_selector.borrow_mut().asked(self.clock.now());
+        self.watch_duty_changed.notify_waiters();
     }
 
     /// Notes that the members of this data centre are known.
-    pub fn home_listed(&self) {
-        self.home_listed_at.set(Some(self.clock.now()));
-        self.duty_changed.notify_waiters();
+    pub fn local_members_listed(&self) {
+        self.local_members_listed_at.set(Some(self.clock.now()));
+        self.watch_duty_changed.notify_waiters();
     }
 
     /// Whether this node knows whom it can ask for news. When the whole fleet starts for
     /// the first time there is nobody to be known.
-    pub fn knows_home(&self) -> bool {
-        self.settings.first_start || self.home_listed_at.get().is_some()
+    pub fn knows_local_members(&self) -> bool {
+        self.settings.first_start || self.local_members_listed_at.get().is_some()
     }
 
     /// Whether a node that knows nothing yet still leaves it to another one to read the
@@ -124,43 +124,45 @@
     ///
     /// After a power cut all nodes of a data centre start in the same second. A large
     /// configuration, read by each of them, fills the store's link and theirs.
-    fn may_wait_for_guide(&self, now: Duration) -> bool {
-        let listed = self.home_listed_at.get();
+    fn may_wait_for_relay(&self, now: Duration) -> bool {
+        let listed = self.local_members_listed_at.get();
         listed.is_some_and(|at| now < at + FIRST_NEWS)
     }
 
     /// Returns where this node gets its news.
-    pub fn guide_choice(&self) -> GuideChoice {
+    pub fn update_source(&self) -> UpdateSource {
         let now = self.clock.now();
         let fleet = self.fleet.borrow();
         let knows_all = fleet.revision() != Revision(0) && self.config.borrow().is_some();
-        if !knows_all && !self.may_wait_for_guide(now) {
-            return GuideChoice::Store;
+        if !knows_all && !self.may_wait_for_relay(now) {
+            return UpdateSource::Store;
         }
-        self.guide.borrow().choose(now, &fleet.carriers())
+        self.relay_selector
+            .borrow()
+            .choose(now, &fleet.relay_candidates())
     }
 
     /// Whether this node watches the store.
     pub fn watches_store(&self) -> bool {
-        let asked = self.guide.borrow().is_asked(self.clock.now());
-        self.knows_home() && (asked || self.guide_choice() == GuideChoice::Store)
+        let asked = self.relay_selector.borrow().is_asked(self.clock.now());
+        self.knows_local_members() && (asked || self.update_source() == UpdateSource::Store)
     }
 
     /// Returns who looks for a store that this node has lost.
-    pub fn look_duty(&self) -> LookDuty {
-        if self.watches_store() || !self.knows_home() {
-            LookDuty::Own
-        } else if self.guide.borrow().is_guide_cut_off() {
-            LookDuty::Told
+    pub fn store_probe_duty(&self) -> StoreProbeDuty {
+        if self.watches_store() || !self.knows_local_members() {
+            StoreProbeDuty::Own
+        } else if self.relay_selector.borrow().is_relay_cut_off() {
+            StoreProbeDuty::ByRelay
         } else {
-            LookDuty::Alone
+            StoreProbeDuty::Alone
         }
     }
 
     /// Waits until this node needn't watch the store.
-    pub async fn until_relieved(&self) {
+    pub async fn until_watch_ends(&self) {
         while self.watches_store() {
-            let _looked = timeout(DUTY_LOOK, self.duty_changed.notified()).await;
+            let _looked = timeout(DUTY_LOOK, self.watch_duty_changed.notified()).await;
         }
     }
 }
--- a/crates/node/src/front/failed_try.rs
+++ b/crates/node/src/outbound/failed_try.rs
@@ -6,8 +6,8 @@
     try_record::TryRecord,
 };
 use crate::{
-    door::{DoorRefusal, RefusalReason},
-    member::TryEnd,
+    inbound::{InboundRefusal, RefusalReason},
+    member::TryOutcome,
 };
 
 impl TryFlow<'_> {
@@ -34,46 +34,47 @@
                 }
                 tries.crashes_servers |= refusal.reason == RefusalReason::Poisoned;
                 tries.refusal = Some(refusal);
-                self.core.note_refusal(self.request, record, &refusal);
+                self.core.record_refusal(self.request, record, &refusal);
             }
             TryFailure::Unreachable(reason) => {
-                self.judge(asked, TryEnd::Unreachable);
+                self.judge(asked, TryOutcome::Unreachable);
                 tries.never_arrived();
-                self.core.note_unreachable(self.request, record, &reason);
+                self.core.record_unreachable(self.request, record, &reason);
             }
-            TryFailure::Broke { reason, finding } => {
-                self.judge(asked, TryEnd::Broke);
-                if let Some(finding) = finding {
-                    tries.crashes_servers |= finding.is_suspicious();
-                    self.core.note_finding(self.request.print, finding);
+            TryFailure::Broke { reason, diagnosis } => {
+                self.judge(asked, TryOutcome::Broke);
+                if let Some(diagnosis) = diagnosis {
+                    tries.crashes_servers |= diagnosis.is_suspicious();
+                    self.core
+                        .record_diagnosis(self.request.fingerprint, diagnosis);
                 }
-                self.core.note_broke(self.request, record, &reason);
+                self.core.record_broken_try(self.request, record, &reason);
                 tries.ran = true;
                 tries.broke = Some(reason);
             }
         }
     }
 
-    fn judge(self, asked: &NextTry, end: TryEnd) {
+    fn judge(self, asked: &NextTry, end: TryOutcome) {
         let now = self.core.clock.now();
         let mut fleet = self.core.fleet.borrow_mut();
-        fleet.judged(now, asked.key, end);
+        fleet.record_try_outcome(now, asked.key, end);
     }
 }
 
 /// Returns what a refusal says of the member; nothing where it concerns the request alone.
-const fn end_of(refusal: DoorRefusal) -> Option<TryEnd> {
+const fn end_of(refusal: InboundRefusal) -> Option<TryOutcome> {
     let retry_after = refusal.retry_after;
     match refusal.reason {
-        RefusalReason::LinkFull => Some(TryEnd::LinkRefused { retry_after }),
+        RefusalReason::LinkFull => Some(TryOutcome::LinkRefused { retry_after }),
         RefusalReason::Busy | RefusalReason::Full | RefusalReason::EndpointRefused => {
-            Some(TryEnd::Refused { retry_after })
+            Some(TryOutcome::Refused { retry_after })
         }
         RefusalReason::Shut
         | RefusalReason::Leaving
         | RefusalReason::OtherInstance
         | RefusalReason::EndpointDown
-        | RefusalReason::Stopping => Some(TryEnd::Shut),
+        | RefusalReason::Stopping => Some(TryOutcome::NoBackend),
         RefusalReason::Poisoned => None,
     }
 }
--- a/crates/node/src/front/sent_mark.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -2,21 +2,21 @@
 
 use std::rc::Rc;
 
-use crate::{hop::PooledSender, member::MemberKey, node_core::NodeCore};
+use crate::{member::MemberKey, node_core::NodeCore, transport::PooledSender};
 
 /// Counts a request as open at a member until dropped, and gives its
 /// connection back after a whole answer.
 #[derive(Debug)]
-pub struct SentMark {
+pub struct InFlightGuard {
     core: Rc<NodeCore>,
     key: MemberKey,
     sender: Option<PooledSender>,
 }
 
-impl SentMark {
+impl InFlightGuard {
     /// Notes that a request goes to `key`.
     pub fn new(core: &Rc<NodeCore>, key: MemberKey) -> Self {
-        core.fleet.borrow_mut().sent(key);
+        core.fleet.borrow_mut().request_sent(key);
         Self {
             core: Rc::clone(core),
             key,
@@ -37,13 +37,13 @@
     /// Ends the note after a whole answer.
     pub fn complete(mut self) {
         if let Some(sender) = self.sender.take() {
-            self.core.hops.give_back(sender);
+            self.core.peer_connections.give_back(sender);
         }
     }
 }
 
-impl Drop for SentMark {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.core.fleet.borrow_mut().ended(self.key);
+        self.core.fleet.borrow_mut().request_ended(self.key);
     }
 }
--- a/crates/node/src/front/front_flow.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -7,18 +7,18 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::{
-    FrontAnswer, FrontRequest,
-    attempt::path_only,
+    LocalReply, OutboundRequest,
     caller_input::{host_of, read_body},
     try_flow::TryFlow,
     try_record::{TryRecord, final_answer, late_answer},
+    try_sender::path_only,
 };
 use crate::{
-    answer_body::AnswerBody,
     config::{MeshConfig, RouteRule},
-    crash::request_print,
-    header_set::{strip_connection, strip_hop},
+    crash::request_fingerprint,
+    header_names::{strip_connection, strip_peer_headers},
     node_core::NodeCore,
+    response_body::ResponseBody,
     result_code::ResultCode,
 };
 
@@ -37,18 +37,18 @@
 
 /// The path of a caller's request.
 #[derive(Debug, Clone)]
-pub struct FrontFlow {
+pub struct OutboundProxy {
     core: Rc<NodeCore>,
 }
 
-impl FrontFlow {
+impl OutboundProxy {
     /// Makes the path for the callers of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
     /// Answers a request.
-    pub async fn answer(&self, incoming: Request<Incoming>) -> Response<AnswerBody> {
+    pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = Instant::now();
         let id = incoming
             .headers()
@@ -57,7 +57,7 @@
         let mut response = match self.receive(incoming, arrived).await {
             Ok(request) => self.serve(&request).await,
             Err(answer) => {
-                self.core.note_answer(id.as_ref(), &answer);
+                self.core.record_rejected(id.as_ref(), &answer);
                 answer.into_response()
             }
         };
@@ -77,14 +77,14 @@
         &self,
         incoming: Request<Incoming>,
         arrived: Instant,
-    ) -> Result<FrontRequest, FrontAnswer> {
-        if self.core.refuses_callers() {
-            return Err(FrontAnswer::not_run(ResultCode::Draining, RETRY_STOPPING));
+    ) -> Result<OutboundRequest, LocalReply> {
+        if self.core.rejects_new_callers() {
+            return Err(LocalReply::not_run(ResultCode::Draining, RETRY_STOPPING));
         }
         let (mut head, body) = incoming.into_parts();
         let config = self.current_config().await?;
         let route = host_of(&head).and_then(|host| config.route(&host, head.uri.path()).cloned());
-        let no_route = FrontAnswer::rejected(ResultCode::NoRoute, StatusCode::NOT_FOUND);
+        let no_route = LocalReply::rejected(ResultCode::NoRoute, StatusCode::NOT_FOUND);
         let route = route.ok_or(no_route)?;
         let deadline = self.deadline_of(&head.headers);
         let ends_at = match deadline {
@@ -93,31 +93,36 @@
         };
         let body = read_body(body, &config, ends_at).await?;
         strip_connection(&mut head.headers);
-        strip_hop(&mut head.headers);
+        strip_peer_headers(&mut head.headers);
         head.headers.insert(
             &self.core.headers.caller_service,
             self.core.caller_service(),
         );
         let id = head.headers.get(&self.core.headers.request_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
-        let print = request_print(&head.method, &head.uri, &head.headers, &body);
-        self.check_print(print)?;
+        let fingerprint = request_fingerprint(&head.method, &head.uri, &head.headers, &body);
+        self.check_fingerprint(fingerprint)?;
         let service = route.shares.draw();
         let caller_end = deadline.map(|deadline| arrived + deadline);
-        let first_asked = self.first_asked(arrived, &route, print, deadline);
-        let useful_until = first_asked + route.target;
-        let begun = self.core.door.calls().borrow().is_call(route.class);
-        Ok(FrontRequest {
+        let first_attempt_at = self.first_attempt_at(arrived, &route, fingerprint, deadline);
+        let useful_until = first_attempt_at + route.target;
+        let nested = self
+            .core
+            .inbound
+            .nested_calls()
+            .borrow()
+            .is_nested_call(route.route_hash);
+        Ok(OutboundRequest {
             id: id.into(),
             method: head.method,
             uri: path_only(&head.uri),
             headers: head.headers,
             body,
-            print,
-            first_asked,
+            fingerprint,
+            first_attempt_at,
             caller_end,
             useful_until,
-            begun,
+            nested,
             route,
             service,
             version: config.version,
@@ -131,65 +136,68 @@
     ///
     /// After a power cut callers ask again before any node has read its configuration,
     /// and most of them ask no third time.
-    async fn current_config(&self) -> Result<Rc<MeshConfig>, FrontAnswer> {
+    async fn current_config(&self) -> Result<Rc<MeshConfig>, LocalReply> {
         loop {
-            let heard = self.core.news.notified();
+            let heard = self.core.updates.notified();
             let config = self.core.config.borrow().clone();
             if let Some(config) = config {
                 return Ok(config);
             }
             let left = FIRST_CONFIG_TIME.saturating_sub(self.core.clock.now());
-            if left.is_zero() || self.core.open.get() > HELD_MAX {
+            if left.is_zero() || self.core.open_requests.get() > HELD_MAX {
                 let retry_after = left.max(RETRY_NOT_READY);
-                return Err(FrontAnswer::not_run(ResultCode::NotReady, retry_after));
+                return Err(LocalReply::not_run(ResultCode::NotReady, retry_after));
             }
             let _timed_out = timeout(left, heard).await;
         }
     }
 
     /// Refuses a request that has crashed backend servers.
-    fn check_print(&self, print: u64) -> Result<(), FrontAnswer> {
+    fn check_fingerprint(&self, fingerprint: u64) -> Result<(), LocalReply> {
         let now = self.core.clock.now();
-        let refusal = self.core.crashes.borrow().refusal(now, print);
+        let refusal = self.core.crashes.borrow().refusal(now, fingerprint);
         refusal.map_or(Ok(()), |retry_after| {
-            Err(FrontAnswer::not_run(ResultCode::Poisoned, retry_after))
+            Err(LocalReply::not_run(ResultCode::Poisoned, retry_after))
         })
     }
 
     /// Returns when the caller first asked: by what it was refused here or, where it
     /// wasn't, by what is left of its time.
-    fn first_asked(
+    fn first_attempt_at(
         &self,
         arrived: Instant,
         route: &RouteRule,
-        print: u64,
+        fingerprint: u64,
         deadline: Option<Duration>,
     ) -> Instant {
         let Some(deadline) = deadline else {
             return arrived;
         };
         let clock = self.core.clock;
-        let returns = self.core.returns.borrow();
-        if let Some(first) = returns.first_asked(print, clock.at(arrived + deadline)) {
+        let resends = self.core.resends.borrow();
+        if let Some(first) = resends.first_attempt_at(fingerprint, clock.at(arrived + deadline)) {
             return clock.instant(first);
         }
         let mut deadlines = self.core.deadlines.borrow_mut();
-        let spent = deadlines.spent(route.class, deadline);
-        arrived.checked_sub(spent).unwrap_or(arrived)
+        let time_since_first_attempt =
+            deadlines.time_since_first_attempt(route.route_hash, deadline);
+        arrived
+            .checked_sub(time_since_first_attempt)
+            .unwrap_or(arrived)
     }
 
     /// Remembers a request that gets no answer: its caller may come again.
-    fn note_refused(&self, request: &FrontRequest) {
+    fn note_refused(&self, request: &OutboundRequest) {
         let Some(caller_end) = request.caller_end else {
             return;
         };
         let clock = self.core.clock;
-        let (first, end) = (clock.at(request.first_asked), clock.at(caller_end));
-        let mut returns = self.core.returns.borrow_mut();
-        returns.refused(request.print, first, end);
+        let (first, end) = (clock.at(request.first_attempt_at), clock.at(caller_end));
+        let mut resends = self.core.resends.borrow_mut();
+        resends.refused(request.fingerprint, first, end);
     }
 
-    async fn serve(&self, request: &FrontRequest) -> Response<AnswerBody> {
+    async fn serve(&self, request: &OutboundRequest) -> Response<ResponseBody> {
         let now = self.core.clock.now();
         self.core
             .retries
@@ -209,21 +217,21 @@
             Ok(response) => {
                 let count = tries.count();
                 self.core
-                    .note_served(request, &response, tries.at.as_ref(), count);
+                    .record_served(request, &response, tries.at.as_ref(), count);
                 *response
             }
             Err(answer) => {
                 let now = self.core.clock.now();
-                let mut calls = self.core.door.calls().borrow_mut();
-                let learned = calls.turned_away(now, request.route.class);
-                drop(calls);
-                if let Some(class) = learned {
-                    self.core.note_calls(class);
+                let mut nested_calls = self.core.inbound.nested_calls().borrow_mut();
+                let learned = nested_calls.request_failed(now, request.route.route_hash);
+                drop(nested_calls);
+                if let Some(route_hash) = learned {
+                    self.core.record_nested_calls(route_hash);
                 }
                 self.note_refused(request);
                 let cause = tries.broke.as_deref();
                 self.core
-                    .note_failed(request, &answer, tries.count(), cause);
+                    .record_failed(request, &answer, tries.count(), cause);
                 answer.into_response()
             }
         }
--- a/crates/node/src/front/front_request.rs
+++ b/crates/node/src/outbound/outbound_request.rs
@@ -10,7 +10,7 @@
 
 /// A caller's request, read and routed.
 #[derive(Debug, Clone)]
-pub struct FrontRequest {
+pub struct OutboundRequest {
     /// Identifier of the caller's attempt, for the log.
     pub id: Rc<str>,
     /// Method.
@@ -22,7 +22,7 @@
     /// Body.
     pub body: Bytes,
     /// Hash by which it is known when it comes again.
-    pub print: u64,
+    pub fingerprint: u64,
     /// Route.
     pub route: Rc<RouteRule>,
     /// Service that the route's weights gave.
@@ -31,11 +31,11 @@
     pub version: ConfigVersion,
     /// Whether it is a call of this machine's backend server, which belongs to
     /// a run that has begun.
-    pub begun: bool,
+    pub nested: bool,
     /// Arrival.
     pub arrived: Instant,
     /// When its caller first asked, as far as is known.
-    pub first_asked: Instant,
+    pub first_attempt_at: Instant,
     /// When its caller stops waiting, if it says so.
     pub caller_end: Option<Instant>,
     /// Time by which the answer is of full use.
--- a/crates/node/src/front/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -10,14 +10,14 @@
 };
 
 use super::{
-    AttemptFlow, FrontRequest, TryFailure, TryResult,
+    OutboundRequest, TryFailure, TryResult, TrySender,
     try_record::{PROBES_MAX, TRIES_MAX, TryRecord},
 };
 use crate::{
-    answer_body::AnswerBody,
-    door::{DoorRefusal, RefusalReason},
-    member::{MemberKey, MemberRecord, PickQuery, TryEnd},
+    inbound::{InboundRefusal, RefusalReason},
+    member::{MemberKey, MemberRecord, PickQuery, TryOutcome},
     node_core::NodeCore,
+    response_body::ResponseBody,
     retry::RetryNeed,
 };
 
@@ -33,11 +33,11 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TryFlow<'a> {
     pub(super) core: &'a Rc<NodeCore>,
-    pub(super) request: &'a FrontRequest,
+    pub(super) request: &'a OutboundRequest,
 }
 
 impl<'a> TryFlow<'a> {
-    pub(super) const fn new(core: &'a Rc<NodeCore>, request: &'a FrontRequest) -> Self {
+    pub(super) const fn new(core: &'a Rc<NodeCore>, request: &'a OutboundRequest) -> Self {
         Self { core, request }
     }
 
@@ -45,7 +45,7 @@
     pub(super) async fn answer(
         self,
         tries: &mut TryRecord<'_>,
-    ) -> Option<Box<Response<AnswerBody>>> {
+    ) -> Option<Box<Response<ResponseBody>>> {
         loop {
             let next = self.next_try(tries)?;
             tries.begin(next.key);
@@ -77,12 +77,15 @@
         self,
         tries: &mut TryRecord<'_>,
         key: MemberKey,
-        response: Box<Response<AnswerBody>>,
-    ) -> Option<Box<Response<AnswerBody>>> {
+        response: Box<Response<ResponseBody>>,
+    ) -> Option<Box<Response<ResponseBody>>> {
         let failed = response.status().is_server_error();
         let now = self.core.clock.now();
-        let end = TryEnd::Answered { failed };
-        self.core.fleet.borrow_mut().judged(now, key, end);
+        let end = TryOutcome::Answered { failed };
+        self.core
+            .fleet
+            .borrow_mut()
+            .record_try_outcome(now, key, end);
         let whole = response.body().size_hint().exact().is_some();
         if !(failed && whole && self.may_retry(tries, key)) {
             return Some(response);
@@ -103,12 +106,12 @@
     /// answer: it may be the only one to get one.
     async fn send_watched(self, next: NextTry, tries: &mut TryRecord<'_>) -> (NextTry, TryResult) {
         let sent_at = self.core.clock.now();
-        let patience = {
+        let silence_timeout = {
             let fleet = self.core.fleet.borrow();
-            fleet.patience(sent_at, next.key, &self.query(tries))
+            fleet.silence_timeout(sent_at, next.key, &self.query(tries))
         };
-        let mut first = Box::pin(self.attempt(&next).send(next.key, &next.record));
-        if let Ok(result) = timeout(patience, &mut first).await {
+        let mut first = Box::pin(self.try_sender(&next).send(next.key, &next.record));
+        if let Ok(result) = timeout(silence_timeout, &mut first).await {
             drop(first);
             return (next, result);
         }
@@ -116,9 +119,10 @@
         if silent {
             let now = self.core.clock.now();
             let mut fleet = self.core.fleet.borrow_mut();
-            fleet.judged(now, next.key, TryEnd::Silent);
+            fleet.record_try_outcome(now, next.key, TryOutcome::Silent);
             drop(fleet);
-            self.core.note_silent(self.request, &next.record, patience);
+            self.core
+                .record_silent(self.request, &next.record, silence_timeout);
         }
         let other = if silent && self.may_double(tries) {
             self.next_try(tries)
@@ -130,7 +134,7 @@
             return (next, result);
         };
         tries.begin(other.key);
-        let mut second = Box::pin(self.attempt(&other).send(other.key, &other.record));
+        let mut second = Box::pin(self.try_sender(&other).send(other.key, &other.record));
         select! {
             biased;
             result = &mut second => match result {
@@ -160,8 +164,8 @@
         }
     }
 
-    fn attempt(self, next: &NextTry) -> AttemptFlow<'a> {
-        AttemptFlow {
+    fn try_sender(self, next: &NextTry) -> TrySender<'a> {
+        TrySender {
             core: self.core,
             request: self.request,
             may_wait: next.may_wait,
@@ -217,23 +221,23 @@
         // All members that could be asked have just reported their links as full: asking
         // again would only cost each of them a request.
         if let Some(retry_after) = fleet.link_wait(now, &query) {
-            tries.refusal = Some(DoorRefusal {
+            tries.refusal = Some(InboundRefusal {
                 reason: RefusalReason::LinkFull,
                 retry_after,
             });
             return None;
         }
-        if tries.is_full() && !self.request.begun && !fleet.has_open(now, &query) {
+        if tries.is_full() && !self.request.nested && !fleet.has_open(now, &query) {
             return None;
         }
         let rng = &mut rand::rng();
-        let home = fleet.pick_home(now, &query, rng);
-        // A suspect has to wait for its turn at any door.
+        let home = fleet.pick_in_data_centre(now, &query, rng);
+        // A suspect has to wait for its turn at any inbound proxy.
         let suspect = self
             .core
             .crashes
             .borrow()
-            .is_suspect(now, self.request.print);
+            .is_suspect(now, self.request.fingerprint);
         let probes = home.is_none()
             && !suspect
             && tries.probed.len() < PROBES_MAX
@@ -275,11 +279,11 @@
     {
         PickQuery {
             service: &self.request.service,
-            class: self.request.route.class,
+            route_hash: self.request.route.route_hash,
             target: self.request.route.target,
             tried: &tries.tried,
             probed: &tries.probed,
-            answer_bytes: self.core.answer_bytes(self.request.route.class),
+            response_bytes: self.core.response_bytes(self.request.route.route_hash),
         }
     }
 }
--- a/crates/node/src/front/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -5,16 +5,16 @@
 use http::Response;
 use smallvec::SmallVec;
 
-use super::{FrontAnswer, FrontRequest};
+use super::{LocalReply, OutboundRequest};
 use crate::{
-    answer_body::AnswerBody,
-    door::{DoorRefusal, RefusalReason},
+    inbound::{InboundRefusal, RefusalReason},
     member::{MemberKey, MemberRecord},
     node_core::NodeCore,
+    response_body::ResponseBody,
     result_code::ResultCode,
 };
 
-/// Members asked for one request, refusals of doors included. A third that is
+/// Members asked for one request, refusals of inbound proxies included. A third that is
 /// full says that the service is.
 pub(super) const TRIES_MAX: usize = 3;
 /// Members probed for a free slot before one is waited for. Each costs both nodes a call.
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(super) struct TryRecord<'a> {
     pub(super) core: &'a NodeCore,
-    pub(super) request: &'a FrontRequest,
+    pub(super) request: &'a OutboundRequest,
     /// Whether the request has its answer.
     pub(super) settled: bool,
     /// Member of the last try.
@@ -44,16 +44,16 @@
     pub(super) under_way: u32,
     /// Whether a try that has ended may have run.
     pub(super) ran: bool,
-    pub(super) refusal: Option<DoorRefusal>,
+    pub(super) refusal: Option<InboundRefusal>,
     pub(super) broke: Option<String>,
     /// Whether it crashes backend servers, or may do so: no other one may be tried.
     pub(super) crashes_servers: bool,
     /// A failure that a backend server answered, while another is tried.
-    pub(super) kept: Option<Box<Response<AnswerBody>>>,
+    pub(super) kept: Option<Box<Response<ResponseBody>>>,
 }
 
 impl<'a> TryRecord<'a> {
-    pub(super) fn new(core: &'a NodeCore, request: &'a FrontRequest) -> Self {
+    pub(super) fn new(core: &'a NodeCore, request: &'a OutboundRequest) -> Self {
         Self {
             core,
             request,
@@ -109,15 +109,15 @@
     /// A record that is dropped unsettled belongs to a caller that left.
     fn drop(&mut self) {
         if !self.settled {
-            self.core.note_left(self.request, self.count());
+            self.core.record_caller_left(self.request, self.count());
         }
     }
 }
 
 /// Returns the answer for a request that is given up.
-pub(super) fn final_answer(tries: &TryRecord<'_>) -> FrontAnswer {
+pub(super) fn final_answer(tries: &TryRecord<'_>) -> LocalReply {
     if tries.may_have_run() {
-        return FrontAnswer::maybe_run(ResultCode::BackendBroke);
+        return LocalReply::maybe_run(ResultCode::BackendBroke);
     }
     let Some(refusal) = tries.refusal else {
         let code = if tries.count() == 0 {
@@ -125,18 +125,18 @@
         } else {
             ResultCode::NodeUnreachable
         };
-        return FrontAnswer::not_run(code, RETRY_NO_BACKEND);
+        return LocalReply::not_run(code, RETRY_NO_BACKEND);
     };
     let retry_after = refusal.retry_after.max(RETRY_MIN);
-    FrontAnswer::not_run(code_of(refusal.reason), retry_after)
+    LocalReply::not_run(code_of(refusal.reason), retry_after)
 }
 
 /// Returns the answer for a request whose time is over.
-pub(super) fn late_answer(tries: &TryRecord<'_>) -> FrontAnswer {
+pub(super) fn late_answer(tries: &TryRecord<'_>) -> LocalReply {
     if tries.may_have_run() {
-        FrontAnswer::timed_out()
+        LocalReply::timed_out()
     } else {
-        FrontAnswer::not_run(ResultCode::DeadlineBeforeRun, RETRY_MIN)
+        LocalReply::not_run(ResultCode::DeadlineBeforeRun, RETRY_MIN)
     }
 }
 
--- a/crates/node/src/front/attempt.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -8,28 +8,29 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use super::{FrontRequest, SentMark};
+use super::{InFlightGuard, OutboundRequest};
 use crate::{
-    answer_body::{AnswerBody, is_short},
     config::ConfigVersion,
-    crash::BreakFinding,
-    door::{DoorError, DoorRefusal, DoorRequest},
-    header_set::{
-        HOP_BROKE, HOP_FINDING, HOP_LOAD, HOP_NOTE, HOP_REFUSAL, HOP_VERSION, head_bytes,
-        header_text, set_header, strip_connection, strip_hop,
+    crash::BreakDiagnosis,
+    header_names::{
+        PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
+        PEER_REQUEST_HEADER, PEER_VERSION_HEADER, head_bytes, header_text, set_header,
+        strip_connection, strip_peer_headers,
     },
-    hop::{ExchangeError, HopNote},
-    link::LinkUse,
+    inbound::{InboundError, InboundRefusal, InboundRequest},
+    link::LinkTraffic,
     member::{LoadReport, MemberKey, MemberRecord},
     node_core::NodeCore,
     request_origin::RequestOrigin,
+    response_body::{ResponseBody, is_short},
+    transport::{ExchangeError, PeerRequestHeader},
 };
 
 /// How a try ended without an answer of the backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TryFailure {
     /// The request certainly didn't run there.
-    Refused(DoorRefusal),
+    Refused(InboundRefusal),
     /// The node there couldn't be reached; nothing was sent.
     Unreachable(String),
     /// The request may have run; there is no usable answer.
@@ -37,83 +38,87 @@
         /// What was met.
         reason: String,
         /// What was found of the backend server, where its connection broke.
-        finding: Option<BreakFinding>,
+        diagnosis: Option<BreakDiagnosis>,
     },
 }
 
 /// How a try ended: with the backend server's answer, good or not, or without.
-pub type TryResult = Result<Box<Response<AnswerBody>>, TryFailure>;
+pub type TryResult = Result<Box<Response<ResponseBody>>, TryFailure>;
 
-/// Sends requests to doors, the own one or those of other nodes.
+/// Sends requests to inbound proxies, the own one or those of other nodes.
 #[derive(Debug, Clone, Copy)]
-pub struct AttemptFlow<'a> {
+pub struct TrySender<'a> {
     /// Node.
     pub core: &'a Rc<NodeCore>,
     /// Request.
-    pub request: &'a FrontRequest,
+    pub request: &'a OutboundRequest,
     /// Whether it may wait for a slot; it probes for a free one otherwise.
     pub may_wait: bool,
 }
 
-impl AttemptFlow<'_> {
-    /// Sends the request to the door of `key`.
+impl TrySender<'_> {
+    /// Sends the request to the inbound proxy of `key`.
     ///
     /// # Errors
     ///
     /// How the try ended without an answer of the backend server.
     pub async fn send(self, key: MemberKey, record: &MemberRecord) -> TryResult {
-        let mark = SentMark::new(self.core, key);
-        if record.hop == self.core.settings.hop {
-            self.send_home(mark, record).await
+        let guard = InFlightGuard::new(self.core, key);
+        if record.peer_addr == self.core.settings.peer_addr {
+            self.send_home(guard, record).await
         } else {
-            self.send_away(mark, key, record).await
+            self.send_away(guard, key, record).await
         }
     }
 
-    async fn send_home(self, mark: SentMark, record: &MemberRecord) -> TryResult {
+    async fn send_home(self, guard: InFlightGuard, record: &MemberRecord) -> TryResult {
         let request = self.request;
-        let door_request = DoorRequest {
+        let inbound_request = InboundRequest {
             origin: RequestOrigin::Caller,
             method: request.method.clone(),
             uri: request.uri.clone(),
             headers: request.headers.clone(),
             body: request.body.clone(),
             rank: request.route.rank,
-            class: request.route.class,
-            begun: request.begun,
+            route_hash: request.route.route_hash,
+            nested: request.nested,
             may_wait: self.may_wait,
             useful_until: request.useful_until,
             ends_at: request.ends_at,
             instance: Some(record.start.instance().to_owned()),
-            print: request.print,
+            fingerprint: request.fingerprint,
         };
         let idempotent = request.route.kind.is_idempotent();
-        let answer = self.core.door.run(door_request, idempotent).await;
-        let class = request.route.class;
-        let load = self.core.door.load(class);
-        self.core.loaded(mark.key(), class, load);
+        let answer = self.core.inbound.run(inbound_request, idempotent).await;
+        let route_hash = request.route.route_hash;
+        let load = self.core.inbound.load(route_hash);
+        self.core.record_load(guard.key(), route_hash, load);
         match answer {
-            Ok(response) => Ok(Box::new(response.map(|body| body.with_mark(mark)))),
-            Err(DoorError::Refused { refusal }) => Err(TryFailure::Refused(refusal)),
-            Err(DoorError::Broke { reason, finding }) => Err(TryFailure::Broke { reason, finding }),
+            Ok(response) => Ok(Box::new(
+                response.map(|body| body.with_in_flight_guard(guard)),
+            )),
+            Err(InboundError::Refused { refusal }) => Err(TryFailure::Refused(refusal)),
+            Err(InboundError::Broke { reason, diagnosis }) => {
+                Err(TryFailure::Broke { reason, diagnosis })
+            }
         }
     }
 
     async fn send_away(
         self,
-        mut mark: SentMark,
+        mut guard: InFlightGuard,
         key: MemberKey,
         record: &MemberRecord,
     ) -> TryResult {
         let outgoing = self.outgoing(record);
         let bytes = head_bytes(outgoing.headers()) + self.request.body.len() as u64;
         let link = &self.core.link;
-        link.sent(self.core.clock.now(), LinkUse::Request, bytes);
-        let idle_time = self.core.settings.hop_idle;
+        link.sent(self.core.clock.now(), LinkTraffic::Request, bytes);
+        let idle_time = self.core.settings.peer_idle_timeout;
         let exchange = self
             .core
-            .hops
-            .exchange(record.hop, outgoing, idle_time)
+            .peer_connections
+            .exchange(record.peer_addr, outgoing, idle_time)
             .await;
         let (response, sender) = match exchange {
             Ok(answer) => answer,
@@ -122,28 +127,28 @@
             }
             Err(ExchangeError::Broke { reason }) => return Err(unexplained(reason)),
         };
-        mark.hold(sender);
+        guard.hold(sender);
         self.learn(key, record, response.headers());
-        let refusal = parsed::<DoorRefusal>(response.headers(), &HOP_REFUSAL);
-        let broke = header_text(response.headers(), &HOP_BROKE).map(ToOwned::to_owned);
-        let finding = header_text(response.headers(), &HOP_FINDING);
-        let finding = finding.and_then(|text| serde_json::from_str(text).ok());
+        let refusal = parsed::<InboundRefusal>(response.headers(), &PEER_REFUSAL_HEADER);
+        let broke = header_text(response.headers(), &PEER_FAILURE_HEADER).map(ToOwned::to_owned);
+        let diagnosis = header_text(response.headers(), &PEER_DIAGNOSIS_HEADER);
+        let diagnosis = diagnosis.and_then(|text| serde_json::from_str(text).ok());
         let (mut head, body) = response.into_parts();
         strip_connection(&mut head.headers);
-        strip_hop(&mut head.headers);
+        strip_peer_headers(&mut head.headers);
         if !is_short(&body) {
-            let body = AnswerBody::stream(body).with_mark(mark);
+            let body = ResponseBody::stream(body).with_in_flight_guard(guard);
             return Ok(Box::new(Response::from_parts(head, body)));
         }
-        let whole = match whole(body, mark).await {
+        let whole = match whole(body, guard).await {
             Ok(whole) => whole,
             Err(reason) => return Err(unexplained(reason)),
         };
         match (refusal, broke) {
             (Some(refusal), _) => Err(TryFailure::Refused(refusal)),
-            (None, Some(reason)) => Err(TryFailure::Broke { reason, finding }),
+            (None, Some(reason)) => Err(TryFailure::Broke { reason, diagnosis }),
             (None, None) => {
-                let answer = Response::from_parts(head, AnswerBody::whole(whole));
+                let answer = Response::from_parts(head, ResponseBody::whole(whole));
                 Ok(Box::new(answer))
             }
         }
@@ -153,15 +158,15 @@
         let request = self.request;
         let names = &self.core.headers;
         let now = Instant::now();
-        let note = HopNote {
+        let note = PeerRequestHeader {
             rank: request.route.rank,
-            class: request.route.class,
-            begun: request.begun,
+            route_hash: request.route.route_hash,
+            nested: request.nested,
             idempotent: request.route.kind.is_idempotent(),
             may_wait: self.may_wait,
             useful: request.useful_until.saturating_duration_since(now),
             version: self.core.version(),
-            from: self.core.settings.hop,
+            from: self.core.settings.peer_addr,
         };
         let left = request.ends_at.saturating_duration_since(now);
         let mut headers = request.headers.clone();
@@ -174,7 +179,7 @@
             &names.expected_instance,
             record.start.instance(),
         );
-        set_header(&mut headers, &HOP_NOTE, &note.to_string());
+        set_header(&mut headers, &PEER_REQUEST_HEADER, &note.to_string());
         let mut outgoing = Request::new(Full::new(request.body.clone()));
         *outgoing.method_mut() = request.method.clone();
         *outgoing.uri_mut() = path_only(&request.uri);
@@ -184,12 +189,15 @@
 
     /// Takes in what the other node says of itself.
     fn learn(self, key: MemberKey, record: &MemberRecord, headers: &HeaderMap) {
-        if let Some(load) = parsed::<LoadReport>(headers, &HOP_LOAD) {
-            self.core.loaded(key, self.request.route.class, load);
+        if let Some(load) = parsed::<LoadReport>(headers, &PEER_LOAD_HEADER) {
+            self.core
+                .record_load(key, self.request.route.route_hash, load);
         }
-        if let Some(version) = header_text(headers, &HOP_VERSION).and_then(|text| text.parse().ok())
+        if let Some(version) =
+            header_text(headers, &PEER_VERSION_HEADER).and_then(|text| text.parse().ok())
         {
-            self.core.heard_version(ConfigVersion(version), record.hop);
+            self.core
+                .record_peer_version(ConfigVersion(version), record.peer_addr);
         }
     }
 }
@@ -202,14 +210,14 @@
 
 /// A break of the connection to the other node, which says nothing of the backend server.
 const fn unexplained(reason: String) -> TryFailure {
-    let finding = None;
-    TryFailure::Broke { reason, finding }
+    let diagnosis = None;
+    TryFailure::Broke { reason, diagnosis }
 }
 
-async fn whole(body: Incoming, mark: SentMark) -> Result<Bytes, String> {
+async fn whole(body: Incoming, guard: InFlightGuard) -> Result<Bytes, String> {
     match body.collect().await {
         Ok(whole) => {
-            mark.complete();
+            guard.complete();
             Ok(whole.to_bytes())
         }
         Err(error) => Err(error.to_string()),
--- /dev/null
+++ b/crates/node/src/peer_handler.rs
@@ -0,0 +1,146 @@
+//! Requests of other nodes.
+
+use std::rc::Rc;
+
+use bytes::Bytes;
+use http::{HeaderValue, Request, Response, StatusCode};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use std::time::Duration;
+use tokio::time::Instant;
+
+use crate::{
+    crash::{BreakDiagnosis, CRASH_PATH, CrashHandler, request_fingerprint},
+    delegation::{DELEGATED_CALL_PATH, DelegatedCallHandler},
+    discovery::{UPDATE_PATH, UpdateHandler},
+    header_names::{
+        PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
+        PEER_REQUEST_HEADER, PEER_VERSION_HEADER, header_text, set_header, strip_connection,
+    },
+    inbound::{InboundError, InboundRefusal, InboundRequest, RefusalReason},
+    node_core::NodeCore,
+    request_origin::RequestOrigin,
+    response_body::{ResponseBody, empty_response},
+    transport::PeerRequestHeader,
+};
+
+/// Longest time that another node may take to send a request: bodies are
+/// there before it is sent.
+const BODY_TIME: Duration = Duration::from_secs(5);
+
+/// Answers requests of other nodes.
+#[derive(Debug, Clone)]
+pub struct PeerHandler {
+    core: Rc<NodeCore>,
+}
+
+impl PeerHandler {
+    /// Makes the port of a node.
+    pub const fn new(core: Rc<NodeCore>) -> Self {
+        Self { core }
+    }
+
+    /// Answers a request.
+    pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
+        let mut response = if incoming.uri().path() == UPDATE_PATH {
+            let handler = UpdateHandler::new(Rc::clone(&self.core));
+            handler.answer(incoming.uri()).await
+        } else if incoming.uri().path() == DELEGATED_CALL_PATH {
+            let handler = DelegatedCallHandler::new(Rc::clone(&self.core));
+            handler.answer(incoming).await
+        } else if incoming.uri().path() == CRASH_PATH {
+            let handler = CrashHandler::new(Rc::clone(&self.core));
+            handler.answer(incoming).await
+        } else {
+            self.run(incoming).await
+        };
+        let headers = response.headers_mut();
+        headers.insert(
+            PEER_VERSION_HEADER,
+            HeaderValue::from(self.core.version().0),
+        );
+        response
+    }
+
+    async fn run(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
+        let (head, body) = incoming.into_parts();
+        let note = header_text(&head.headers, &PEER_REQUEST_HEADER)
+            .and_then(|text| text.parse::<PeerRequestHeader>().ok());
+        let Some(note) = note else {
+            return empty_response(StatusCode::BAD_REQUEST);
+        };
+        if self.core.inbound.refuses_peers() {
+            return refused(&InboundRefusal {
+                reason: RefusalReason::Stopping,
+                retry_after: Duration::ZERO,
+            });
+        }
+        self.core.record_peer_version(note.version, note.from);
+        let now = Instant::now();
+        let body = match tokio::time::timeout(BODY_TIME, body.collect()).await {
+            Ok(Ok(whole)) => whole.to_bytes(),
+            _ => return empty_response(StatusCode::BAD_REQUEST),
+        };
+        let request = self.inbound_request(head, body, &note, now);
+        let mut response = match self.core.inbound.run(request, note.idempotent).await {
+            Ok(response) => response,
+            Err(InboundError::Refused { refusal }) => refused(&refusal),
+            Err(InboundError::Broke { reason, diagnosis }) => broke(&reason, diagnosis.as_ref()),
+        };
+        let load = self.core.inbound.load(note.route_hash);
+        set_header(response.headers_mut(), &PEER_LOAD_HEADER, &load.to_string());
+        response
+    }
+
+    fn inbound_request(
+        &self,
+        head: http::request::Parts,
+        body: Bytes,
+        note: &PeerRequestHeader,
+        now: Instant,
+    ) -> InboundRequest {
+        let names = &self.core.headers;
+        let left =
+            header_text(&head.headers, &names.deadline_ms).and_then(|text| text.parse().ok());
+        let left = Duration::from_millis(left.unwrap_or(0));
+        let instance = header_text(&head.headers, &names.expected_instance).map(ToOwned::to_owned);
+        let mut headers = head.headers;
+        strip_connection(&mut headers);
+        let fingerprint = request_fingerprint(&head.method, &head.uri, &headers, &body);
+        InboundRequest {
+            origin: RequestOrigin::Node,
+            fingerprint,
+            method: head.method,
+            uri: head.uri,
+            headers,
+            body,
+            rank: note.rank,
+            route_hash: note.route_hash,
+            nested: note.nested,
+            may_wait: note.may_wait,
+            useful_until: now + note.useful,
+            ends_at: now + left,
+            instance,
+        }
+    }
+}
+
+fn refused(refusal: &InboundRefusal) -> Response<ResponseBody> {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+    set_header(
+        response.headers_mut(),
+        &PEER_REFUSAL_HEADER,
+        &refusal.to_string(),
+    );
+    response
+}
+
+fn broke(reason: &str, diagnosis: Option<&BreakDiagnosis>) -> Response<ResponseBody> {
+    let mut response = empty_response(StatusCode::BAD_GATEWAY);
+    let reason = if reason.is_empty() { "unknown" } else { reason };
+    set_header(response.headers_mut(), &PEER_FAILURE_HEADER, reason);
+    if let Some(Ok(diagnosis)) = diagnosis.map(serde_json::to_string) {
+        set_header(response.headers_mut(), &PEER_DIAGNOSIS_HEADER, &diagnosis);
+    }
+    response
+}
--- a/crates/node/src/answer_body.rs
+++ b/crates/node/src/response_body.rs
@@ -10,7 +10,9 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use serde::Serialize;
 
-use crate::{door::RunSlot, front::SentMark, link::LinkPromise, node_core::OpenMark};
+use crate::{
+    inbound::RunSlot, link::LinkReservation, node_core::OpenRequestGuard, outbound::InFlightGuard,
+};
 
 #[derive(Debug)]
 enum BodySource {
@@ -27,24 +29,24 @@
 /// A stream that breaks ends with an error, upon which the server closes the
 /// connection: a broken answer never looks complete.
 #[derive(Debug)]
-pub struct AnswerBody {
+pub struct ResponseBody {
     source: BodySource,
     slot: Option<RunSlot>,
-    mark: Option<SentMark>,
-    open: Option<OpenMark>,
-    promise: Option<LinkPromise>,
+    guard: Option<InFlightGuard>,
+    open: Option<OpenRequestGuard>,
+    reservation: Option<LinkReservation>,
 }
 
 /// Longest answer that counts as short: it is read whole before its head is passed
 /// on, so that a break in it is known while another try is still possible. Longer
 /// ones cost memory, fill links, and are passed on as they come.
-pub const SHORT_MAX: u64 = 32 * 1024;
+pub const SHORT_RESPONSE_MAX_BYTES: u64 = 32 * 1024;
 
 /// Whether a body is known to be short.
 pub fn is_short(body: &impl Body) -> bool {
     body.size_hint()
         .exact()
-        .is_some_and(|bytes| bytes <= SHORT_MAX)
+        .is_some_and(|bytes| bytes <= SHORT_RESPONSE_MAX_BYTES)
 }
 
 /// Makes an answer that says nothing but its status.
@@ -52,14 +54,14 @@
 /// # Examples
 ///
 /// ```
-/// use geranium_node::answer_body::empty_answer;
+/// use geranium_node::response_body::empty_response;
 /// use http::StatusCode;
 ///
-/// let answer = empty_answer(StatusCode::BAD_REQUEST);
+/// let answer = empty_response(StatusCode::BAD_REQUEST);
 /// assert_eq!(answer.status(), StatusCode::BAD_REQUEST);
 /// ```
-pub fn empty_answer(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+pub fn empty_response(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(Bytes::new()));
     *response.status_mut() = status;
     response
 }
@@ -73,22 +75,22 @@
 /// # Examples
 ///
 /// ```
-/// use geranium_node::answer_body::json_answer;
+/// use geranium_node::response_body::json_response;
 /// use http::StatusCode;
 ///
-/// let answer = json_answer(&[1, 2])?;
+/// let answer = json_response(&[1, 2])?;
 /// assert_eq!(answer.status(), StatusCode::OK);
 /// # Ok::<(), serde_json::Error>(())
 /// ```
-pub fn json_answer(value: &impl Serialize) -> Result<Response<AnswerBody>, serde_json::Error> {
+pub fn json_response(value: &impl Serialize) -> Result<Response<ResponseBody>, serde_json::Error> {
     let text = serde_json::to_vec(value)?;
-    let mut response = Response::new(AnswerBody::whole(text));
+    let mut response = Response::new(ResponseBody::whole(text));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     Ok(response)
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Makes a body that is there in full.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::from_source(BodySource::Whole(Some(bytes.into())))
@@ -109,25 +111,25 @@
 
     /// Holds the note of an open request until the end.
     #[must_use]
-    pub fn with_mark(mut self, mark: SentMark) -> Self {
-        self.mark = Some(mark);
+    pub fn with_in_flight_guard(mut self, guard: InFlightGuard) -> Self {
+        self.guard = Some(guard);
         self
     }
 
     /// Sends what is long as the link's promise says.
     #[must_use]
-    pub fn with_promise(mut self, promise: Option<LinkPromise>) -> Self {
-        self.promise = promise;
+    pub fn with_reservation(mut self, reservation: Option<LinkReservation>) -> Self {
+        self.reservation = reservation;
         let bytes = self.size_hint().exact();
-        if let Some(promise) = &mut self.promise {
-            promise.made(bytes);
+        if let Some(reservation) = &mut self.reservation {
+            reservation.made(bytes);
         }
         self
     }
 
     /// Counts the request as open until the end.
     #[must_use]
-    pub fn with_open(mut self, open: OpenMark) -> Self {
+    pub fn with_open_request_guard(mut self, open: OpenRequestGuard) -> Self {
         self.open = Some(open);
         self
     }
@@ -136,16 +138,16 @@
         Self {
             source,
             slot: None,
-            mark: None,
+            guard: None,
             open: None,
-            promise: None,
+            reservation: None,
         }
     }
 
     /// Counts bytes that go out.
     fn count(&mut self, bytes: usize) {
-        match (&mut self.promise, &self.open) {
-            (Some(promise), _) => promise.sent(bytes as u64),
+        match (&mut self.reservation, &self.open) {
+            (Some(reservation), _) => reservation.sent(bytes as u64),
             (None, Some(open)) => open.sent_short_body(bytes as u64),
             (None, None) => {}
         }
@@ -169,8 +171,8 @@
                 ended => return Poll::Ready(ended),
             }
         }
-        let piece = match &mut self.promise {
-            Some(promise) => ready!(promise.poll_turn(cx)),
+        let piece = match &mut self.reservation {
+            Some(reservation) => ready!(reservation.poll_turn(cx)),
             None => rest.len(),
         };
         let piece = rest.split_to(piece.min(rest.len()));
@@ -182,17 +184,17 @@
         if let Some(slot) = self.slot.take() {
             slot.complete();
         }
-        if let Some(mark) = self.mark.take() {
-            mark.complete();
+        if let Some(guard) = self.guard.take() {
+            guard.complete();
         }
-        if let Some(promise) = self.promise.take() {
-            promise.complete();
+        if let Some(reservation) = self.reservation.take() {
+            reservation.complete();
         }
         self.open = None;
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
--- a/crates/node/src/store/store_era.rs
+++ b/crates/node/src/store/store_era.rs
@@ -49,11 +49,11 @@
     /// use geranium_node::store::{EraTracker, StoreEra};
     ///
     /// let eras = EraTracker::default();
-    /// eras.hear(StoreEra(2));
-    /// eras.hear(StoreEra(1));
+    /// eras.observe(StoreEra(2));
+    /// eras.observe(StoreEra(1));
     /// assert_eq!(eras.latest(), StoreEra(2));
     /// ```
-    pub fn hear(&self, era: StoreEra) {
+    pub fn observe(&self, era: StoreEra) {
         if era > self.latest.get() {
             self.latest.set(era);
             self.risen.notify_waiters();
--- a/crates/node/src/hop/hop_note.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -13,13 +13,13 @@
 
 /// What one node tells another of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HopNote {
+pub struct PeerRequestHeader {
     /// Rank of the route.
     pub rank: u8,
     /// Hash of the route.
-    pub class: u64,
+    pub route_hash: u64,
     /// Whether it belongs to a run that has begun.
-    pub begun: bool,
+    pub nested: bool,
     /// Whether it may run more than once without harm.
     pub idempotent: bool,
     /// Whether it may wait for a slot; it probes for a free one otherwise.
@@ -34,7 +34,7 @@
 
 /// A note that can't be read.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-pub enum HopNoteError {
+pub enum PeerRequestHeaderError {
     /// A figure is missing.
     #[snafu(display("a figure is missing"))]
     Missing,
@@ -52,44 +52,44 @@
     },
 }
 
-impl std::fmt::Display for HopNote {
+impl std::fmt::Display for PeerRequestHeader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let useful_ms = self.useful.as_millis();
-        let flags = [self.begun, self.idempotent, self.may_wait];
-        let [begun, repeats, waits] = flags.map(u8::from);
+        let flags = [self.nested, self.idempotent, self.may_wait];
+        let [nested, repeats, waits] = flags.map(u8::from);
         write!(
             f,
-            "{},{:x},{begun},{repeats},{waits},",
-            self.rank, self.class
+            "{},{:x},{nested},{repeats},{waits},",
+            self.rank, self.route_hash
         )?;
         write!(f, "{useful_ms},{},{}", self.version, self.from)
     }
 }
 
-impl FromStr for HopNote {
-    type Err = HopNoteError;
+impl FromStr for PeerRequestHeader {
+    type Err = PeerRequestHeaderError;
 
     /// Reads what [`Display`](std::fmt::Display) wrote.
     ///
     /// # Examples
     ///
     /// ```
-    /// use geranium_node::hop::HopNote;
+    /// use geranium_node::transport::PeerRequestHeader;
     ///
-    /// let note: HopNote = "2,ff,0,1,0,380,12,10.1.0.4:7600".parse()?;
-    /// assert_eq!((note.rank, note.class, note.version.0), (2, 255, 12));
+    /// let note: PeerRequestHeader = "2,ff,0,1,0,380,12,10.1.0.4:7600".parse()?;
+    /// assert_eq!((note.rank, note.route_hash, note.version.0), (2, 255, 12));
     /// assert_eq!(note.to_string(), "2,ff,0,1,0,380,12,10.1.0.4:7600");
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
-    fn from_str(text: &str) -> Result<Self, HopNoteError> {
+    fn from_str(text: &str) -> Result<Self, PeerRequestHeaderError> {
         let mut figures = text.split(',');
-        let mut next = || figures.next().ok_or(HopNoteError::Missing);
-        let (rank, class) = (next()?.parse()?, u64::from_str_radix(next()?, 16)?);
-        let mut flag = || Ok::<_, HopNoteError>(next()?.parse::<u8>()? != 0);
+        let mut next = || figures.next().ok_or(PeerRequestHeaderError::Missing);
+        let (rank, route_hash) = (next()?.parse()?, u64::from_str_radix(next()?, 16)?);
+        let mut flag = || Ok::<_, PeerRequestHeaderError>(next()?.parse::<u8>()? != 0);
         Ok(Self {
             rank,
-            class,
-            begun: flag()?,
+            route_hash,
+            nested: flag()?,
             idempotent: flag()?,
             may_wait: flag()?,
             useful: Duration::from_millis(next()?.parse()?),
--- a/crates/node/tests/all/eras.rs
+++ b/crates/node/tests/all/eras.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    crash::{CrashBook, CrashRow},
+    crash::{CrashHistory, CrashRecord},
     member::{FleetView, MemberRecord, MemberState},
     store::{Revision, StoreEra},
 };
@@ -30,9 +30,11 @@
     let mut fleet = FleetView::new("hofdi");
     fleet.announce(NOW, record(MemberState::Leaving), revision(2, 5));
     assert!(!fleet.announce(NOW, record(MemberState::Ready), revision(1, 900)));
-    assert!(!fleet.lapse(NOW, support::record(4).hop, revision(1, 901)));
+    assert!(!fleet.lapse(NOW, support::record(4).peer_addr, revision(1, 901)));
     fleet.listed(NOW, revision(1, 902), |_| false);
-    let member = fleet.at(support::record(4).hop).expect("it is announced");
+    let member = fleet
+        .at(support::record(4).peer_addr)
+        .expect("it is announced");
     assert_eq!(member.record.state, MemberState::Leaving);
     assert!(!member.has_lapsed());
 }
@@ -46,21 +48,21 @@
     assert!(fleet.announce(NOW, record(MemberState::Leaving), revision(2, 3)));
     fleet.listed(NOW, revision(2, 3), |_| true);
     assert_eq!(fleet.revision(), revision(2, 3));
-    let news = fleet.news_since(revision(1, 900));
-    assert!(news.whole);
-    assert_eq!(news.written.len(), 1);
+    let updates = fleet.update_since(revision(1, 900));
+    assert!(updates.whole);
+    assert_eq!(updates.written.len(), 1);
 }
 
 /// Guards against crashes of a new era that aren't handed on to nodes that know the one before.
 #[test]
 fn crashes_of_a_later_era_are_handed_on() {
-    let mut book = CrashBook::default();
-    let row = CrashRow {
+    let mut book = CrashHistory::default();
+    let row = CrashRecord {
         fingerprint: 7,
         start: start("i-1"),
     };
     book.record(NOW, row, revision(2, 3));
-    assert_eq!(book.rows_since(revision(1, 900)).len(), 1);
+    assert_eq!(book.records_since(revision(1, 900)).len(), 1);
 }
 
 proptest! {
@@ -69,18 +71,18 @@
     /// Guards against an order in which news arrive that decides what is known in the end.
     #[test]
     fn the_latest_era_wins_in_any_order(
-        news in prop::collection::vec((1..4_u32, 1..20_u64, any::<bool>()), 1..30),
+        updates in prop::collection::vec((1..4_u32, 1..20_u64, any::<bool>()), 1..30),
     ) {
         let mut fleet = FleetView::new("hofdi");
-        for &(era, number, leaving) in &news {
+        for &(era, number, leaving) in &updates {
             let state = if leaving { MemberState::Leaving } else { MemberState::Ready };
             fleet.announce(NOW, record(state), revision(era, number));
         }
-        let last = news.iter().map(|&(era, number, _)| (era, number)).max();
+        let last = updates.iter().map(|&(era, number, _)| (era, number)).max();
         let (era, number) = last.expect("there are news");
-        let known = fleet.at(support::record(4).hop).expect("it is announced");
+        let known = fleet.at(support::record(4).peer_addr).expect("it is announced");
         prop_assert_eq!(known.revision(), revision(era, number));
-        let latest = news.iter().rfind(|news| (news.0, news.1) == (era, number));
+        let latest = updates.iter().rfind(|updates| (updates.0, updates.1) == (era, number));
         let leaving = latest.expect("it is there").2;
         prop_assert_eq!(known.record.state == MemberState::Leaving, leaving);
     }
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -3,12 +3,12 @@
 use std::{collections::HashMap, time::Duration};
 
 use geranium_node::{
-    member::{FleetView, LoadReport, MemberKey, MemberRecord, MemberState, PickQuery, TryEnd},
+    member::{FleetView, LoadReport, MemberKey, MemberRecord, MemberState, PickQuery, TryOutcome},
     store::Revision,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-use crate::support::{self, at, hop};
+use crate::support::{self, at, peer_addr};
 
 fn record(number: u8, data_centre: &str) -> MemberRecord {
     MemberRecord {
@@ -23,7 +23,11 @@
 
 /// A view for a node whose own backend server is the first of the `near` members.
 fn view_with_local_first(near: u8, far: u8) -> FleetView {
-    announce_members(FleetView::with_local_endpoint("hofdi", hop(1)), near, far)
+    announce_members(
+        FleetView::with_local_endpoint("hofdi", peer_addr(1)),
+        near,
+        far,
+    )
 }
 
 fn announce_members(mut fleet: FleetView, near: u8, far: u8) -> FleetView {
@@ -36,11 +40,11 @@
 
 const QUERY: PickQuery<'static> = PickQuery {
     service: "prices",
-    class: 7,
+    route_hash: 7,
     target: Duration::from_millis(400),
     tried: &[],
     probed: &[],
-    answer_bytes: 5_000,
+    response_bytes: 5_000,
 };
 
 /// A load of which every run takes `run`.
@@ -81,12 +85,12 @@
 #[test]
 fn long_answers_stay_at_home_longer() {
     let mut fleet = view(1, 1);
-    let near = fleet.key_of(hop(1)).expect("it is known");
-    let far = fleet.key_of(hop(2)).expect("it is known");
-    fleet.loaded(at(0), near, QUERY.class, load(12, 4, at(100)));
-    fleet.loaded(at(0), far, QUERY.class, load(0, 0, at(100)));
+    let near = fleet.key_of(peer_addr(1)).expect("it is known");
+    let far = fleet.key_of(peer_addr(2)).expect("it is known");
+    fleet.record_load(at(0), near, QUERY.route_hash, load(12, 4, at(100)));
+    fleet.record_load(at(0), far, QUERY.route_hash, load(0, 0, at(100)));
     let long = PickQuery {
-        answer_bytes: 90_000,
+        response_bytes: 90_000,
         ..QUERY
     };
     assert!(picks(&fleet, at(0), &QUERY).contains_key(&far));
@@ -98,23 +102,29 @@
 #[test]
 fn long_answers_are_asked_for_at_home_first() {
     let mut fleet = view(1, 7);
-    let near = fleet.key_of(hop(1)).expect("it is known");
-    fleet.loaded(at(0), near, QUERY.class, load(11, 0, at(100)));
+    let near = fleet.key_of(peer_addr(1)).expect("it is known");
+    fleet.record_load(at(0), near, QUERY.route_hash, load(11, 0, at(100)));
     let long = PickQuery {
-        answer_bytes: 90_000,
+        response_bytes: 90_000,
         ..QUERY
     };
     let mut rng = StdRng::seed_from_u64(7);
     for _ in 0..100 {
-        assert_eq!(fleet.pick_home(at(0), &long, &mut rng), Some(near));
+        assert_eq!(
+            fleet.pick_in_data_centre(at(0), &long, &mut rng),
+            Some(near)
+        );
     }
-    assert_eq!(fleet.pick_home(at(0), &QUERY, &mut rng), None);
-    let refused = TryEnd::LinkRefused {
+    assert_eq!(fleet.pick_in_data_centre(at(0), &QUERY, &mut rng), None);
+    let refused = TryOutcome::LinkRefused {
         retry_after: at(100),
     };
-    fleet.judged(at(0), near, refused);
-    assert_eq!(fleet.pick_home(at(10), &long, &mut rng), None);
-    assert_eq!(fleet.pick_home(at(110), &long, &mut rng), Some(near));
+    fleet.record_try_outcome(at(0), near, refused);
+    assert_eq!(fleet.pick_in_data_centre(at(10), &long, &mut rng), None);
+    assert_eq!(
+        fleet.pick_in_data_centre(at(110), &long, &mut rng),
+        Some(near)
+    );
 }
 
 /// Guards against refusing a long answer because links are full when the node's own backend
@@ -122,37 +132,42 @@
 #[test]
 fn long_answers_from_the_same_instance_use_no_link() {
     let mut fleet = view_with_local_first(3, 1);
-    let own = fleet.key_of(hop(1)).expect("the member is known");
+    let own = fleet.key_of(peer_addr(1)).expect("the member is known");
     let full = LoadReport {
         link: at(2_000),
         ..load(1, 0, at(100))
     };
-    fleet.loaded(at(0), own, QUERY.class, full);
-    let refused = TryEnd::LinkRefused {
+    fleet.record_load(at(0), own, QUERY.route_hash, full);
+    let refused = TryOutcome::LinkRefused {
         retry_after: at(300),
     };
     for number in 2..=4 {
-        let other = fleet.key_of(hop(number)).expect("the member is known");
-        fleet.judged(at(0), other, refused);
+        let other = fleet
+            .key_of(peer_addr(number))
+            .expect("the member is known");
+        fleet.record_try_outcome(at(0), other, refused);
     }
     let long = PickQuery {
-        answer_bytes: 90_000,
+        response_bytes: 90_000,
         ..QUERY
     };
     assert_eq!(fleet.link_wait(at(10), &long), None);
     let mut rng = StdRng::seed_from_u64(7);
     for _ in 0..100 {
-        assert_eq!(fleet.pick_home(at(10), &long, &mut rng), Some(own));
+        assert_eq!(
+            fleet.pick_in_data_centre(at(10), &long, &mut rng),
+            Some(own)
+        );
     }
     let tried = PickQuery {
         tried: &[own],
         ..long
     };
     assert!(fleet.link_wait(at(10), &tried).is_some());
-    let busy = TryEnd::Refused {
+    let busy = TryOutcome::Refused {
         retry_after: at(100),
     };
-    fleet.judged(at(10), own, busy);
+    fleet.record_try_outcome(at(10), own, busy);
     assert!(fleet.link_wait(at(20), &long).is_some());
 }
 
@@ -162,21 +177,23 @@
 fn long_answers_prefer_the_same_instance_when_links_are_busy() {
     let mut fleet = view_with_local_first(8, 0);
     for number in 1..=8 {
-        let key = fleet.key_of(hop(number)).expect("the member is known");
+        let key = fleet
+            .key_of(peer_addr(number))
+            .expect("the member is known");
         let report = LoadReport {
             link: at(400),
             ..load(4, 0, at(100))
         };
-        fleet.loaded(at(0), key, QUERY.class, report);
+        fleet.record_load(at(0), key, QUERY.route_hash, report);
     }
-    let own = fleet.key_of(hop(1)).expect("the member is known");
+    let own = fleet.key_of(peer_addr(1)).expect("the member is known");
     let long = PickQuery {
-        answer_bytes: 90_000,
+        response_bytes: 90_000,
         ..QUERY
     };
     let mut rng = StdRng::seed_from_u64(7);
     for _ in 0..100 {
-        assert_eq!(fleet.pick_home(at(0), &long, &mut rng), Some(own));
+        assert_eq!(fleet.pick_in_data_centre(at(0), &long, &mut rng), Some(own));
     }
 }
 
@@ -185,11 +202,11 @@
 fn a_slow_member_is_left() {
     let mut fleet = view(4, 0);
     for number in 1..=4 {
-        let key = fleet.key_of(hop(number)).expect("it is known");
+        let key = fleet.key_of(peer_addr(number)).expect("it is known");
         let service = if number == 1 { at(1_000) } else { at(100) };
-        fleet.loaded(at(0), key, QUERY.class, load(1, 0, service));
+        fleet.record_load(at(0), key, QUERY.route_hash, load(1, 0, service));
     }
-    let slow = fleet.key_of(hop(1)).expect("it is known");
+    let slow = fleet.key_of(peer_addr(1)).expect("it is known");
     assert!(!picks(&fleet, at(0), &QUERY).contains_key(&slow));
 }
 
@@ -197,19 +214,19 @@
 #[test]
 fn an_unreachable_member_stays_out_for_longer_each_time() {
     let mut fleet = view(2, 0);
-    let dead = fleet.key_of(hop(1)).expect("it is known");
-    fleet.judged(at(0), dead, TryEnd::Unreachable);
+    let dead = fleet.key_of(peer_addr(1)).expect("it is known");
+    fleet.record_try_outcome(at(0), dead, TryOutcome::Unreachable);
     assert!(!picks(&fleet, at(100), &QUERY).contains_key(&dead));
     assert!(picks(&fleet, at(600), &QUERY).contains_key(&dead));
-    fleet.judged(at(600), dead, TryEnd::Unreachable);
+    fleet.record_try_outcome(at(600), dead, TryOutcome::Unreachable);
     assert!(!picks(&fleet, at(1_500), &QUERY).contains_key(&dead));
-    let other = fleet.key_of(hop(2)).expect("it is known");
+    let other = fleet.key_of(peer_addr(2)).expect("it is known");
     let alone = PickQuery {
         tried: &[other],
         ..QUERY
     };
     assert!(picks(&fleet, at(700), &alone).contains_key(&dead));
-    fleet.judged(at(1_900), dead, TryEnd::Answered { failed: false });
+    fleet.record_try_outcome(at(1_900), dead, TryOutcome::Answered { failed: false });
     assert!(picks(&fleet, at(1_900), &QUERY).contains_key(&dead));
 }
 
@@ -232,16 +249,16 @@
 fn a_missing_announcement_is_waited_for_and_then_believed() {
     let mut fleet = view(2, 0);
     let both: Vec<MemberKey> = (1..=2)
-        .filter_map(|number| fleet.key_of(hop(number)))
+        .filter_map(|number| fleet.key_of(peer_addr(number)))
         .collect();
-    assert!(fleet.lapse(at(0), hop(1), Revision(20)));
-    assert!(!fleet.lapse(at(0), hop(1), Revision(20)));
+    assert!(fleet.lapse(at(0), peer_addr(1), Revision(20)));
+    assert!(!fleet.lapse(at(0), peer_addr(1), Revision(20)));
     assert!(fleet.sweep(at(1_000)).is_empty());
-    fleet.judged(at(1_000), both[0], TryEnd::Answered { failed: false });
+    fleet.record_try_outcome(at(1_000), both[0], TryOutcome::Answered { failed: false });
     assert!(picks(&fleet, at(1_000), &QUERY).contains_key(&both[0]));
     assert!(fleet.announce(at(1_500), record(1, "hofdi"), Revision(21)));
     assert!(fleet.sweep(at(9_000)).is_empty());
-    assert!(fleet.lapse(at(9_000), hop(1), Revision(22)));
+    assert!(fleet.lapse(at(9_000), peer_addr(1), Revision(22)));
     assert_eq!(fleet.sweep(at(12_000)).len(), 1);
     assert!(fleet.get(both[0]).is_none());
     assert_eq!(fleet.len(), 1);
@@ -252,14 +269,14 @@
 fn a_second_try_needs_a_healthier_member() {
     let mut fleet = view(3, 0);
     let keys: Vec<MemberKey> = (1..=3)
-        .filter_map(|number| fleet.key_of(hop(number)))
+        .filter_map(|number| fleet.key_of(peer_addr(number)))
         .collect();
     for step in 0..20 {
         for &key in &keys {
-            fleet.judged(at(step), key, TryEnd::Answered { failed: false });
+            fleet.record_try_outcome(at(step), key, TryOutcome::Answered { failed: false });
         }
     }
-    fleet.judged(at(30), keys[0], TryEnd::Answered { failed: true });
+    fleet.record_try_outcome(at(30), keys[0], TryOutcome::Answered { failed: true });
     let query = PickQuery {
         tried: &keys[..1],
         ..QUERY
@@ -267,10 +284,10 @@
     assert!(fleet.has_healthier(at(30), keys[0], &query));
     for step in 0..20 {
         for &key in &keys {
-            fleet.judged(
+            fleet.record_try_outcome(
                 at(40 + step),
                 key,
-                TryEnd::Answered {
+                TryOutcome::Answered {
                     failed: step % 2 == 0,
                 },
             );
@@ -284,14 +301,14 @@
 fn chance_makes_no_member_healthier() {
     let mut fleet = view(30, 0);
     let keys: Vec<MemberKey> = (1..=30)
-        .filter_map(|number| fleet.key_of(hop(number)))
+        .filter_map(|number| fleet.key_of(peer_addr(number)))
         .collect();
     let mut rng = StdRng::seed_from_u64(5);
     let (mut failures, mut tried_again) = (0, 0);
     for step in 0..150 {
         let key = keys[rng.random_range(0..keys.len())];
         let failed = rng.random::<bool>();
-        fleet.judged(at(step), key, TryEnd::Answered { failed });
+        fleet.record_try_outcome(at(step), key, TryOutcome::Answered { failed });
         if step > 30 && failed {
             let tried = [key];
             let query = PickQuery {
@@ -310,8 +327,8 @@
 fn news_hold_what_changed_since() {
     let mut fleet = view(3, 0);
     fleet.advance(Revision(3));
-    assert!(fleet.news_since(Revision(3)).is_empty());
-    let whole = fleet.news_since(Revision(0));
+    assert!(fleet.update_since(Revision(3)).is_empty());
+    let whole = fleet.update_since(Revision(0));
     assert!(whole.whole);
     assert_eq!(whole.written.len(), 3);
     fleet.announce(
@@ -322,19 +339,23 @@
         },
         Revision(7),
     );
-    fleet.lapse(at(0), hop(1), Revision(8));
-    fleet.remove(hop(3), Revision(9));
+    fleet.lapse(at(0), peer_addr(1), Revision(8));
+    fleet.remove(peer_addr(3), Revision(9));
     fleet.advance(Revision(9));
-    let news = fleet.news_since(Revision(3));
-    assert!(!news.whole);
-    assert_eq!(news.written.len(), 1);
-    assert_eq!(news.written[0].1, 7);
-    let mut lapsed: Vec<u64> = news.lapsed.iter().map(|(_, revision)| *revision).collect();
+    let updates = fleet.update_since(Revision(3));
+    assert!(!updates.whole);
+    assert_eq!(updates.written.len(), 1);
+    assert_eq!(updates.written[0].1, 7);
+    let mut lapsed: Vec<u64> = updates
+        .lapsed
+        .iter()
+        .map(|(_, revision)| *revision)
+        .collect();
     lapsed.sort_unstable();
     assert_eq!(lapsed, [8, 9]);
     fleet.sweep(at(10_000));
-    let news = fleet.news_since(Revision(7));
-    assert_eq!(news.lapsed.len(), 2);
+    let updates = fleet.update_since(Revision(7));
+    assert_eq!(updates.lapsed.len(), 2);
 }
 
 /// Guards against vanished members that other nodes keep because a restarted node never saw them.
@@ -342,14 +363,14 @@
 fn a_list_taken_anew_is_told_as_a_whole() {
     let mut fleet = view(3, 0);
     fleet.listed(at(0), Revision(70), |_| true);
-    let news = fleet.news_since(Revision(50));
-    assert!(news.whole, "what vanished before the list isn't known");
-    assert_eq!(news.written.len(), 3);
-    assert!(!fleet.news_since(Revision(70)).whole);
-    fleet.remove(hop(2), Revision(71));
+    let updates = fleet.update_since(Revision(50));
+    assert!(updates.whole, "what vanished before the list isn't known");
+    assert_eq!(updates.written.len(), 3);
+    assert!(!fleet.update_since(Revision(70)).whole);
+    fleet.remove(peer_addr(2), Revision(71));
     fleet.advance(Revision(71));
-    assert!(!fleet.news_since(Revision(70)).whole);
-    assert!(fleet.news_since(Revision(69)).whole);
+    assert!(!fleet.update_since(Revision(70)).whole);
+    assert!(fleet.update_since(Revision(69)).whole);
 }
 
 /// Guards against counting a broken member as one with room when all other links are full.
@@ -357,20 +378,20 @@
 fn a_broken_member_draws_no_files_from_full_links() {
     let now = at(1_000);
     let mut fleet = view(3, 0);
-    let keys = [1, 2, 3].map(|number| fleet.key_of(hop(number)).expect("it is known"));
+    let keys = [1, 2, 3].map(|number| fleet.key_of(peer_addr(number)).expect("it is known"));
     let query = PickQuery {
-        answer_bytes: 280_000,
+        response_bytes: 280_000,
         ..QUERY
     };
     let retry_after = Duration::from_millis(120);
-    fleet.judged(now, keys[0], TryEnd::LinkRefused { retry_after });
-    fleet.judged(now, keys[1], TryEnd::LinkRefused { retry_after });
+    fleet.record_try_outcome(now, keys[0], TryOutcome::LinkRefused { retry_after });
+    fleet.record_try_outcome(now, keys[1], TryOutcome::LinkRefused { retry_after });
     assert_eq!(
         fleet.link_wait(now, &query),
         None,
         "the third may have room"
     );
-    fleet.judged(now, keys[2], TryEnd::Shut);
+    fleet.record_try_outcome(now, keys[2], TryOutcome::NoBackend);
     assert_eq!(fleet.link_wait(now, &query), Some(retry_after));
 }
 
@@ -379,6 +400,6 @@
 #[test]
 fn a_member_of_unknown_pace_is_given_the_target_time() {
     let fleet = view(1, 1);
-    let key = fleet.key_of(hop(1)).expect("it is announced");
-    assert!(fleet.patience(at(10), key, &QUERY) >= QUERY.target);
+    let key = fleet.key_of(peer_addr(1)).expect("it is announced");
+    assert!(fleet.silence_timeout(at(10), key, &QUERY) >= QUERY.target);
 }
