--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -4,8 +4,8 @@
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 use geranium_node::{
-    door::{DoorQueue, JobKey, JobOffer, OfferVerdict},
-    member::{FleetView, LoadReport, MemberKey, MemberRecord, MemberState, PickQuery, TryEnd},
+    inbound::{AdmissionDecision, AdmissionQueue, AdmissionRequest, QueueKey},
+    member::{FleetView, LoadReport, MemberKey, MemberRecord, MemberState, PickQuery, TryOutcome},
     store::Revision,
 };
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
@@ -63,8 +63,8 @@
 /// A request of one front.
 #[derive(Debug, Clone, Copy)]
 struct Request {
-    front: usize,
-    door: usize,
+    sender: usize,
+    receiver: usize,
     key: MemberKey,
     target_at: Duration,
 }
@@ -78,10 +78,10 @@
 
 /// One backend server, and the queue of the node beside it.
 struct Door {
-    queue: DoorQueue,
+    queue: AdmissionQueue,
     work: Duration,
     running: Vec<Run>,
-    waiting: HashMap<JobKey, (Request, Duration)>,
+    waiting: HashMap<QueueKey, (Request, Duration)>,
     /// Whether its backend server is gone, and the node beside it lives on.
     shut: bool,
 }
@@ -98,8 +98,8 @@
     }
 }
 
-fn hop(door: usize) -> SocketAddr {
-    SocketAddr::from(([10, 1, 0, door as u8 + 1], 7600))
+fn peer_addr(receiver: usize) -> SocketAddr {
+    SocketAddr::from(([10, 1, 0, receiver as u8 + 1], 7600))
 }
 
 /// Returns the data centre of a front or door.
@@ -107,12 +107,12 @@
     format!("dc-{}", number % data_centres)
 }
 
-fn record(door: usize, data_centres: usize) -> MemberRecord {
+fn record(receiver: usize, data_centres: usize) -> MemberRecord {
     MemberRecord {
-        hop: hop(door),
-        start: start(format!("i-{door}")),
+        peer_addr: peer_addr(receiver),
+        start: start(format!("i-{receiver}")),
         service: "orders".to_owned(),
-        data_centre: place(door, data_centres),
+        data_centre: place(receiver, data_centres),
         slots: SLOTS,
         state: MemberState::Ready,
         link_mbps: 100,
@@ -130,12 +130,12 @@
     /// even part.
     crowd: f64,
     /// What fronts take a refusal of a node without a backend server for.
-    shut_end: TryEnd,
+    shut_end: TryOutcome,
     rng: StdRng,
-    fronts: Vec<FleetView>,
+    senders: Vec<FleetView>,
     /// What each front last heard of each door.
     heard: Vec<HashMap<usize, LoadReport>>,
-    doors: Vec<Door>,
+    receivers: Vec<Door>,
     result: LoadResult,
 }
 
@@ -147,41 +147,41 @@
     /// Makes a fleet whose fronts and doors are spread over data centres evenly.
     fn spread(picker: Picker, load: f64, data_centres: usize) -> Self {
         let mut rng = StdRng::seed_from_u64(23);
-        let fronts = (0..FRONTS).map(|front| {
-            let mut view = FleetView::new(place(front, data_centres));
-            for door in 0..DOORS {
-                let record = record(door, data_centres);
-                view.announce(Duration::ZERO, record, Revision(door as u64 + 1));
+        let senders = (0..FRONTS).map(|sender| {
+            let mut view = FleetView::new(place(sender, data_centres));
+            for receiver in 0..DOORS {
+                let record = record(receiver, data_centres);
+                view.announce(Duration::ZERO, record, Revision(receiver as u64 + 1));
             }
             view
         });
         // The slowest takes three times as long as the fastest.
-        let doors = (0..DOORS).map(|_| Door {
-            queue: DoorQueue::new(SLOTS),
+        let receivers = (0..DOORS).map(|_| Door {
+            queue: AdmissionQueue::new(SLOTS),
             work: Duration::from_millis(rng.random_range(120..360)),
             running: Vec::new(),
             waiting: HashMap::new(),
             shut: false,
         });
-        let (fronts, doors) = (fronts.collect(), doors.collect());
+        let (senders, receivers) = (senders.collect(), receivers.collect());
         Self {
             picker,
             load,
             data_centres,
             crowd: 0.0,
-            shut_end: TryEnd::Shut,
-            fronts,
+            shut_end: TryOutcome::NoBackend,
+            senders,
             heard: vec![HashMap::new(); FRONTS],
-            doors,
+            receivers,
             result: LoadResult::default(),
             rng,
         }
     }
 
     /// Takes the backend servers of the last `count` doors away.
-    fn shut(mut self, count: usize, shut_end: TryEnd) -> Self {
-        for door in &mut self.doors[DOORS - count..] {
-            door.shut = true;
+    fn shut(mut self, count: usize, shut_end: TryOutcome) -> Self {
+        for receiver in &mut self.receivers[DOORS - count..] {
+            receiver.shut = true;
         }
         self.shut_end = shut_end;
         self
@@ -194,16 +194,19 @@
     }
 
     fn draw_front(&mut self) -> usize {
-        let front = self.rng.random_range(0..FRONTS);
+        let sender = self.rng.random_range(0..FRONTS);
         if self.crowd > 0.0 && self.rng.random_bool(self.crowd) {
-            front - front % self.data_centres
+            sender - sender % self.data_centres
         } else {
-            front
+            sender
         }
     }
 
     fn per_second(&self) -> f64 {
-        let rates = self.doors.iter().map(|door| 1.0 / door.work.as_secs_f64());
+        let rates = self
+            .receivers
+            .iter()
+            .map(|receiver| 1.0 / receiver.work.as_secs_f64());
         rates.sum::<f64>() * f64::from(SLOTS) * self.load
     }
 
@@ -225,147 +228,160 @@
     }
 
     fn end_runs(&mut self, now: Duration) {
-        for door in 0..DOORS {
-            let running = std::mem::take(&mut self.doors[door].running);
-            let (ended, running): (Vec<_>, Vec<_>) =
+        for receiver in 0..DOORS {
+            let running = std::mem::take(&mut self.receivers[receiver].running);
+            let (request_ended, running): (Vec<_>, Vec<_>) =
                 running.into_iter().partition(|run| run.ends_at <= now);
-            self.doors[door].running = running;
-            for run in ended {
+            self.receivers[receiver].running = running;
+            for run in request_ended {
                 self.result.in_time += u32::from(now <= run.request.target_at);
                 let took = now.saturating_sub(run.began);
-                let granted = self.doors[door].queue.finish(now, CLASS, Some(took));
-                self.hear(now, run.request);
-                let view = &mut self.fronts[run.request.front];
-                view.judged(now, run.request.key, TryEnd::Answered { failed: false });
-                view.ended(run.request.key);
+                let granted = self.receivers[receiver]
+                    .queue
+                    .finish(now, CLASS, Some(took));
+                self.observe(now, run.request);
+                let view = &mut self.senders[run.request.sender];
+                view.record_try_outcome(
+                    now,
+                    run.request.key,
+                    TryOutcome::Answered { failed: false },
+                );
+                view.request_ended(run.request.key);
                 for key in granted {
-                    let (request, _) = self.doors[door].waiting.remove(&key).expect("it waited");
+                    let (request, _) = self.receivers[receiver]
+                        .waiting
+                        .remove(&key)
+                        .expect("it waited");
                     self.begin(now, request);
                 }
             }
-            self.expire(now, door);
+            self.expire(now, receiver);
         }
     }
 
-    fn expire(&mut self, now: Duration, door: usize) {
-        let door = &mut self.doors[door];
-        let late: Vec<JobKey> = door
+    fn expire(&mut self, now: Duration, receiver: usize) {
+        let receiver = &mut self.receivers[receiver];
+        let late: Vec<QueueKey> = receiver
             .waiting
             .iter()
             .filter(|(_, (_, latest))| *latest < now)
             .map(|(&key, _)| key)
             .collect();
         for key in late {
-            door.queue.expire(key);
-            let (request, _) = door.waiting.remove(&key).expect("it waited");
-            self.fronts[request.front].ended(request.key);
+            receiver.queue.expire(key);
+            let (request, _) = receiver.waiting.remove(&key).expect("it waited");
+            self.senders[request.sender].request_ended(request.key);
             self.result.refused += 1;
         }
     }
 
     fn begin(&mut self, now: Duration, request: Request) {
-        let far = request.front % self.data_centres != request.door % self.data_centres;
+        let far = request.sender % self.data_centres != request.receiver % self.data_centres;
         self.result.far += u32::from(far);
         let spread = 0.5 + self.rng.random::<f64>();
-        let door = &mut self.doors[request.door];
-        door.running.push(Run {
+        let receiver = &mut self.receivers[request.receiver];
+        receiver.running.push(Run {
             request,
             began: now,
-            ends_at: now + door.work.mul_f64(spread),
+            ends_at: now + receiver.work.mul_f64(spread),
         });
     }
 
-    fn hear(&mut self, now: Duration, request: Request) {
-        let report = self.doors[request.door].report();
-        self.fronts[request.front].loaded(now, request.key, CLASS, report);
-        self.heard[request.front].insert(request.door, report);
+    fn observe(&mut self, now: Duration, request: Request) {
+        let report = self.receivers[request.receiver].report();
+        self.senders[request.sender].record_load(now, request.key, CLASS, report);
+        self.heard[request.sender].insert(request.receiver, report);
     }
 
     /// Sends a request of a random front, as the node does: a probe where a slot
     /// may be free, then a place in a queue.
     fn ask(&mut self, now: Duration) {
         self.result.offered += 1;
-        let front = self.draw_front();
+        let sender = self.draw_front();
         let (mut tried, mut probed) = (Vec::new(), Vec::new());
         while tried.len() + probed.len() < TRIES {
             let may_wait = self.picker == Picker::BestKnown
                 || probed.len() == PROBES
-                || !self.fronts[front].may_probe(&query(&tried, &probed));
-            let Some(key) = self.pick(now, front, &tried, &probed, may_wait) else {
+                || !self.senders[sender].may_probe(&query(&tried, &probed));
+            let Some(key) = self.pick(now, sender, &tried, &probed, may_wait) else {
                 break;
             };
-            let address = self.fronts[front].get(key).expect("it is known").record.hop;
+            let address = self.senders[sender]
+                .get(key)
+                .expect("it is known")
+                .record
+                .peer_addr;
             let request = Request {
-                front,
-                door: (0..DOORS)
-                    .find(|&door| hop(door) == address)
+                sender,
+                receiver: (0..DOORS)
+                    .find(|&receiver| peer_addr(receiver) == address)
                     .expect("it is one"),
                 key,
                 target_at: now + TARGET,
             };
             self.result.asked += 1;
-            if self.doors[request.door].shut {
-                self.fronts[front].judged(now, key, self.shut_end);
+            if self.receivers[request.receiver].shut {
+                self.senders[sender].record_try_outcome(now, key, self.shut_end);
                 tried.push(key);
                 continue;
             }
-            self.fronts[front].sent(key);
+            self.senders[sender].request_sent(key);
             match self.offer(now, request, may_wait) {
-                OfferVerdict::Run => return self.begin(now, request),
-                OfferVerdict::Wait { key, latest } => {
-                    let waiting = &mut self.doors[request.door].waiting;
+                AdmissionDecision::Run => return self.begin(now, request),
+                AdmissionDecision::Wait { key, latest } => {
+                    let waiting = &mut self.receivers[request.receiver].waiting;
                     waiting.insert(key, (request, latest));
                     return;
                 }
-                OfferVerdict::Busy => {
+                AdmissionDecision::Busy => {
                     probed.push(key);
                 }
-                OfferVerdict::Refuse { retry_after } => {
-                    let end = TryEnd::Refused { retry_after };
-                    self.fronts[front].judged(now, key, end);
+                AdmissionDecision::Refuse { retry_after } => {
+                    let end = TryOutcome::Refused { retry_after };
+                    self.senders[sender].record_try_outcome(now, key, end);
                     tried.push(key);
                 }
             }
-            self.fronts[front].ended(key);
-            self.hear(now, request);
+            self.senders[sender].request_ended(key);
+            self.observe(now, request);
         }
         self.result.refused += 1;
     }
 
-    fn offer(&mut self, now: Duration, request: Request, may_wait: bool) -> OfferVerdict {
-        let offer = JobOffer {
+    fn offer(&mut self, now: Duration, request: Request, may_wait: bool) -> AdmissionDecision {
+        let offer = AdmissionRequest {
             rank: 1,
-            class: CLASS,
+            route_hash: CLASS,
             may_wait,
-            begun: false,
+            nested: false,
             useful_until: request.target_at,
             ends_at: request.target_at + TARGET,
         };
-        self.doors[request.door].queue.offer(now, offer)
+        self.receivers[request.receiver].queue.offer(now, offer)
     }
 
     fn pick(
         &mut self,
         now: Duration,
-        front: usize,
+        sender: usize,
         tried: &[MemberKey],
         probed: &[MemberKey],
         may_wait: bool,
     ) -> Option<MemberKey> {
         let query = query(tried, probed);
         match (self.picker, may_wait) {
-            (Picker::BestKnown, _) => self.best_known(front, tried),
-            (Picker::Node, false) => self.fronts[front].pick(now, &query, &mut self.rng),
-            (Picker::Node, true) => self.fronts[front].pick_queue(now, &query, &mut self.rng),
+            (Picker::BestKnown, _) => self.best_known(sender, tried),
+            (Picker::Node, false) => self.senders[sender].pick(now, &query, &mut self.rng),
+            (Picker::Node, true) => self.senders[sender].pick_queue(now, &query, &mut self.rng),
         }
     }
 
     /// The least time to an answer of all that a front knows.
-    fn best_known(&mut self, front: usize, tried: &[MemberKey]) -> Option<MemberKey> {
+    fn best_known(&mut self, sender: usize, tried: &[MemberKey]) -> Option<MemberKey> {
         let mut best: Option<(f64, MemberKey)> = None;
-        for door in 0..DOORS {
-            let key = self.fronts[front].key_of(hop(door))?;
-            let heard = self.heard[front].get(&door);
+        for receiver in 0..DOORS {
+            let key = self.senders[sender].key_of(peer_addr(receiver))?;
+            let heard = self.heard[sender].get(&receiver);
             let wait = heard.map_or(0.0, |report| {
                 let held = f64::from(report.running + report.waiting) + 1.0;
                 let excess = (held - f64::from(SLOTS)).max(0.0) / f64::from(SLOTS);
@@ -383,11 +399,11 @@
 fn query<'a>(tried: &'a [MemberKey], probed: &'a [MemberKey]) -> PickQuery<'a> {
     PickQuery {
         service: "orders",
-        class: CLASS,
+        route_hash: CLASS,
         target: TARGET,
         tried,
         probed,
-        answer_bytes: 2_000,
+        response_bytes: 2_000,
     }
 }
 
@@ -416,10 +432,12 @@
 #[test]
 fn nodes_without_a_server_draw_no_work() {
     let load = BUSY * 0.75;
-    let node = Fleet::new(Picker::Node, load).shut(6, TryEnd::Shut).play();
+    let node = Fleet::new(Picker::Node, load)
+        .shut(6, TryOutcome::NoBackend)
+        .play();
     let retry_after = Duration::from_millis(50);
     let naive = Fleet::new(Picker::Node, load)
-        .shut(6, TryEnd::Refused { retry_after })
+        .shut(6, TryOutcome::Refused { retry_after })
         .play();
     assert!(node.share_in_time() > 0.95, "{node:?} {naive:?}");
     assert!(
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use geranium_node::{
-    front::ReturnBook,
-    link::{LinkOffer, LinkSchedule, LinkTurn, LinkVerdict, LoadKey},
+    link::{LinkDecision, LinkRequest, LinkSchedule, LinkTurn, TransferKey},
+    outbound::ResendTracker,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
@@ -76,8 +76,8 @@
 /// A caller that wants one file.
 #[derive(Debug, Clone, Copy)]
 struct Caller {
-    print: u64,
-    first_asked: Duration,
+    fingerprint: u64,
+    first_attempt_at: Duration,
     end: Duration,
     attempts: u32,
     asks_at: Duration,
@@ -86,7 +86,7 @@
 /// A file that is promised the link.
 #[derive(Debug, Clone, Copy)]
 struct File {
-    key: LoadKey,
+    key: TransferKey,
     left: u64,
     made_at: Duration,
     is_made: bool,
@@ -99,7 +99,7 @@
     link: LinkSchedule,
     /// Bytes that wait at the real link.
     queue: f64,
-    returns: ReturnBook,
+    returns: ResendTracker,
     per_second: f64,
     /// Files for callers on the instance, a second.
     local_per_s: f64,
@@ -115,7 +115,7 @@
             sight,
             link: LinkSchedule::new(LINK_MBPS),
             queue: 0.0,
-            returns: ReturnBook::default(),
+            returns: ResendTracker::default(),
             per_second,
             local_per_s: 0.0,
             rng: StdRng::seed_from_u64(23),
@@ -142,11 +142,11 @@
 
     fn arrive(&mut self, now: Duration) {
         if self.rng.random::<f64>() < self.per_second * STEP.as_secs_f64() {
-            let patience = Duration::from_millis(self.rng.random_range(PATIENCE));
+            let silence_timeout = Duration::from_millis(self.rng.random_range(PATIENCE));
             self.callers.push(Caller {
-                print: self.rng.random(),
-                first_asked: now,
-                end: now + patience,
+                fingerprint: self.rng.random(),
+                first_attempt_at: now,
+                end: now + silence_timeout,
                 attempts: 0,
                 asks_at: now,
             });
@@ -179,20 +179,23 @@
 
     fn offer(&mut self, now: Duration, mut caller: Caller) {
         self.result.offered += 1;
-        let known = self.returns.first_asked(caller.print, caller.end);
-        let first_asked = known.filter(|_| self.sight.returns).unwrap_or(now);
-        let offer = LinkOffer {
+        let known = self
+            .returns
+            .first_attempt_at(caller.fingerprint, caller.end);
+        let first_attempt_at = known.filter(|_| self.sight.returns).unwrap_or(now);
+        let offer = LinkRequest {
             bytes: FILE_BYTES as u64,
             made_in: RUN,
-            useful_until: first_asked + TARGET,
+            useful_until: first_attempt_at + TARGET,
             ends_at: caller.end,
         };
         match self.link.offer(now, offer) {
-            LinkVerdict::Promised(key) => self.begin(now, key, caller),
-            LinkVerdict::Refused { retry_after } => {
+            LinkDecision::Promised(key) => self.begin(now, key, caller),
+            LinkDecision::Refused { retry_after } => {
                 self.result.refused += 1;
                 self.send_head(now);
-                self.returns.refused(caller.print, first_asked, caller.end);
+                self.returns
+                    .refused(caller.fingerprint, first_attempt_at, caller.end);
                 caller.attempts += 1;
                 caller.asks_at = now + retry_after.max(PAUSE);
                 if caller.attempts < ATTEMPTS && caller.asks_at < caller.end {
@@ -202,7 +205,7 @@
         }
     }
 
-    fn begin(&mut self, now: Duration, key: LoadKey, caller: Caller) {
+    fn begin(&mut self, now: Duration, key: TransferKey, caller: Caller) {
         let run = RUN.mul_f64(0.4 + 1.2 * self.rng.random::<f64>());
         let left = self.length();
         self.files.push(File {
@@ -283,7 +286,7 @@
     fn end(&mut self, now: Duration) {
         let there = now + Duration::from_secs_f64(self.queue / LINK_RATE);
         for file in self.files.extract_if(.., |file| file.left == 0) {
-            if there <= file.caller.first_asked + TARGET {
+            if there <= file.caller.first_attempt_at + TARGET {
                 self.result.in_time += 1;
             } else {
                 self.result.late += 1;
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use geranium_node::{
-    link::{LinkOffer, LinkSchedule, LinkVerdict, LoadKey},
-    member::{FleetView, LoadReport, MemberKey, MemberRecord, PickQuery, TryEnd},
+    link::{LinkDecision, LinkRequest, LinkSchedule, TransferKey},
+    member::{FleetView, LoadReport, MemberKey, MemberRecord, PickQuery, TryOutcome},
     store::Revision,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-use crate::support::{self, at, hop};
+use crate::support::{self, at, peer_addr};
 
 const FILE_BYTES: u64 = 280_000;
 const LINK_MBPS: f64 = 25.5;
@@ -24,11 +24,11 @@
 
 const LONG: PickQuery<'static> = PickQuery {
     service: "prices",
-    class: 7,
+    route_hash: 7,
     target: TARGET,
     tried: &[],
     probed: &[],
-    answer_bytes: FILE_BYTES,
+    response_bytes: FILE_BYTES,
 };
 
 /// Guards against repeated requests to remote members whose links are full, and against
@@ -36,13 +36,13 @@
 #[test]
 fn long_answers_avoid_a_full_remote_link_while_a_near_member_can_be_asked() {
     let mut fleet = view_from(DATA_CENTRES[0]);
-    let near = fleet.key_of(hop(1)).expect("the member is known");
-    let remote = fleet.key_of(hop(2)).expect("the member is known");
-    let refused = TryEnd::LinkRefused {
+    let near = fleet.key_of(peer_addr(1)).expect("the member is known");
+    let remote = fleet.key_of(peer_addr(2)).expect("the member is known");
+    let refused = TryOutcome::LinkRefused {
         retry_after: at(100),
     };
-    fleet.judged(at(0), near, refused);
-    fleet.judged(at(0), remote, refused);
+    fleet.record_try_outcome(at(0), near, refused);
+    fleet.record_try_outcome(at(0), remote, refused);
     let mut rng = StdRng::seed_from_u64(7);
     let near_tried = PickQuery {
         tried: &[near],
@@ -52,11 +52,11 @@
     assert!(!fleet.has_open(at(2_000), &near_tried));
     assert!(fleet.has_open(at(5_000), &near_tried));
     let short = PickQuery {
-        answer_bytes: 5_000,
+        response_bytes: 5_000,
         ..near_tried
     };
     assert!(fleet.has_open(at(50), &short));
-    fleet.judged(at(1_000), near, TryEnd::Unreachable);
+    fleet.record_try_outcome(at(1_000), near, TryOutcome::Unreachable);
     assert_eq!(fleet.link_wait(at(1_100), &LONG), None);
     assert_eq!(fleet.pick(at(1_100), &LONG, &mut rng), Some(remote));
 }
@@ -76,7 +76,7 @@
 
 /// A file whose transfer was promised by a link.
 struct File {
-    key: LoadKey,
+    key: TransferKey,
     made_at: Duration,
     remaining: u64,
 }
@@ -94,7 +94,7 @@
 struct LinkShortage {
     links: [LinkSchedule; 2],
     files: [Vec<File>; 2],
-    fronts: Vec<FleetView>,
+    senders: Vec<FleetView>,
     rng: StdRng,
     result: SimulationResult,
 }
@@ -103,22 +103,22 @@
     /// Runs the simulation. Nodes that don't know their data centre treat every member as
     /// remote.
     fn simulate(knows_data_centre: bool) -> SimulationResult {
-        let fronts = (0..FRONTS_PER_DATA_CENTRE * 2).map(|front| {
-            let data_centre = DATA_CENTRES[front % 2];
+        let senders = (0..FRONTS_PER_DATA_CENTRE * 2).map(|sender| {
+            let data_centre = DATA_CENTRES[sender % 2];
             view_from(if knows_data_centre { data_centre } else { "" })
         });
         let mut simulation = Self {
             links: [LinkSchedule::new(LINK_MBPS), LinkSchedule::new(LINK_MBPS)],
             files: [Vec::new(), Vec::new()],
-            fronts: fronts.collect(),
+            senders: senders.collect(),
             rng: StdRng::seed_from_u64(11),
             result: SimulationResult::default(),
         };
         let mut now = Duration::ZERO;
         while now < LENGTH {
-            for front in 0..simulation.fronts.len() {
+            for sender in 0..simulation.senders.len() {
                 if simulation.rng.random::<f64>() < FILES_PER_S * STEP.as_secs_f64() {
-                    simulation.request_file(now, front);
+                    simulation.request_file(now, sender);
                 }
             }
             (0..2).for_each(|link| simulation.transmit(now, link));
@@ -128,22 +128,22 @@
     }
 
     /// Asks members in turn until one promises a file.
-    fn request_file(&mut self, now: Duration, front: usize) {
+    fn request_file(&mut self, now: Duration, sender: usize) {
         let mut tried = Vec::new();
         loop {
             let query = PickQuery {
                 tried: &tried,
                 ..LONG
             };
-            let fleet = &mut self.fronts[front];
+            let fleet = &mut self.senders[sender];
             if fleet.link_wait(now, &query).is_some() {
                 return;
             }
-            let home = fleet.pick_home(now, &query, &mut self.rng);
+            let home = fleet.pick_in_data_centre(now, &query, &mut self.rng);
             let Some(key) = home.or_else(|| fleet.pick(now, &query, &mut self.rng)) else {
                 return;
             };
-            if self.offer(now, front, key) {
+            if self.offer(now, sender, key) {
                 return;
             }
             tried.push(key);
@@ -151,15 +151,15 @@
     }
 
     /// Returns whether the member's link promised the file.
-    fn offer(&mut self, now: Duration, front: usize, key: MemberKey) -> bool {
-        let link = usize::from(self.fronts[front].key_of(hop(2)) == Some(key));
-        let offer = LinkOffer {
+    fn offer(&mut self, now: Duration, sender: usize, key: MemberKey) -> bool {
+        let link = usize::from(self.senders[sender].key_of(peer_addr(2)) == Some(key));
+        let offer = LinkRequest {
             bytes: FILE_BYTES,
             made_in: RUN,
             useful_until: now + TARGET,
             ends_at: now + TARGET * 4,
         };
-        let verdict = self.links[link].offer(now, offer);
+        let decision = self.links[link].offer(now, offer);
         let report = LoadReport {
             running: 1,
             waiting: 0,
@@ -167,23 +167,23 @@
             run: RUN,
             link: self.links[link].backlog(now),
         };
-        let fleet = &mut self.fronts[front];
-        fleet.loaded(now, key, LONG.class, report);
-        match verdict {
-            LinkVerdict::Promised(load) => {
-                fleet.judged(now, key, TryEnd::Answered { failed: false });
+        let fleet = &mut self.senders[sender];
+        fleet.record_load(now, key, LONG.route_hash, report);
+        match decision {
+            LinkDecision::Promised(load) => {
+                fleet.record_try_outcome(now, key, TryOutcome::Answered { failed: false });
                 self.files[link].push(File {
                     key: load,
                     made_at: now + RUN,
                     remaining: FILE_BYTES,
                 });
-                if link != front % 2 {
+                if link != sender % 2 {
                     self.result.remote_bytes += FILE_BYTES;
                 }
                 true
             }
-            LinkVerdict::Refused { retry_after } => {
-                fleet.judged(now, key, TryEnd::LinkRefused { retry_after });
+            LinkDecision::Refused { retry_after } => {
+                fleet.record_try_outcome(now, key, TryOutcome::LinkRefused { retry_after });
                 self.result.refusals += 1;
                 false
             }
--- a/crates/node/tests/all/starts.rs
+++ b/crates/node/tests/all/starts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    crash::{CrashBook, CrashRow},
+    crash::{CrashHistory, CrashRecord},
     member::{EndpointStart, FleetView, MemberRecord, StartInput, StartOrder},
     store::Revision,
 };
@@ -23,10 +23,10 @@
 /// Guards against counting several crashes under one identifier as one.
 #[test]
 fn each_crash_of_an_identifier_counts() {
-    let mut book = CrashBook::default();
+    let mut book = CrashHistory::default();
     for crash in 0..2 {
         assert_eq!(book.refusal(NOW, 7), None, "after {crash} crashes");
-        let row = CrashRow {
+        let row = CrashRecord {
             fingerprint: 7,
             start: born("i-1", 1_000 * (crash + 1)),
         };
@@ -41,15 +41,17 @@
 fn evidence_ends_with_the_start() {
     let mut fleet = FleetView::new("hofdi");
     fleet.announce(NOW, record(born("i-1", 1_000)), Revision(1));
-    let key = fleet.key_of(record(start("i-1")).hop).expect("announced");
-    fleet.judged(NOW, key, geranium_node::member::TryEnd::Unreachable);
+    let key = fleet
+        .key_of(record(start("i-1")).peer_addr)
+        .expect("announced");
+    fleet.record_try_outcome(NOW, key, geranium_node::member::TryOutcome::Unreachable);
     let query = geranium_node::member::PickQuery {
         service: "prices",
-        class: 7,
+        route_hash: 7,
         target: Duration::from_millis(400),
         tried: &[],
         probed: &[],
-        answer_bytes: 400,
+        response_bytes: 400,
     };
     assert!(!fleet.has_open(NOW, &query));
     fleet.announce(NOW, record(born("i-1", 9_000)), Revision(2));
@@ -83,7 +85,7 @@
     #[test]
     fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _record = serde_json::from_slice::<MemberRecord>(&bytes);
-        let _rows = serde_json::from_slice::<Vec<CrashRow>>(&bytes);
+        let _rows = serde_json::from_slice::<Vec<CrashRecord>>(&bytes);
     }
 
     /// An announcement with a field missing or of another type names nobody. What
--- a/crates/rig/src/rig_endpoint.rs
+++ b/crates/rig/src/rig_endpoint.rs
@@ -253,7 +253,7 @@
     }
 
     fn instance(&self, machine: &Machine) -> String {
-        let ip = machine.addrs.hop.ip().to_string().replace('.', "-");
+        let ip = machine.addrs.peer_addr.ip().to_string().replace('.', "-");
         format!("i-{ip}-{}", self.name)
     }
 
@@ -262,7 +262,7 @@
             instance: self.instance(machine),
             born_ms: self.born_ms,
             work: self.work,
-            answer_bytes: ANSWER_BYTES,
+            response_bytes: ANSWER_BYTES,
             healthy: true,
             fault: with_crashes(self.fault),
         }
