--- a/crates/node/src/discovery/fleet_follower.rs
+++ b/crates/node/src/discovery/fleet_follower.rs
@@ -98,7 +98,7 @@
             if core
                 .relay_selector
                 .borrow_mut()
-                .record_contact(now, peer_addr, contact)
+                .record_reachability(now, peer_addr, contact)
             {
                 core.recheck_store();
             }
@@ -108,7 +108,9 @@
         Err(cause) => {
             warn!(core.log.logger(), "guide lost";
                 "at" => %peer_addr, "version" => core.version().0, "cause" => %cause);
-            core.relay_selector.borrow_mut().failed(now, peer_addr);
+            core.relay_selector
+                .borrow_mut()
+                .record_relay_failure(now, peer_addr);
             false
         }
     };
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -24,12 +24,12 @@
                 .await;
             let mut access = core.store_access.borrow_mut();
             if looked.is_ok() {
-                access.probe_succeeded();
+                access.record_probe_success();
             } else {
                 // It was logged as lost when the first call failed.
-                access.failed();
+                access.record_failure();
                 drop(access);
-                core.tell_store_lost();
+                core.notify_store_lost();
             }
         }
         core.store_back.notify_waiters();
--- a/crates/node/src/discovery/update_handler.rs
+++ b/crates/node/src/discovery/update_handler.rs
@@ -35,7 +35,7 @@
         };
         // Whoever waits follows this node; who doesn't asks in passing.
         if !question.wait.is_zero() {
-            self.core.asked();
+            self.core.record_update_request();
         }
         let answer = self.wait_for_news(question).await;
         json_response(&answer).unwrap_or_else(|cause| {
--- a/crates/node/src/distribution/relay_selector.rs
+++ b/crates/node/src/distribution/relay_selector.rs
@@ -93,12 +93,12 @@
     }
 
     /// Notes that another node asked this one.
-    pub fn asked(&mut self, now: Duration) {
+    pub fn record_update_request(&mut self, now: Duration) {
         self.asked_until = now + ASKED_TIME;
     }
 
     /// Notes that the node at `peer_addr` gave no answer.
-    pub fn failed(&mut self, now: Duration, peer_addr: SocketAddr) {
+    pub fn record_relay_failure(&mut self, now: Duration, peer_addr: SocketAddr) {
         self.out_until.insert(peer_addr, now + RELAY_OUT);
     }
 
@@ -106,7 +106,7 @@
     /// whether this node should check its own. A node that is cut off from the store is
     /// passed over, unless this one is as well.
     #[must_use]
-    pub fn record_contact(
+    pub fn record_reachability(
         &mut self,
         now: Duration,
         peer_addr: SocketAddr,
@@ -131,7 +131,7 @@
     }
 
     /// Whether this node watches the store because another asked it.
-    pub fn is_asked(&self, now: Duration) -> bool {
+    pub fn has_recent_update_request(&self, now: Duration) -> bool {
         now < self.asked_until
     }
 
--- a/crates/node/src/distribution/store_access.rs
+++ b/crates/node/src/distribution/store_access.rs
@@ -45,14 +45,14 @@
     }
 
     /// Notes that a call was answered, and returns whether that is news.
-    pub fn succeeded(&mut self) -> bool {
+    pub fn record_success(&mut self) -> bool {
         let failing = self.failures > 0;
         *self = Self::default();
         failing
     }
 
     /// Notes that a call failed, and returns whether that is news.
-    pub fn failed(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         let first = self.failures == 0;
         self.failures = self.failures.saturating_add(1);
         self.shut = true;
@@ -72,7 +72,7 @@
 
     /// Notes that a look was answered. Calls may still fail: some ways of being
     /// away spare reads.
-    pub fn probe_succeeded(&mut self) {
+    pub fn record_probe_success(&mut self) {
         self.shut = false;
     }
 
@@ -85,10 +85,10 @@
     /// use geranium_node::distribution::{StoreProbeDuty, StoreAccess};
     ///
     /// let mut access = StoreAccess::default();
-    /// assert!(access.failed());
+    /// assert!(access.record_failure());
     /// assert!(!access.is_open());
     /// assert!(access.pause(StoreProbeDuty::Own, 1.0) <= Duration::from_millis(100));
-    /// assert!(!access.failed());
+    /// assert!(!access.record_failure());
     /// let told = access.pause(StoreProbeDuty::ByRelay, 0.0);
     /// assert!(told > access.pause(StoreProbeDuty::Own, 1.0));
     /// ```
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -29,7 +29,7 @@
             // Followers that wait to hear of the return.
             self.updates.notify_waiters();
         }
-        if self.store_access.borrow_mut().succeeded() {
+        if self.store_access.borrow_mut().record_success() {
             info!(self.log.logger(), "store regained");
         }
     }
@@ -37,7 +37,7 @@
     /// Notes that a call to the store failed.
     pub fn store_failed(&self, call: &'static str, cause: &StoreError) {
         let age = self.relay_selector.borrow().store_age(self.clock.now());
-        if self.store_access.borrow_mut().failed() {
+        if self.store_access.borrow_mut().record_failure() {
             warn!(self.log.logger(), "store lost";
                 "for" => call,
                 "cause" => %cause,
@@ -50,7 +50,7 @@
 
     /// Tells the nodes that follow this one that the store doesn't answer it. One
     /// failed call doesn't say so: connections are reset, and answers lost.
-    pub fn tell_store_lost(&self) {
+    pub fn notify_store_lost(&self) {
         if self.relay_selector.borrow_mut().store_lost() {
             self.updates.notify_waiters();
             self.watch_duty_changed.notify_waiters();
@@ -71,7 +71,7 @@
             return;
         }
         info!(self.log.logger(), "store heard of"; "from" => %peer_addr);
-        self.store_access.borrow_mut().probe_succeeded();
+        self.store_access.borrow_mut().record_probe_success();
         self.store_back.notify_waiters();
         self.watch_duty_changed.notify_waiters();
     }
@@ -102,8 +102,10 @@
     }
 
     /// Notes that another node asked for news.
-    pub fn asked(&self) {
-        self.relay_selector.borrow_mut().asked(self.clock.now());
+    pub fn record_update_request(&self) {
+        self.relay_selector
+            .borrow_mut()
+            .record_update_request(self.clock.now());
         self.watch_duty_changed.notify_waiters();
     }
 
@@ -144,8 +146,11 @@
 
     /// Whether this node watches the store.
     pub fn watches_store(&self) -> bool {
-        let asked = self.relay_selector.borrow().is_asked(self.clock.now());
-        self.knows_local_members() && (asked || self.update_source() == UpdateSource::Store)
+        let has_followers = self
+            .relay_selector
+            .borrow()
+            .has_recent_update_request(self.clock.now());
+        self.knows_local_members() && (has_followers || self.update_source() == UpdateSource::Store)
     }
 
     /// Returns who looks for a store that this node has lost.
--- a/crates/node/tests/all/guide.rs
+++ b/crates/node/tests/all/guide.rs
@@ -35,12 +35,12 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut relay_selector = RelaySelector::new(peer_addr(3));
     relay_selector.store_answered(at(0));
-    relay_selector.failed(at(0), peer_addr(1));
+    relay_selector.record_relay_failure(at(0), peer_addr(1));
     assert_eq!(
         relay_selector.choose(at(10), &order),
         UpdateSource::Node(peer_addr(2))
     );
-    relay_selector.failed(at(10), peer_addr(2));
+    relay_selector.record_relay_failure(at(10), peer_addr(2));
     assert_eq!(relay_selector.choose(at(20), &order), UpdateSource::Store);
     relay_selector.store_answered(at(5_000));
     assert_eq!(
@@ -56,14 +56,14 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut relay_selector = RelaySelector::new(peer_addr(3));
     relay_selector.store_answered(at(10_000));
-    assert!(!relay_selector.record_contact(at(10_100), peer_addr(1), contact(6_000, false)));
+    assert!(!relay_selector.record_reachability(at(10_100), peer_addr(1), contact(6_000, false)));
     assert_eq!(
         relay_selector.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
     );
     let mut away = RelaySelector::new(peer_addr(3));
     away.store_answered(at(1_000));
-    assert!(!away.record_contact(at(10_100), peer_addr(1), contact(6_000, false)));
+    assert!(!away.record_reachability(at(10_100), peer_addr(1), contact(6_000, false)));
     assert_eq!(
         away.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(1))
@@ -95,9 +95,9 @@
 #[test]
 fn a_question_makes_a_watcher_for_a_while() {
     let mut relay_selector = RelaySelector::new(peer_addr(4));
-    relay_selector.asked(at(0));
-    assert!(relay_selector.is_asked(at(4_500)));
-    assert!(!relay_selector.is_asked(at(5_500)));
+    relay_selector.record_update_request(at(0));
+    assert!(relay_selector.has_recent_update_request(at(4_500)));
+    assert!(!relay_selector.has_recent_update_request(at(5_500)));
 }
 
 /// Guards against following a guide that has reported losing the store.
@@ -107,7 +107,7 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut follower = RelaySelector::new(peer_addr(3));
     follower.store_answered(at(10_000));
-    assert!(!follower.record_contact(at(10_100), peer_addr(1), contact(200, true)));
+    assert!(!follower.record_reachability(at(10_100), peer_addr(1), contact(200, true)));
     assert_eq!(
         follower.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
@@ -131,8 +131,8 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut relay_selector = RelaySelector::new(peer_addr(5));
     relay_selector.store_answered(at(10_000));
-    assert!(!relay_selector.record_contact(at(10_100), peer_addr(1), contact(200, true)));
-    assert!(relay_selector.record_contact(at(10_200), peer_addr(2), contact(200, true)));
+    assert!(!relay_selector.record_reachability(at(10_100), peer_addr(1), contact(200, true)));
+    assert!(relay_selector.record_reachability(at(10_200), peer_addr(2), contact(200, true)));
     assert_eq!(
         relay_selector.choose(at(10_300), &order),
         UpdateSource::Node(peer_addr(3))
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -40,7 +40,7 @@
 
     fn fail(&mut self, now: Duration, rng: &mut impl Rng) {
         self.calls += 1;
-        self.access.failed();
+        self.access.record_failure();
         self.pause = (now, rng.random());
     }
 
@@ -75,19 +75,20 @@
                     .position(|record| record.peer_addr == peer_addr);
                 let relay_selector =
                     &mut fleet[relay_selector.expect("it is one of them")].relay_selector;
-                relay_selector.asked(now);
+                relay_selector.record_update_request(now);
                 let contact = StoreReachability {
                     age: relay_selector.store_age(now),
                     lost: relay_selector.has_lost_store(),
                 };
                 let doubted = fleet[own]
                     .relay_selector
-                    .record_contact(now, peer_addr, contact);
+                    .record_reachability(now, peer_addr, contact);
                 if doubted && fleet[own].access.recheck() {
                     fleet[own].pause = (now, rng.random());
                 }
             }
-            let own_duty = choice == UpdateSource::Store || fleet[own].relay_selector.is_asked(now);
+            let own_duty = choice == UpdateSource::Store
+                || fleet[own].relay_selector.has_recent_update_request(now);
             let duty = if own_duty {
                 StoreProbeDuty::Own
             } else {
