--- a/crates/node/src/node_core/connection_guard.rs
+++ b/crates/node/src/node_core/connection_guard.rs
@@ -1,10 +1,10 @@
-//! Connections and ports that are open.
+//! Guard that counts an open connection or listener.
 
 use std::rc::Rc;
 
 use super::NodeCore;
 
-/// Counts a connection or a port as open until dropped.
+/// Counts a connection or a listener as open until dropped.
 #[derive(Debug)]
 pub struct ConnectionGuard(pub(super) Rc<NodeCore>);
 
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -1,4 +1,4 @@
-//! What the backend server beside a node says of itself.
+//! Handling of reports from the local backend server: heartbeats and deregistration.
 
 use std::time::Duration;
 
@@ -13,28 +13,28 @@
     node_clock::NodeClock,
 };
 
-/// Longest wait of an acknowledgment for the store.
-const ACK_WAIT: Duration = Duration::from_millis(400);
+/// Longest time that the acknowledgment of a report waits for the store.
+const ACK_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl NodeCore {
-    /// Takes in a heartbeat of the backend server.
+    /// Handles a heartbeat of the backend server.
     ///
-    /// Something else may post heartbeats here. Taken in, one would put an end to the
-    /// start that lives, and callers would be sent to a service that isn't there. A start
-    /// is adopted only for a service that the settings or the configuration in force
-    /// name.
+    /// A heartbeat is accepted only for a service named in the settings or the configuration
+    /// in force. Another process may post heartbeats to this address. If such a heartbeat were
+    /// accepted, it would replace the running start of the backend server, and callers would
+    /// be sent to a service that doesn't run here.
     pub fn report(&self, report: EndpointReport) -> ReportOutcome {
-        if !self.names_service(&report.service) {
+        if !self.is_known_service(&report.service) {
             return ReportOutcome::Foreign;
         }
         let now = self.clock.now();
         let (start, slots) = (report.start.clone(), report.slots);
         let (state, sequence) = (report.state, report.sequence);
-        let before = self.inbound.tracker().borrow().unannounced_end();
+        let previous = self.inbound.tracker().borrow().unannounced_end();
         let outcome = self.inbound.tracker().borrow_mut().report(now, report);
         if outcome == ReportOutcome::Adopted {
             self.inbound.forget_connections();
-            if let Some(ended) = before {
+            if let Some(ended) = previous {
                 let broken = self.inbound.broken_runs();
                 broken.replaced(now, &ended, start.instance());
             }
@@ -52,27 +52,27 @@
         outcome
     }
 
-    /// Takes in the farewell of the backend server.
+    /// Handles the deregistration of a start of the backend server.
     pub fn deregister(&self, start: EndpointStart) {
         let name = start.to_string();
-        let here = self.inbound.tracker().borrow_mut().deregister(
+        let is_current = self.inbound.tracker().borrow_mut().deregister(
             self.clock.now(),
             start,
             NodeClock::unix_ms(),
         );
-        info!(self.log.logger(), "backend server said farewell";
-            "instance" => name, "here" => here);
-        self.announcement_outdated.set(here);
+        info!(self.log.logger(), "backend server deregistered";
+            "instance" => name, "here" => is_current);
+        self.announcement_outdated.set(is_current);
         self.announcement_changed.notify_one();
     }
 
-    /// Waits until what changed about the backend server stands in the store, and other
-    /// nodes know of a crash that showed with it, for a moment at most.
+    /// Waits until a change of the backend server is written to the store.
     ///
-    /// If the node is killed between acknowledging a leaving and writing it, its next
-    /// process knows nothing of it. The store answers in milliseconds, and whoever waits
-    /// for the acknowledgment does so for a second; while the store is away it is given
-    /// all the same.
+    /// If the change revealed a crash, the wait includes reporting it to other nodes. If the
+    /// node were killed between acknowledging that the backend server leaves and writing it,
+    /// the next node process wouldn't know of it. The store usually answers in milliseconds,
+    /// and the sender of a report waits one second for the acknowledgment. The wait ends after
+    /// `ACK_TIMEOUT`, so a report is also acknowledged while the store is unavailable.
     pub async fn until_announced(&self) {
         let wait = async {
             while self.announcement_outdated.get() {
@@ -80,28 +80,29 @@
             }
             self.inbound.broken_runs().until_late_told().await;
         };
-        let _written = timeout(ACK_WAIT, wait).await;
+        let _written = timeout(ACK_TIMEOUT, wait).await;
     }
 
-    fn names_service(&self, service: &str) -> bool {
+    fn is_known_service(&self, service: &str) -> bool {
         let config = self.config.borrow();
-        let named = config
+        let configured = config
             .as_ref()
             .is_some_and(|config| config.health_path(service).is_some());
-        named || *self.caller_service.borrow() == service
+        configured || *self.caller_service.borrow() == service
     }
 
-    /// Returns the value by which backend servers know where a request began.
+    /// Returns the header value that tells backend servers which service sent a request.
     pub fn caller_service(&self) -> HeaderValue {
         self.caller_service.borrow().clone()
     }
 
-    /// Takes the service that runs on this machine now.
+    /// Sets the service that runs on this machine now.
     pub fn set_caller_service(&self, service: &str) {
         *self.caller_service.borrow_mut() = service_value(service);
     }
 }
 
+/// Returns a service name as a header value, empty if it can't be one.
 pub(super) fn service_value(service: &str) -> HeaderValue {
     HeaderValue::from_str(service).unwrap_or(HeaderValue::from_static(""))
 }
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -1,10 +1,10 @@
-//! What the parts of a node share.
+//! State that all parts of a node share, and the recording of events.
 
 mod connection_guard;
-mod crash_notes;
+mod crash_records;
 mod endpoint_reports;
 mod open_request_guard;
-mod request_notes;
+mod request_outcomes;
 mod store_contact;
 
 use std::{
@@ -41,102 +41,107 @@
     transport::{ConnectionPool, PoolSettings},
 };
 
-/// Slots assumed until the backend server tells: the usual size of one.
+/// Slots assumed until the backend server reports its own number.
+///
+/// Most backend servers have this many.
 const ASSUMED_SLOTS: u32 = 8;
-/// Part of the allowed time in which a leaving backend server still gets new
-/// work. The rest covers the way of a request that is already here.
-const LEAVING_PART: f64 = 0.4;
+/// Share of the leaving time in which a backend server still gets requests.
+///
+/// The rest is for requests that have already reached this node.
+const LEAVING_GRACE_SHARE: f64 = 0.4;
 
-/// Time after the signal to stop in which callers are still served: readiness
-/// is checked each second, and two misses take this node out.
+/// Time after the stop signal in which callers are still served.
+///
+/// Callers' readiness checks run every second, and two failed ones in a row take this node
+/// out of service.
 pub const CALLER_DRAIN_TIME: Duration = Duration::from_millis(2_600);
 
-/// What the parts of a node share.
+/// State that all parts of a node share.
 ///
-/// Everything runs on one thread, so that decisions need no locks.
+/// All tasks of a node run on one thread, so the state needs no locks.
 #[derive(Debug)]
 pub struct NodeCore {
-    /// Settings.
+    /// Settings that the node was started with.
     pub settings: NodeSettings,
-    /// Names of the headers.
+    /// Configured names of the HTTP headers exchanged with callers and backend servers.
     pub headers: HeaderNames,
-    /// Clock.
+    /// Clock that counts from the start of this process.
     pub clock: NodeClock,
-    /// Configuration in force; none until the first was read.
+    /// Configuration in force; `None` until the first one is adopted.
     pub config: RefCell<Option<Rc<MeshConfig>>>,
-    /// Members.
+    /// All nodes known from announcements, with their load.
     pub fleet: RefCell<FleetView>,
-    /// Inbound proxy of the own backend server.
+    /// Proxy in front of the local backend server.
     pub inbound: InboundProxy,
-    /// Crashes of backend servers.
+    /// Crashes of backend servers in the whole fleet.
     pub crashes: Rc<RefCell<CrashHistory>>,
-    /// Link of the instance.
+    /// Scheduler of the instance's outgoing network link.
     pub link: Rc<LinkScheduler>,
-    /// Connections to other nodes.
+    /// Open connections to other nodes.
     pub peer_connections: ConnectionPool,
-    /// Retries.
+    /// Budget that limits retries.
     pub retries: RefCell<RetryBudget>,
-    /// Log.
+    /// Event log.
     pub log: EventLog,
-    /// Metrics.
+    /// Prometheus metrics of this node.
     pub metrics: NodeMetrics,
     /// Wakes the announcer after the inbound proxy's state changed.
     pub announcement_changed: Notify,
-    /// Own announcement as an earlier process left it.
+    /// Announcement of this node that an earlier process left in the store.
     pub own_record: RefCell<Option<MemberRecord>>,
-    /// Lease of that announcement.
+    /// Lease of the announcement in `own_record`.
     pub own_lease: Cell<Option<LeaseId>>,
-    /// Wakes who confirms it.
+    /// Wakes the task that confirms `own_record` with the backend server.
     pub own_record_received: Notify,
-    /// Wakes who waits until the announcement stands in the store.
+    /// Wakes tasks that wait until the announcement is written to the store.
     pub announced: Notify,
-    /// Whether the announcement in the store is known to be old.
+    /// Whether the announcement in the store is known to be outdated.
     pub announcement_outdated: Cell<bool>,
-    /// A node that holds a later configuration than this one.
+    /// Version and address of a node with a newer configuration than this node's.
     pub newer_config_at: RefCell<Option<(ConfigVersion, SocketAddr)>>,
-    /// Wakes the exchange with that node.
+    /// Wakes the task that fetches the configuration from `newer_config_at`.
     pub newer_config_known: Notify,
-    /// Wakes whoever waits for a new configuration or member.
+    /// Wakes tasks that wait for a configuration, member or store-contact update.
     pub updates: Notify,
-    /// Wakes whoever depends on whether this node watches the store.
+    /// Wakes tasks when this node may have to start or stop watching the store.
     pub watch_duty_changed: Notify,
-    /// Eras of the store.
+    /// Eras of the store that this node has seen.
     pub eras: Rc<EraTracker>,
-    /// Whether the store is called.
+    /// Whether the store may be called, and when it is probed after a failure.
     pub store_access: RefCell<StoreAccess>,
-    /// Wakes who looks for the store.
+    /// Wakes the task that probes the store after a failed call.
     pub store_lost: Notify,
-    /// Wakes who waits for the store.
+    /// Wakes tasks that wait until the store may be called again.
     pub store_back: Notify,
-    /// Calls to the store for other nodes.
+    /// Store calls that this node makes on behalf of other nodes.
     pub delegated_calls: DelegatedCallQueue,
-    /// Which node watches the store for whom.
+    /// Selection of the node that this node takes updates from.
     pub relay_selector: RefCell<RelaySelector>,
-    /// Configurations that other nodes may still hold.
+    /// Recent configurations, from which deltas for other nodes are computed.
     pub history: RefCell<ConfigHistory>,
-    /// Requests of callers that are open.
+    /// Number of open requests from callers and other nodes.
     pub open_requests: Cell<u32>,
-    /// Connections of others, and ports, that are open.
+    /// Number of open incoming connections and listeners.
     pub connections: Cell<u32>,
-    /// Whether ports are being shut and connections closed.
+    /// Whether listeners and connections are being closed.
     pub closing: watch::Sender<bool>,
-    /// When callers that come again first asked.
+    /// First arrival times of refused requests that callers may resend.
     pub resends: RefCell<ResendTracker>,
-    /// How long ago callers first asked.
+    /// Estimates from a request's deadline how long ago its caller first sent it.
     pub deadlines: RefCell<DeadlineTracker>,
     response_sizes: RefCell<ResponseSizes>,
     caller_service: RefCell<HeaderValue>,
     stopping_since: Cell<Option<Duration>>,
-    /// When the members of this data centre were first read.
+    /// When the members of this data centre were first listed; `None` before.
     local_members_listed_at: Cell<Option<Duration>>,
 }
 
 impl NodeCore {
-    /// Makes a node that knows nothing yet.
+    /// Creates the state of a node without a configuration or members.
     ///
     /// # Errors
     ///
-    /// When the metrics can't be registered.
+    /// Returns an error if the metrics can't be registered.
     pub fn new(
         settings: NodeSettings,
         headers: HeaderNames,
@@ -146,15 +151,15 @@
         let inbound_settings = InboundSettings {
             endpoint: settings.endpoint,
             slots: ASSUMED_SLOTS,
-            leaving_grace: settings.leaving_time.mul_f64(LEAVING_PART),
+            leaving_grace: settings.leaving_time.mul_f64(LEAVING_GRACE_SHARE),
         };
         let peer_connections = ConnectionPool::new(PoolSettings {
             connect_time: settings.peer_connect_timeout,
             idle_time: settings.peer_idle_timeout,
         });
         let metrics = NodeMetrics::new(&settings)?;
-        let notes = LinkReporter::new(log.clone(), metrics.link());
-        let link = Rc::new(LinkScheduler::new(settings.link_mbps, notes));
+        let reporter = LinkReporter::new(log.clone(), metrics.link());
+        let link = Rc::new(LinkScheduler::new(settings.link_mbps, reporter));
         let crashes = Rc::<RefCell<CrashHistory>>::default();
         let inbound = InboundProxy::new(
             inbound_settings,
@@ -209,19 +214,19 @@
         }))
     }
 
-    /// Counts a request as open until the mark is dropped.
+    /// Counts a request as open until the returned guard is dropped.
     pub fn open_request_guard(self: &Rc<Self>, origin: RequestOrigin) -> OpenRequestGuard {
         self.open_requests.set(self.open_requests.get() + 1);
         OpenRequestGuard::new(Rc::clone(self), origin)
     }
 
-    /// Counts a connection or a port as open until the mark is dropped.
+    /// Counts a connection or a listener as open until the returned guard is dropped.
     pub fn connection_guard(self: &Rc<Self>) -> ConnectionGuard {
         self.connections.set(self.connections.get() + 1);
         ConnectionGuard(Rc::clone(self))
     }
 
-    /// Returns the version in force; 0 for none.
+    /// Returns the version of the configuration in force, or 0 if there is none.
     pub fn version(&self) -> ConfigVersion {
         self.config
             .borrow()
@@ -229,7 +234,9 @@
             .map_or(ConfigVersion(0), |config| config.version)
     }
 
-    /// Puts a configuration in force if it is newer, and says whether it is.
+    /// Puts a configuration in force if it is newer than the current one.
+    ///
+    /// Returns whether it was adopted. `source` says in the log where it came from.
     pub fn adopt_config(&self, config: MeshConfig, source: &'static str) -> bool {
         let before = self.version();
         if config.version <= before {
@@ -247,7 +254,9 @@
         true
     }
 
-    /// Takes in that the node at `peer_addr` holds `version`.
+    /// Records that the node at `peer_addr` holds configuration `version`.
+    ///
+    /// A version newer than this node's wakes the task that fetches it from there.
     pub fn record_peer_version(&self, version: ConfigVersion, peer_addr: SocketAddr) {
         if version <= self.version() {
             return;
@@ -256,8 +265,9 @@
         self.newer_config_known.notify_one();
     }
 
-    /// Takes in what a member told of its load with an answer to a request of
-    /// `route_hash`.
+    /// Records the load that a member reported with a response.
+    ///
+    /// `route_hash` identifies the route of the request.
     pub fn record_load(&self, key: MemberKey, route_hash: u64, load: LoadReport) {
         let now = self.clock.now();
         self.fleet
@@ -265,21 +275,23 @@
             .record_load(now, key, route_hash, load);
     }
 
-    /// Returns the bytes of a usual answer on a route; 0 when unknown.
+    /// Returns the usual size of a route's response bodies in bytes; 0 if unknown.
     pub fn response_bytes(&self, route_hash: u64) -> u64 {
         self.response_sizes.borrow().get(route_hash)
     }
 
-    /// Whether the node was told to stop.
+    /// Returns whether the node has begun to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.get().is_some()
     }
 
-    /// Whether new requests of callers are refused.
+    /// Returns whether new requests from callers are refused.
     ///
-    /// Callers stay on a node that isn't ready while most of their data centre isn't, and
-    /// a request that comes shortly before the kill would be cut off. Once those that can
-    /// leave have left, the rest is told at once to come back, and what is open can end.
+    /// That is so from [`CALLER_DRAIN_TIME`] after the stop signal. By then, callers that can
+    /// use another node have left. Callers keep using a node that isn't ready while most nodes
+    /// of their data centre aren't ready, and a request that arrives shortly before the process
+    /// is killed would be cut off. The remaining callers are therefore told at once to retry
+    /// later, and open requests can finish.
     pub fn rejects_new_callers(&self) -> bool {
         let now = self.clock.now();
         self.stopping_since
@@ -287,20 +299,24 @@
             .is_some_and(|since| now >= since + CALLER_DRAIN_TIME)
     }
 
-    /// Tells every part that the node stops.
+    /// Starts the shutdown: stops the inbound proxy and wakes the announcer.
     pub fn begin_shutdown(&self) {
         self.stopping_since.set(Some(self.clock.now()));
         self.inbound.stop();
         self.announcement_changed.notify_one();
     }
 
-    /// Whether callers may be sent here.
+    /// Returns whether the readiness check passes.
+    ///
+    /// The node is ready if it has a configuration, knows a member and isn't stopping.
     pub fn is_ready(&self) -> bool {
         self.config.borrow().is_some() && !self.fleet.borrow().is_empty() && !self.is_stopping()
     }
 
-    /// Does what is due now and then: closes idle connections forgets
-    /// members that vanished, and tells what the link carried.
+    /// Does the periodic cleanup.
+    ///
+    /// Closes idle connections, removes expired entries and members without an announcement,
+    /// and reports the use of the link.
     pub fn sweep(&self, now: Duration) {
         self.peer_connections.sweep();
         self.inbound.sweep();
--- a/crates/node/src/node_core/open_request_guard.rs
+++ b/crates/node/src/node_core/open_request_guard.rs
@@ -1,4 +1,4 @@
-//! Requests that are open.
+//! Guard that counts an open request and the bytes of its response.
 
 use std::rc::Rc;
 
@@ -12,6 +12,8 @@
 };
 
 /// Counts a request as open until dropped.
+///
+/// For requests from other nodes it also counts on the link what is sent in response.
 #[derive(Debug)]
 pub struct OpenRequestGuard {
     core: Rc<NodeCore>,
@@ -23,27 +25,29 @@
         Self { core, origin }
     }
 
-    /// Notes the head of the answer, which goes out with its first bytes.
+    /// Counts the bytes of the response head.
+    ///
+    /// The head is sent with the first bytes of the body.
     pub fn sent_head(&self, headers: &HeaderMap) {
-        let purpose = if headers.contains_key(&PEER_REFUSAL_HEADER) {
+        let traffic = if headers.contains_key(&PEER_REFUSAL_HEADER) {
             LinkTraffic::Refusal
         } else {
             LinkTraffic::Overhead
         };
-        self.sent(purpose, head_bytes(headers));
+        self.sent(traffic, head_bytes(headers));
     }
 
-    /// Counts bytes sent from the body of a short answer.
+    /// Counts bytes sent from the body of a short response.
     pub fn sent_short_body(&self, bytes: u64) {
         self.sent(LinkTraffic::Short, bytes);
     }
 
-    fn sent(&self, purpose: LinkTraffic, bytes: u64) {
+    fn sent(&self, traffic: LinkTraffic, bytes: u64) {
         if self.origin == RequestOrigin::Caller {
             return;
         }
         let core = &self.core;
-        core.link.sent(core.clock.now(), purpose, bytes);
+        core.link.sent(core.clock.now(), traffic, bytes);
     }
 }
 
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_outcomes.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of each request.
+//! Logs and counts the outcome of each request and of each try.
 
 use std::time::Duration;
 
@@ -33,39 +33,41 @@
         });
     }
 
-    /// Records that requests of `route_hash`, sent on this machine, were found to be
-    /// calls of its backend server.
+    /// Records that requests of a route were found to be nested calls.
+    ///
+    /// These are requests that the local backend server sends through this node during its
+    /// own runs.
     pub fn record_nested_calls(&self, route_hash: u64) {
         let config = self.config.borrow();
         let route = config
             .as_ref()
             .and_then(|config| config.route_of(route_hash));
-        info!(self.log.logger(), "calls of the backend server recognized";
+        info!(self.log.logger(), "nested calls of the backend server detected";
             "route" => route.map(|route| &*route.name),
             "cause" => "its runs fail when these are turned away");
     }
 
-    /// Records a request that got a backend server's answer.
+    /// Records a request that was answered by a backend server.
     pub fn record_served(
         &self,
         request: &OutboundRequest,
-        answer: &Response<ResponseBody>,
+        response: &Response<ResponseBody>,
         at: Option<&MemberRecord>,
         tries: usize,
     ) {
-        let bytes = answer.body().size_hint().exact();
-        if let Some(bytes) = bytes.filter(|_| answer.status().is_success()) {
+        let bytes = response.body().size_hint().exact();
+        if let Some(bytes) = bytes.filter(|_| response.status().is_success()) {
             self.response_sizes
                 .borrow_mut()
                 .observe(request.route.route_hash, bytes);
         }
-        // The inbound proxy here counts what it answered itself.
-        let away = at.is_some_and(|at| at.peer_addr != self.settings.peer_addr);
-        if away && answer.status().is_success() {
+        // The local inbound proxy records the requests that it answered itself.
+        let is_remote = at.is_some_and(|at| at.peer_addr != self.settings.peer_addr);
+        if is_remote && response.status().is_success() {
             self.crashes.borrow_mut().completed(request.fingerprint);
         }
         let took = request.arrived.elapsed();
-        let result = match answer.status() {
+        let result = match response.status() {
             status if status.is_server_error() => RequestResult::Failed,
             _ if took <= request.route.target => RequestResult::Good,
             _ => RequestResult::Slow,
@@ -78,7 +80,7 @@
             info!(log, "request answered";
                 "request" => &*request.id,
                 "route" => &*request.route.name,
-                "status" => answer.status().as_u16(),
+                "status" => response.status().as_u16(),
                 "at" => at.map(|at| at.peer_addr.to_string()),
                 "instance" => at.map(|at| at.start.to_string()),
                 "tries" => tries,
@@ -87,33 +89,33 @@
         }
     }
 
-    /// Records a request that got an answer of this node's own.
+    /// Records a request that this node answered itself, after `tries` failed tries.
     pub fn record_failed(
         &self,
         request: &OutboundRequest,
-        answer: &LocalReply,
+        reply: &LocalReply,
         tries: usize,
         cause: Option<&str>,
     ) {
         let took = request.arrived.elapsed();
-        self.count(request, answer.code, RequestResult::Failed, took);
-        if let Some(log) = self.log.for_request(self.clock.now(), answer.code.into()) {
+        self.count(request, reply.code, RequestResult::Failed, took);
+        if let Some(log) = self.log.for_request(self.clock.now(), reply.code.into()) {
             info!(log, "request given up";
                 "request" => &*request.id,
                 "route" => &*request.route.name,
                 "service" => &*request.service,
                 "version" => request.version.0,
-                "code" => answer.code.number(),
-                "reason" => <&'static str>::from(answer.code),
-                "status" => answer.status.as_u16(),
-                "retry_after_ms" => answer.retry_after.map(|time| time.as_millis() as u64),
+                "code" => reply.code.number(),
+                "reason" => <&'static str>::from(reply.code),
+                "status" => reply.status.as_u16(),
+                "retry_after_ms" => reply.retry_after.map(|time| time.as_millis() as u64),
                 "tries" => tries,
                 "cause" => cause,
                 "took_ms" => took.as_millis() as u64);
         }
     }
 
-    /// Records that a caller left before its answer.
+    /// Records that a caller closed its request before the reply.
     pub fn record_caller_left(&self, request: &OutboundRequest, tries: usize) {
         self.metrics.try_failed("caller-left");
         if let Some(log) = self.log.for_request(self.clock.now(), "caller left") {
@@ -125,9 +127,9 @@
         }
     }
 
-    /// Records a request that was refused before it had a route.
-    pub fn record_rejected(&self, id: Option<&HeaderValue>, answer: &LocalReply) {
-        let result = if answer.status.is_client_error() {
+    /// Records a request that was refused before a route was found for it.
+    pub fn record_rejected(&self, id: Option<&HeaderValue>, reply: &LocalReply) {
+        let result = if reply.status.is_client_error() {
             RequestResult::CallerFault
         } else {
             RequestResult::Failed
@@ -135,21 +137,21 @@
         self.metrics.request(RequestCount {
             service: "",
             kind: None,
-            code: answer.code,
+            code: reply.code,
             result,
             took: Duration::ZERO,
         });
-        if let Some(log) = self.log.for_request(self.clock.now(), answer.code.into()) {
+        if let Some(log) = self.log.for_request(self.clock.now(), reply.code.into()) {
             info!(log, "request rejected";
                 "request" => id.and_then(|id| id.to_str().ok()),
                 "version" => self.version().0,
-                "code" => answer.code.number(),
-                "reason" => <&'static str>::from(answer.code),
-                "status" => answer.status.as_u16());
+                "code" => reply.code.number(),
+                "reason" => <&'static str>::from(reply.code),
+                "status" => reply.status.as_u16());
         }
     }
 
-    /// Records that an inbound proxy refused a try.
+    /// Records that the inbound proxy at `at` refused a try.
     pub fn record_refusal(
         &self,
         request: &OutboundRequest,
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Records that a node couldn't be reached.
+    /// Records that a node couldn't be reached, and drops the connections to it.
     pub fn record_unreachable(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
         self.metrics.try_failed("unreachable");
         self.peer_connections.forget(at.peer_addr);
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Records that a member shows no sign of life.
+    /// Records that a member sent nothing within `silence_timeout`.
     pub fn record_silent(
         &self,
         request: &OutboundRequest,
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Records that a try broke after it was sent.
+    /// Records that the connection of a try broke after the request was sent.
     pub fn record_broken_try(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
         self.metrics.try_failed("broke");
         if let Some(log) = self.log.for_request(self.clock.now(), "broke") {
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -1,4 +1,4 @@
-//! What a node knows of its contact with the store, and who watches it.
+//! The node's contact with the store, and whether this node watches it.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,22 +11,21 @@
     store::{ReadConsistency, Revision, StoreError},
 };
 
-/// Time between looks at whether this node still has to watch the store.
-const DUTY_LOOK: Duration = Duration::from_secs(1);
+/// Interval of checks whether this node still has to watch the store.
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time in which the nodes of a new fleet have announced themselves: two
-/// heartbeats.
+/// Time in which the nodes of a new fleet announce themselves: two heartbeats.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Time left to another node to bring the first configuration and members.
-const FIRST_NEWS: Duration = Duration::from_secs(1);
+/// Longest wait for a relay to deliver the first configuration and members.
+const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl NodeCore {
-    /// Notes that the store answered.
+    /// Records that the store answered a call.
     pub fn store_answered(&self) {
         let now = self.clock.now();
         if self.relay_selector.borrow_mut().store_answered(now) {
-            // Followers that wait to hear of the return.
+            // Nodes that use this one as their relay wait for this update.
             self.updates.notify_waiters();
         }
         if self.store_access.borrow_mut().record_success() {
@@ -34,7 +33,7 @@
         }
     }
 
-    /// Notes that a call to the store failed.
+    /// Records that the store call `call` failed, and wakes the probe of the store.
     pub fn store_failed(&self, call: &'static str, cause: &StoreError) {
         let age = self.relay_selector.borrow().store_age(self.clock.now());
         if self.store_access.borrow_mut().record_failure() {
@@ -48,8 +47,10 @@
         self.store_lost.notify_one();
     }
 
-    /// Tells the nodes that follow this one that the store doesn't answer it. One
-    /// failed call doesn't say so: connections are reset, and answers lost.
+    /// Tells the nodes that use this relay that it has lost the store.
+    ///
+    /// A single failed call isn't enough for that, as connections may be reset and responses
+    /// lost while the store is available.
     pub fn notify_store_lost(&self) {
         if self.relay_selector.borrow_mut().store_lost() {
             self.updates.notify_waiters();
@@ -57,42 +58,48 @@
         }
     }
 
-    /// Checks the own contact with the store, as nodes that this one followed lost it.
+    /// Starts a probe of the store because several relays have lost it.
     pub fn recheck_store(&self) {
         if self.store_access.borrow_mut().recheck() {
-            info!(self.log.logger(), "store doubted"; "cause" => "other nodes lost it");
+            info!(self.log.logger(), "store is probed"; "cause" => "other nodes lost it");
             self.store_lost.notify_one();
         }
     }
 
-    /// Takes in that the node at `peer_addr`, which had lost the store, reaches it again.
+    /// Records that the node at `peer_addr`, which had lost the store, reaches it again.
+    ///
+    /// If this node had suspended its store calls, it resumes them.
     pub fn record_store_reached(&self, peer_addr: SocketAddr) {
         if self.store_access.borrow().is_open() {
             return;
         }
-        info!(self.log.logger(), "store heard of"; "from" => %peer_addr);
+        info!(self.log.logger(), "store reached by another node"; "from" => %peer_addr);
         self.store_access.borrow_mut().record_probe_success();
         self.store_back.notify_waiters();
         self.watch_duty_changed.notify_waiters();
     }
 
     /// Waits until the store may be called.
+    ///
+    /// Returns at once if store calls aren't suspended.
     pub async fn until_store_back(&self) {
         while !self.store_access.borrow().is_open() {
             self.store_back.notified().await;
         }
     }
 
-    /// Whether the whole fleet has just started for the first time and its nodes
-    /// are announcing themselves: the store is read now and then, not watched.
+    /// Returns whether the fleet has just started for the first time.
+    ///
+    /// Its nodes are announcing themselves, so the store is polled instead of watched.
     pub fn is_settling(&self) -> bool {
         self.settings.first_start && self.clock.now() < SETTLE_TIME
     }
 
-    /// Returns how old the first reads of this process may be.
+    /// Returns the consistency of this process's first reads of the store.
     ///
-    /// When a whole fleet starts for the first time there is nothing in the store to be
-    /// behind of, and each node reads it by itself, as it knows no other one yet.
+    /// While a fleet starts for the first time, reads may be serializable: the store holds no
+    /// older state that a read could return. Each node reads the store itself then, as it
+    /// doesn't know another node yet.
     pub fn first_read_consistency(&self) -> ReadConsistency {
         if self.is_settling() {
             ReadConsistency::Serializable
@@ -101,7 +108,7 @@
         }
     }
 
-    /// Notes that another node asked for news.
+    /// Records that another node uses this node as its relay.
     pub fn record_update_request(&self) {
         self.relay_selector
             .borrow_mut()
@@ -109,34 +116,36 @@
         self.watch_duty_changed.notify_waiters();
     }
 
-    /// Notes that the members of this data centre are known.
+    /// Records that the members of this data centre have been listed.
     pub fn local_members_listed(&self) {
         self.local_members_listed_at.set(Some(self.clock.now()));
         self.watch_duty_changed.notify_waiters();
     }
 
-    /// Whether this node knows whom it can ask for news. When the whole fleet starts for
-    /// the first time there is nobody to be known.
+    /// Returns whether this node knows which nodes can be its relay.
+    ///
+    /// Always true when the whole fleet starts for the first time, as no other node is
+    /// announced yet.
     pub fn knows_local_members(&self) -> bool {
         self.settings.first_start || self.local_members_listed_at.get().is_some()
     }
 
-    /// Whether a node that knows nothing yet still leaves it to another one to read the
-    /// store.
+    /// Returns whether a new node still waits for its relay's first updates.
     ///
-    /// After a power cut all nodes of a data centre start in the same second. A large
-    /// configuration, read by each of them, fills the store's link and theirs.
+    /// After a power failure all nodes of a data centre start in the same second. If each of
+    /// them read a large configuration from the store, the store's link and their own links
+    /// would be saturated.
     fn may_wait_for_relay(&self, now: Duration) -> bool {
         let listed = self.local_members_listed_at.get();
-        listed.is_some_and(|at| now < at + FIRST_NEWS)
+        listed.is_some_and(|at| now < at + FIRST_UPDATE_TIMEOUT)
     }
 
-    /// Returns where this node gets its news.
+    /// Returns where this node gets its configuration and member updates.
     pub fn update_source(&self) -> UpdateSource {
         let now = self.clock.now();
         let fleet = self.fleet.borrow();
-        let knows_all = fleet.revision() != Revision(0) && self.config.borrow().is_some();
-        if !knows_all && !self.may_wait_for_relay(now) {
+        let has_first_updates = fleet.revision() != Revision(0) && self.config.borrow().is_some();
+        if !has_first_updates && !self.may_wait_for_relay(now) {
             return UpdateSource::Store;
         }
         self.relay_selector
@@ -144,7 +153,9 @@
             .choose(now, &fleet.relay_candidates())
     }
 
-    /// Whether this node watches the store.
+    /// Returns whether this node watches the store.
+    ///
+    /// It does so if it has no relay or is itself the relay of another node.
     pub fn watches_store(&self) -> bool {
         let has_followers = self
             .relay_selector
@@ -153,7 +164,7 @@
         self.knows_local_members() && (has_followers || self.update_source() == UpdateSource::Store)
     }
 
-    /// Returns who looks for a store that this node has lost.
+    /// Returns which node probes a store that this node has lost.
     pub fn store_probe_duty(&self) -> StoreProbeDuty {
         if self.watches_store() || !self.knows_local_members() {
             StoreProbeDuty::Own
@@ -164,10 +175,10 @@
         }
     }
 
-    /// Waits until this node needn't watch the store.
+    /// Waits until this node needn't watch the store any more.
     pub async fn until_watch_ends(&self) {
         while self.watches_store() {
-            let _looked = timeout(DUTY_LOOK, self.watch_duty_changed.notified()).await;
+            let _notified = timeout(WATCH_CHECK_INTERVAL, self.watch_duty_changed.notified()).await;
         }
     }
 }
