--- a/crates/node/src/distribution/config_history.rs
+++ b/crates/node/src/distribution/config_history.rs
@@ -1,40 +1,47 @@
-//! Configurations that other nodes may still hold.
+//! Recent configurations, from which updates for other nodes are computed.
 
 use std::{cell::OnceCell, collections::VecDeque, rc::Rc};
 
 use super::{ConfigUpdate, PackedConfig};
 use crate::config::{ConfigDelta, ConfigInput, ConfigVersion};
 
-/// Versions kept. Changes come five a second at most for some seconds, and
-/// nodes ask within a second or two.
-const VERSIONS_KEPT: usize = 12;
+/// Number of versions kept.
+///
+/// The configuration changes at most five times a second for some seconds, and other nodes
+/// request updates within one or two seconds.
+const MAX_VERSIONS: usize = 12;
 
-/// Configurations that other nodes may still hold.
+/// Recent configurations, from which updates for other nodes are computed.
 ///
-/// Versions share the routes that they have in common.
+/// The versions share the memory of routes that are the same in several of them.
 #[derive(Debug, Default)]
 pub struct ConfigHistory {
     versions: VecDeque<Rc<ConfigInput>>,
-    /// The newest version, packed once for all nodes that ask.
+    /// The newest version, compressed once for all nodes that request it.
     packed: OnceCell<Rc<PackedConfig>>,
 }
 
 impl ConfigHistory {
-    /// Takes in the version that is now in force.
+    /// Adds the version that is now in force.
+    ///
+    /// The oldest version is dropped if there are too many.
     pub fn push(&mut self, input: Rc<ConfigInput>) {
-        if self.versions.len() == VERSIONS_KEPT {
+        if self.versions.len() == MAX_VERSIONS {
             self.versions.pop_front();
         }
         self.versions.push_back(input);
         self.packed.take();
     }
 
-    /// Returns what a node needs that holds `version`; nothing when that is
-    /// the newest here.
+    /// Returns the update for a node that holds `version`.
+    ///
+    /// That is a delta if `version` is still in the history, and the whole newest
+    /// configuration otherwise. A node that holds the newest version or a later one needs no
+    /// update, and gets `None`.
     ///
     /// # Errors
     ///
-    /// When the newest version can't be packed.
+    /// Returns an error if the newest version can't be compressed.
     pub fn update_for(
         &self,
         version: ConfigVersion,
@@ -45,13 +52,14 @@
         if newest.version <= version {
             return Ok(None);
         }
-        let known = self.versions.iter().find(|input| input.version == version);
-        Ok(Some(match known {
-            Some(known) => ConfigUpdate::Delta(ConfigDelta::between(known, newest)),
+        let held = self.versions.iter().find(|input| input.version == version);
+        Ok(Some(match held {
+            Some(held) => ConfigUpdate::Delta(ConfigDelta::between(held, newest)),
             None => ConfigUpdate::Whole(self.packed(newest)?),
         }))
     }
 
+    /// Returns the compressed newest version, from the cache if it is there.
     fn packed(&self, newest: &ConfigInput) -> Result<Rc<PackedConfig>, std::io::Error> {
         if let Some(packed) = self.packed.get() {
             return Ok(Rc::clone(packed));
--- a/crates/node/src/distribution/mod.rs
+++ b/crates/node/src/distribution/mod.rs
@@ -1,9 +1,10 @@
 //! State and messages for distributing the configuration and the members, without I/O.
 //!
-//! [`RelaySelector`] selects one node in each data centre to watch the store. The other nodes send
-//! it a [`UpdateRequest`], which it holds until it has news or the wait expires, and
-//! answers with a [`UpdateResponse`]. [`ConfigHistory`] provides the changes since the
-//! version they hold, or the whole configuration if it no longer has that version.
+//! [`RelaySelector`] selects one node in each data centre to watch the store, the relay. The
+//! other nodes send it an [`UpdateRequest`]. The relay holds the request until it has an update
+//! or the wait expires, and then sends an [`UpdateResponse`]. [`ConfigHistory`] provides the
+//! changes since the version that a node holds, or the whole configuration if it no longer has
+//! that version.
 //! [`StoreAccess`] decides how often an unavailable store is called. The tasks that use
 //! these types are in [`discovery`](crate::discovery).
 
--- a/crates/node/src/distribution/packed_config.rs
+++ b/crates/node/src/distribution/packed_config.rs
@@ -1,4 +1,4 @@
-//! A whole configuration as one node hands it to another.
+//! A whole configuration in compressed form, as nodes send it to each other.
 
 use std::io::{Read, Write};
 
@@ -9,14 +9,14 @@
 
 use crate::config::ConfigInput;
 
-/// Most bytes of a document once it is unpacked.
-const DOCUMENT_MAX: u64 = 64 * 1024 * 1024;
+/// Largest size in bytes of an uncompressed document.
+const MAX_DOCUMENT_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A whole configuration, compressed.
+/// A whole configuration in compressed form.
 ///
-/// After a restart of a data centre every node there asks one for thousands of routes in
-/// the same second. Routes differ in a few words, so that a tenth of the bytes goes over
-/// that node's link.
+/// After a restart of a data centre, all nodes there request a configuration with thousands
+/// of routes from one node in the same second. Routes differ from one another in a few words,
+/// so compression reduces the bytes on that node's link to a tenth.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PackedConfig {
@@ -24,35 +24,35 @@
     text: String,
 }
 
-/// A packed configuration that can't be unpacked.
+/// Reason why a compressed configuration can't be read.
 #[derive(Debug, Snafu)]
 pub enum UnpackError {
-    /// It is no base64.
+    /// The text isn't valid base64.
     #[snafu(display("{source}"), context(false))]
     Text {
-        /// What was met.
+        /// Error of the base64 decoder.
         source: DecodeError,
     },
-    /// It isn't a whole compressed document, or one that is too long.
+    /// The compressed data is invalid or truncated.
     #[snafu(display("{source}"), context(false))]
     Stream {
-        /// What was met.
+        /// Error of the decompressor.
         source: std::io::Error,
     },
-    /// The document can't be read.
+    /// The document isn't the JSON of a configuration, or is longer than the limit.
     #[snafu(display("{source}"), context(false))]
     Document {
-        /// What was met.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
 impl PackedConfig {
-    /// Packs a document.
+    /// Compresses a document.
     ///
     /// # Errors
     ///
-    /// When the document can't be written as JSON.
+    /// Returns an error if the document can't be written as JSON.
     ///
     /// # Examples
     ///
@@ -78,16 +78,18 @@
         Ok(Self { text })
     }
 
-    /// Unpacks the document.
+    /// Decompresses the document.
     ///
     /// # Errors
     ///
-    /// When it isn't one that [`PackedConfig::pack`] made.
+    /// Returns an error if the text wasn't made by [`PackedConfig::pack`].
     pub fn unpack(&self) -> Result<ConfigInput, UnpackError> {
         let packed = STANDARD.decode(&self.text)?;
         let mut document = Vec::new();
         let decoder = DeflateDecoder::new(&*packed);
-        decoder.take(DOCUMENT_MAX).read_to_end(&mut document)?;
+        decoder
+            .take(MAX_DOCUMENT_BYTES)
+            .read_to_end(&mut document)?;
         Ok(serde_json::from_slice(&document)?)
     }
 }
--- a/crates/node/src/distribution/relay_selector.rs
+++ b/crates/node/src/distribution/relay_selector.rs
@@ -1,110 +1,118 @@
-//! Which node watches the store for whom.
+//! Selection of the node that watches the store for others, the relay.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 use crate::member::MemberRecord;
 
-/// Time since the store's last answer after which a node counts as cut off
-/// from it. Announcements are renewed every two seconds, and a call may take
-/// one.
-const STORE_STALE: Duration = Duration::from_millis(3_500);
-/// Time for which a node that failed as a relay isn't asked again.
-const RELAY_OUT: Duration = Duration::from_secs(5);
-/// Nodes that say they have lost the store from which on it is taken to be away for all.
-const LOST_FOR_ALL: usize = 2;
-/// Time after a question for which a node watches the store because of it.
-/// Whoever follows asks again every two seconds.
-const ASKED_TIME: Duration = Duration::from_secs(5);
-
-/// Where a node gets its news.
+/// Age of the store's last response above which a node counts as cut off.
+///
+/// Announcements are renewed every two seconds, and a call may take one second.
+const CUT_OFF_AGE: Duration = Duration::from_millis(3_500);
+/// Time for which a node that failed as a relay isn't used again.
+const RELAY_EXCLUSION_TIME: Duration = Duration::from_secs(5);
+/// Number of cut-off nodes from which on the store counts as unavailable to all.
+const STORE_DOWN_NODES: usize = 2;
+/// Time for which a node watches the store after an update request.
+///
+/// A node repeats its request to its relay every two seconds.
+const WATCH_TIME_AFTER_REQUEST: Duration = Duration::from_secs(5);
+
+/// Where a node gets configuration and member updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateSource {
-    /// From the store.
+    /// Directly from the store.
     Store,
-    /// From the node at this address.
+    /// From its relay, the node at this address.
     Node(SocketAddr),
 }
 
-/// A node's contact with the store.
+/// A node's contact with the store, as that node reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreReachability {
-    /// Time since the store last answered it.
+    /// Time since the store last answered the node.
     pub age: Duration,
-    /// Whether the store doesn't answer it now.
+    /// Whether the node has lost the store.
     pub lost: bool,
 }
 
-/// Chooses which node watches the store for whom.
+/// Selects the node that a node takes updates from, its relay.
 ///
-/// A change in the store concerns every node, and comes several times a second at times;
-/// if each node watched, the calls would grow with the fleet. All nodes of a data centre
-/// order its members alike, those with the best links first, and ask the first that
-/// doesn't fail them. No election is needed: a node that is asked watches the store,
-/// whatever its own view of the order. A relay that the store turns away tells so at
-/// once, and how old its news are, and is passed over by whoever has heard of the store
-/// since.
+/// Every node needs each change in the store, and there may be several changes a second. If
+/// each node watched the store, the number of calls would grow with the fleet. All nodes of a
+/// data centre therefore sort its members in the same order, those with the best links first,
+/// and use the first one that works as their relay. No election is needed: a node that
+/// receives update requests watches the store, even if it would select another relay itself.
+/// A relay whose calls the store refuses reports that at once, together with the age of the
+/// store's last response. Nodes with a more recent response of the store then skip it.
 #[derive(Debug)]
 pub struct RelaySelector {
-    own: SocketAddr,
-    out_until: HashMap<SocketAddr, Duration>,
-    /// Nodes that answer but are cut off from the store.
-    cut_until: HashMap<SocketAddr, Duration>,
-    asked_until: Duration,
-    store_seen: Duration,
+    own_addr: SocketAddr,
+    /// When nodes that failed as a relay may be used again.
+    failed_until: HashMap<SocketAddr, Duration>,
+    /// When nodes that respond, but are cut off, may be used again.
+    cut_off_until: HashMap<SocketAddr, Duration>,
+    /// Until when this node watches the store on behalf of others.
+    watch_until: Duration,
+    /// When the store last answered this node.
+    store_answered_at: Duration,
     store_lost: bool,
-    /// Whether the node that was asked last is cut off from the store.
-    asked_cut_off: bool,
+    /// Whether the relay that responded last is cut off from the store.
+    relay_cut_off: bool,
 }
 
 impl RelaySelector {
-    /// Makes the relay selector of the node at `own`.
-    pub fn new(own: SocketAddr) -> Self {
+    /// Creates the relay selector of the node at `own_addr`.
+    pub fn new(own_addr: SocketAddr) -> Self {
         Self {
-            own,
-            out_until: HashMap::new(),
-            cut_until: HashMap::new(),
-            asked_until: Duration::ZERO,
-            store_seen: Duration::ZERO,
+            own_addr,
+            failed_until: HashMap::new(),
+            cut_off_until: HashMap::new(),
+            watch_until: Duration::ZERO,
+            store_answered_at: Duration::ZERO,
             store_lost: false,
-            asked_cut_off: false,
+            relay_cut_off: false,
         }
     }
 
-    /// Notes that the store answered, and returns whether it was lost before.
+    /// Records that the store answered, and returns whether it was lost before.
     pub fn store_answered(&mut self, now: Duration) -> bool {
-        self.store_seen = now;
+        self.store_answered_at = now;
         std::mem::take(&mut self.store_lost)
     }
 
-    /// Notes that the store doesn't answer this node, and returns whether that is
-    /// news.
-    pub fn store_lost(&mut self) -> bool {
+    /// Records that this node has lost the store.
+    ///
+    /// Returns whether it hadn't lost the store before.
+    pub fn record_store_lost(&mut self) -> bool {
         !std::mem::replace(&mut self.store_lost, true)
     }
 
-    /// Whether the store doesn't answer this node.
+    /// Returns whether this node has lost the store.
     pub const fn has_lost_store(&self) -> bool {
         self.store_lost
     }
 
-    /// Returns the time since the store's last answer.
+    /// Returns the time since the store last answered this node.
     pub fn store_age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.store_seen)
+        now.saturating_sub(self.store_answered_at)
     }
 
-    /// Notes that another node asked this one.
+    /// Records that another node uses this one as its relay.
     pub fn record_update_request(&mut self, now: Duration) {
-        self.asked_until = now + ASKED_TIME;
+        self.watch_until = now + WATCH_TIME_AFTER_REQUEST;
     }
 
-    /// Notes that the node at `peer_addr` gave no answer.
+    /// Records that the node at `peer_addr` failed to respond as a relay.
     pub fn record_relay_failure(&mut self, now: Duration, peer_addr: SocketAddr) {
-        self.out_until.insert(peer_addr, now + RELAY_OUT);
+        self.failed_until
+            .insert(peer_addr, now + RELAY_EXCLUSION_TIME);
     }
 
-    /// Takes in what the node at `peer_addr` told of its contact with the store, and returns
-    /// whether this node should check its own. A node that is cut off from the store is
-    /// passed over, unless this one is as well.
+    /// Records the contact with the store that the node at `peer_addr` reported.
+    ///
+    /// A node that is cut off from the store is skipped for a while, unless this node is cut
+    /// off as well. Returns whether so many nodes are cut off that this node should probe the
+    /// store.
     #[must_use]
     pub fn record_reachability(
         &mut self,
@@ -112,59 +120,62 @@
         peer_addr: SocketAddr,
         contact: StoreReachability,
     ) -> bool {
-        let cut_off = contact.lost || contact.age > STORE_STALE;
-        self.asked_cut_off = cut_off;
+        let cut_off = contact.lost || contact.age > CUT_OFF_AGE;
+        self.relay_cut_off = cut_off;
         if !cut_off || self.is_cut_off(now) {
             return false;
         }
-        self.cut_until.insert(peer_addr, now + RELAY_OUT);
-        self.cut_nodes(now) >= LOST_FOR_ALL
+        self.cut_off_until
+            .insert(peer_addr, now + RELAY_EXCLUSION_TIME);
+        self.cut_off_nodes(now) >= STORE_DOWN_NODES
     }
 
-    /// Whether the node that was asked last is cut off from the store.
+    /// Returns whether the relay that responded last is cut off from the store.
     pub const fn is_relay_cut_off(&self) -> bool {
-        self.asked_cut_off
+        self.relay_cut_off
     }
 
     fn is_cut_off(&self, now: Duration) -> bool {
-        self.store_lost || self.store_age(now) > STORE_STALE
+        self.store_lost || self.store_age(now) > CUT_OFF_AGE
     }
 
-    /// Whether this node watches the store because another asked it.
+    /// Returns whether another node uses this one as its relay.
+    ///
+    /// If so, this node watches the store.
     pub fn has_recent_update_request(&self, now: Duration) -> bool {
-        now < self.asked_until
+        now < self.watch_until
     }
 
-    /// Whether the store seems to be away for everybody, not for single nodes.
-    fn is_lost_for_all(&self, now: Duration) -> bool {
-        self.is_cut_off(now) && self.cut_nodes(now) >= LOST_FOR_ALL
+    /// Returns whether the store seems unavailable to all nodes, not only to some.
+    fn is_store_down(&self, now: Duration) -> bool {
+        self.is_cut_off(now) && self.cut_off_nodes(now) >= STORE_DOWN_NODES
     }
 
-    fn cut_nodes(&self, now: Duration) -> usize {
-        let cut = self.cut_until.values().filter(|&&until| now < until);
+    fn cut_off_nodes(&self, now: Duration) -> usize {
+        let cut = self.cut_off_until.values().filter(|&&until| now < until);
         cut.count()
     }
 
-    /// Chooses among the members of the data centre, best first.
+    /// Selects the source of updates among the members of the data centre, best first.
     ///
-    /// While the store is away for all, nodes that have lost it are followed as well:
-    /// the first of them looks for it, and tells the others when it is back.
+    /// While the store is unavailable to all nodes, a cut-off node may be selected, too: the
+    /// first of them probes the store, and tells the others when it is available again.
     pub fn choose(&self, now: Duration, relay_candidates: &[&MemberRecord]) -> UpdateSource {
         let cut_off = self.is_cut_off(now);
-        let skips_cut = !self.is_lost_for_all(now);
-        let holds = |marks: &HashMap<SocketAddr, Duration>, peer_addr| {
-            marks.get(peer_addr).is_some_and(|&until| now < until)
+        let skips_cut_off = !self.is_store_down(now);
+        let is_excluded = |exclusions: &HashMap<SocketAddr, Duration>, peer_addr| {
+            exclusions.get(peer_addr).is_some_and(|&until| now < until)
         };
         for record in relay_candidates {
-            if record.peer_addr == self.own {
+            if record.peer_addr == self.own_addr {
                 if cut_off {
                     continue;
                 }
                 return UpdateSource::Store;
             }
-            let out = holds(&self.out_until, &record.peer_addr);
-            let cut = skips_cut && holds(&self.cut_until, &record.peer_addr);
-            if !out && !cut {
+            let has_failed = is_excluded(&self.failed_until, &record.peer_addr);
+            let is_cut_off = skips_cut_off && is_excluded(&self.cut_off_until, &record.peer_addr);
+            if !has_failed && !is_cut_off {
                 return UpdateSource::Node(record.peer_addr);
             }
         }
--- a/crates/node/src/distribution/store_access.rs
+++ b/crates/node/src/distribution/store_access.rs
@@ -1,82 +1,100 @@
-//! Whether the store is called.
+//! Suspension of calls to an unavailable store, and the pauses between its probes.
 
 use std::time::Duration;
 
-/// First pause: a dropped connection is opened again nearly at once.
-const PAUSE_FIRST: Duration = Duration::from_millis(100);
-/// Longest pause. A node has to be back two seconds after the store is, with
-/// a look that may hang for one and a call or two to make by then.
-const PAUSE_MAX: Duration = Duration::from_millis(700);
-/// Longest pause of a node that is turned away while others reach the store: they make
-/// its calls meanwhile.
-const PAUSE_ALONE: Duration = Duration::from_millis(1_500);
-/// Longest pause of a node that another one tells when the store is back.
-const PAUSE_TOLD: Duration = Duration::from_secs(8);
+/// First pause between probes of the store.
+///
+/// A connection that was dropped is usually restored almost at once.
+const PROBE_PAUSE_FIRST: Duration = Duration::from_millis(100);
+/// Longest pause between probes of a node that probes for others.
+///
+/// A node must have recovered two seconds after the store has. Within that time, a probe may
+/// hang for one second, and one or two calls must be made.
+const PROBE_PAUSE_MAX: Duration = Duration::from_millis(700);
+/// Longest pause of a node that has lost a store that other nodes reach.
+///
+/// Meanwhile other nodes make its calls on its behalf.
+const PROBE_PAUSE_MAX_ALONE: Duration = Duration::from_millis(1_500);
+/// Pause after repeated failures of a node whose relay probes the store for it.
+///
+/// The relay tells this node when the store is available again.
+const PROBE_PAUSE_BY_RELAY: Duration = Duration::from_secs(8);
 
-/// Who looks for a store that has been lost.
+/// Which node probes a store that this node has lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreProbeDuty {
-    /// This node, for itself and for those that follow it.
+    /// This node, for itself and for the nodes whose relay it is.
     Own,
-    /// This node, for itself: the one that it follows reaches the store.
+    /// This node, for itself only: its relay reaches the store.
     Alone,
-    /// Another node, which has lost the store as well and tells this one when it is
-    /// back.
+    /// The relay, which has lost the store as well.
+    ///
+    /// It tells this node when the store is available again.
     ByRelay,
 }
 
-/// Whether the store is called, for all parts of a node that do.
+/// Decides whether any part of a node may call the store.
 ///
-/// The store may be away, or turn this node away, for seconds, and each call is paid
-/// for. After a failure no part of the node calls until a cheap look has found the
-/// store answering. Pauses between looks grow, and are spread so that nodes don't look
-/// in the same moment. A node that follows another looks seldom: otherwise the looks
-/// of a fleet grow with its size times the length of the outage.
+/// The store may be unavailable, or refuse this node's calls, for seconds, and each call is
+/// billed. After a failed call, no part of the node calls the store until a cheap probe has
+/// been answered. The pauses between probes grow, and are randomized so that the nodes don't
+/// probe at the same moment. A node with a relay probes rarely: otherwise the number of probes
+/// would grow with the size of the fleet times the length of the outage.
 #[derive(Debug, Default)]
 pub struct StoreAccess {
+    /// Failed calls and probes since the last successful call.
     failures: u32,
-    shut: bool,
+    /// Whether calls wait until a probe is answered.
+    suspended: bool,
 }
 
 impl StoreAccess {
-    /// Whether the store may be called.
+    /// Returns whether the store may be called.
     pub const fn is_open(&self) -> bool {
-        !self.shut
+        !self.suspended
     }
 
-    /// Notes that a call was answered, and returns whether that is news.
+    /// Records that a call was answered.
+    ///
+    /// Returns whether calls or probes had failed before.
     pub fn record_success(&mut self) -> bool {
-        let failing = self.failures > 0;
+        let had_failed = self.failures > 0;
         *self = Self::default();
-        failing
+        had_failed
     }
 
-    /// Notes that a call failed, and returns whether that is news.
+    /// Records that a call or probe failed, and suspends calls.
+    ///
+    /// Returns whether it is the first failure since the last successful call.
     pub fn record_failure(&mut self) -> bool {
         let first = self.failures == 0;
         self.failures = self.failures.saturating_add(1);
-        self.shut = true;
+        self.suspended = true;
         first
     }
 
-    /// Lets the next look decide whether the store is there, as other nodes have lost
-    /// it; returns whether that is news.
+    /// Suspends calls until a probe is answered, because other nodes have lost the store.
+    ///
+    /// Returns whether calls weren't suspended already.
     pub fn recheck(&mut self) -> bool {
-        if self.shut {
+        if self.suspended {
             return false;
         }
-        self.shut = true;
+        self.suspended = true;
         self.failures = 1;
         true
     }
 
-    /// Notes that a look was answered. Calls may still fail: some ways of being
-    /// away spare reads.
+    /// Records that a probe was answered, and allows calls again.
+    ///
+    /// Calls may still fail, as some faults of the store don't affect reads.
     pub fn record_probe_success(&mut self) {
-        self.shut = false;
+        self.suspended = false;
     }
 
-    /// Returns the pause before the next look; `share` from 0 to 1 spreads it.
+    /// Returns the pause before the next probe.
+    ///
+    /// `jitter` is random, from 0 to 1; the pause for 0 is half the pause for 1.
     ///
     /// # Examples
     ///
@@ -89,18 +107,18 @@
     /// assert!(!access.is_open());
     /// assert!(access.pause(StoreProbeDuty::Own, 1.0) <= Duration::from_millis(100));
     /// assert!(!access.record_failure());
-    /// let told = access.pause(StoreProbeDuty::ByRelay, 0.0);
-    /// assert!(told > access.pause(StoreProbeDuty::Own, 1.0));
+    /// let by_relay = access.pause(StoreProbeDuty::ByRelay, 0.0);
+    /// assert!(by_relay > access.pause(StoreProbeDuty::Own, 1.0));
     /// ```
-    pub fn pause(&self, duty: StoreProbeDuty, share: f64) -> Duration {
+    pub fn pause(&self, duty: StoreProbeDuty, jitter: f64) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(10);
-        let pause = PAUSE_FIRST * (1 << doublings);
+        let pause = PROBE_PAUSE_FIRST * (1 << doublings);
         let pause = match duty {
-            StoreProbeDuty::Own => pause.min(PAUSE_MAX),
-            StoreProbeDuty::Alone => pause.min(PAUSE_ALONE),
-            StoreProbeDuty::ByRelay if doublings > 0 => PAUSE_TOLD,
+            StoreProbeDuty::Own => pause.min(PROBE_PAUSE_MAX),
+            StoreProbeDuty::Alone => pause.min(PROBE_PAUSE_MAX_ALONE),
+            StoreProbeDuty::ByRelay if doublings > 0 => PROBE_PAUSE_BY_RELAY,
             StoreProbeDuty::ByRelay => pause,
         };
-        pause.mul_f64(0.5 + 0.5 * share)
+        pause.mul_f64(0.5 + 0.5 * jitter)
     }
 }
--- a/crates/node/src/distribution/update_message.rs
+++ b/crates/node/src/distribution/update_message.rs
@@ -1,4 +1,4 @@
-//! What nodes ask and tell one another.
+//! Messages with which nodes request and send updates.
 
 use std::{num::ParseIntError, rc::Rc, str::FromStr, time::Duration};
 
@@ -13,29 +13,31 @@
     store::Revision,
 };
 
-/// What a node asks another, in the query of a request.
+/// A node's request to another for updates.
+///
+/// The request is sent as the query of an HTTP request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpdateRequest {
-    /// Version of the configuration that the asking node holds; 0 for none.
+    /// Version of the configuration that the requesting node holds; 0 for none.
     pub version: ConfigVersion,
-    /// Revision up to which it knows the members; 0 for none.
+    /// Revision up to which the requesting node knows the members; 0 for none.
     pub members: Revision,
-    /// Longest time that it waits for news.
+    /// Longest time that the requesting node waits for an update.
     pub wait: Duration,
-    /// Whether it knows already that the node it asks has lost the store.
+    /// Whether the requesting node knows already that the other one has lost the store.
     pub lost_known: bool,
 }
 
-/// A question that can't be read.
+/// Reason why an update request can't be parsed.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum UpdateRequestError {
-    /// A figure is missing.
-    #[snafu(display("a figure is missing"))]
-    Missing,
-    /// A figure isn't a number.
+    /// A field is missing.
+    #[snafu(display("a field is missing"))]
+    MissingField,
+    /// A field isn't a number in range.
     #[snafu(display("{source}"), context(false))]
-    Figure {
-        /// What the parser met.
+    BadNumber {
+        /// Error of the number parser.
         source: ParseIntError,
     },
 }
@@ -51,20 +53,20 @@
 impl FromStr for UpdateRequest {
     type Err = UpdateRequestError;
 
-    /// Reads what [`Display`](std::fmt::Display) wrote.
+    /// Parses the text that [`Display`](std::fmt::Display) writes.
     ///
     /// # Examples
     ///
     /// ```
     /// use geranium_node::distribution::UpdateRequest;
     ///
-    /// let question: UpdateRequest = "12,530,2000,0".parse()?;
-    /// assert_eq!(question.to_string(), "12,530,2000,0");
+    /// let request: UpdateRequest = "12,530,2000,0".parse()?;
+    /// assert_eq!(request.to_string(), "12,530,2000,0");
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     fn from_str(text: &str) -> Result<Self, UpdateRequestError> {
-        let mut figures = text.split(',');
-        let mut next = || figures.next().ok_or(UpdateRequestError::Missing);
+        let mut fields = text.split(',');
+        let mut next = || fields.next().ok_or(UpdateRequestError::MissingField);
         Ok(Self {
             version: ConfigVersion(next()?.parse()?),
             members: Revision(next()?.parse()?),
@@ -74,26 +76,26 @@
     }
 }
 
-/// A newer configuration.
+/// An update to a newer configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ConfigUpdate {
-    /// All of it.
+    /// The whole newer configuration.
     Whole(Rc<PackedConfig>),
-    /// What changed since the version that the asking node named.
+    /// The changes since the version that the requesting node holds.
     Delta(ConfigDelta),
 }
 
-/// What a node tells one that asked.
+/// A node's response to an [`UpdateRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UpdateResponse {
-    /// Milliseconds since the store last answered this node.
+    /// Milliseconds since the store last answered the responding node.
     pub store_age_ms: u64,
-    /// Whether the store doesn't answer this node now.
+    /// Whether the responding node has lost the store.
     pub store_lost: bool,
-    /// A newer configuration, if there is one.
+    /// Update to a newer configuration, if there is one.
     pub config: Option<ConfigUpdate>,
-    /// Crashes of backend servers, with the revisions at which they were told.
+    /// Crashes of backend servers, with the revisions of their records in the store.
     pub crashes: Vec<(u64, CrashRecord)>,
-    /// News of the members.
+    /// Update of the members since the requested revision.
     pub members: MemberUpdate,
 }
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -52,7 +52,7 @@
     /// A single failed call isn't enough for that, as connections may be reset and responses
     /// lost while the store is available.
     pub fn notify_store_lost(&self) {
-        if self.relay_selector.borrow_mut().store_lost() {
+        if self.relay_selector.borrow_mut().record_store_lost() {
             self.updates.notify_waiters();
             self.watch_duty_changed.notify_waiters();
         }
--- a/crates/node/tests/all/guide.rs
+++ b/crates/node/tests/all/guide.rs
@@ -114,8 +114,8 @@
     );
     let mut itself = RelaySelector::new(peer_addr(1));
     itself.store_answered(at(10_000));
-    assert!(itself.store_lost());
-    assert!(!itself.store_lost());
+    assert!(itself.record_store_lost());
+    assert!(!itself.record_store_lost());
     assert_eq!(
         itself.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
@@ -137,7 +137,7 @@
         relay_selector.choose(at(10_300), &order),
         UpdateSource::Node(peer_addr(3))
     );
-    relay_selector.store_lost();
+    relay_selector.record_store_lost();
     assert_eq!(
         relay_selector.choose(at(10_300), &order),
         UpdateSource::Node(peer_addr(1))
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -54,7 +54,7 @@
         let (since, share) = self.pause;
         if now >= since + self.access.pause(duty, share) {
             self.fail(now, rng);
-            self.relay_selector.store_lost();
+            self.relay_selector.record_store_lost();
         }
     }
 }
