--- a/crates/node/src/config/config_delta.rs
+++ b/crates/node/src/config/config_delta.rs
@@ -9,37 +9,37 @@
 
 use super::{ConfigInput, ConfigVersion, LimitsInput, RouteInput, ServiceInput};
 
-/// What makes one configuration out of another.
+/// Changes that turn one configuration into another.
 ///
-/// Configurations of thousands of routes change a few routes at a time, several times a
-/// second, and links may carry only a few megabits. Sending whole documents would keep
-/// such links busy and delay callers' answers.
+/// A configuration may hold thousands of routes, of which a few change at a time, several
+/// times a second. A link may carry only a few megabits per second. Sending whole documents
+/// would fill such a link and delay the responses to callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigDelta {
-    /// Version that it changes.
+    /// Version to which the delta applies.
     pub from: ConfigVersion,
-    /// Version that results.
+    /// Version that the delta produces.
     pub to: ConfigVersion,
-    /// Routes that are new or differ.
+    /// Routes that are new or changed.
     pub routes: Vec<Rc<RouteInput>>,
-    /// Names of routes that are gone.
+    /// Names of removed routes.
     pub removed: Vec<String>,
-    /// Services of the resulting version.
+    /// All services of the resulting version.
     pub services: Vec<ServiceInput>,
     /// Limits of the resulting version.
     pub limits: LimitsInput,
 }
 
 impl ConfigDelta {
-    /// Compares two documents.
+    /// Returns the delta that turns `from` into `to`.
     pub fn between(from: &ConfigInput, to: &ConfigInput) -> Self {
         let before: HashMap<&str, &Rc<RouteInput>> = by_name(from);
         let after: HashSet<&str> = to.routes.iter().map(|route| &*route.name).collect();
-        let same = |route: &Rc<RouteInput>| {
+        let is_unchanged = |route: &Rc<RouteInput>| {
             let known = before.get(&*route.name);
             known.is_some_and(|known| Rc::ptr_eq(known, route) || *known == route)
         };
-        let routes = to.routes.iter().filter(|route| !same(route));
+        let routes = to.routes.iter().filter(|route| !is_unchanged(route));
         let removed = from
             .routes
             .iter()
@@ -54,8 +54,9 @@
         }
     }
 
-    /// Returns the document that results from `from`, or none when the delta
-    /// belongs to another version.
+    /// Returns the document that the delta makes out of `from`.
+    ///
+    /// Returns `None` if the delta applies to another version.
     ///
     /// # Examples
     ///
@@ -79,10 +80,10 @@
         }
         let removed: HashSet<&str> = self.removed.iter().map(String::as_str).collect();
         let replaced: HashSet<&str> = self.routes.iter().map(|route| &*route.name).collect();
-        let stays = |route: &&Rc<RouteInput>| {
+        let is_kept = |route: &&Rc<RouteInput>| {
             !removed.contains(&*route.name) && !replaced.contains(&*route.name)
         };
-        let kept = from.routes.iter().filter(stays).cloned();
+        let kept = from.routes.iter().filter(is_kept).cloned();
         Some(ConfigInput {
             version: self.to,
             routes: kept.chain(self.routes.iter().cloned()).collect(),
@@ -92,6 +93,7 @@
     }
 }
 
+/// Returns the routes of a document by name.
 fn by_name(input: &ConfigInput) -> HashMap<&str, &Rc<RouteInput>> {
     input
         .routes
--- a/crates/node/src/config/config_error.rs
+++ b/crates/node/src/config/config_error.rs
@@ -1,49 +1,49 @@
-//! Reasons why a configuration document isn't taken.
+//! Reasons why a configuration document is refused.
 
 use snafu::Snafu;
 
-/// Reason why a configuration document isn't taken.
+/// Reason why a configuration document is refused.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(super)))]
 pub enum ConfigError {
-    /// A route names a service that the document lacks.
+    /// A route names a service that the document doesn't define.
     #[snafu(display("route {route} names the unknown service {service}"))]
     UnknownService {
-        /// Route.
+        /// Name of the route.
         route: String,
-        /// Service that the document lacks.
+        /// Name of the undefined service.
         service: String,
     },
-    /// A route has no target, or its weights add up to nothing.
+    /// A route names no service with a weight above 0.
     #[snafu(display("route {route} has no target with a weight"))]
     NoTarget {
-        /// Route.
+        /// Name of the route.
         route: String,
     },
     /// A prefix doesn't begin and end with a slash.
     #[snafu(display("route {route} has the prefix {prefix:?}, not one between slashes"))]
-    BarePrefix {
-        /// Route.
+    PrefixWithoutSlashes {
+        /// Name of the route.
         route: String,
-        /// Prefix as written.
+        /// Prefix as written in the document.
         prefix: String,
     },
-    /// A route allows no attempt at all.
+    /// A route allows 0 attempts.
     #[snafu(display("route {route} allows no attempt"))]
     NoAttempts {
-        /// Route.
+        /// Name of the route.
         route: String,
     },
-    /// A time is negative, not a number or absurdly long.
-    #[snafu(display("{place} has a time out of range"))]
-    BadTime {
-        /// Route or limit that holds the time.
-        place: String,
+    /// A time isn't a number above 0 and up to 3600 seconds.
+    #[snafu(display("{location} has a time out of range"))]
+    TimeOutOfRange {
+        /// Name of the route or limit that contains the time.
+        location: String,
     },
-    /// Two routes share host and prefix.
+    /// Two routes have the same host and prefix.
     #[snafu(display("route {route} repeats the host and prefix of another"))]
-    DoubledRoute {
-        /// Second route.
+    DuplicateRoute {
+        /// Name of the second of the two routes.
         route: String,
     },
     /// The document names no route.
@@ -52,7 +52,7 @@
     /// The document isn't of the expected shape.
     #[snafu(display("the document is malformed: {reason}"))]
     Malformed {
-        /// What the parser met.
+        /// Error of the parser.
         reason: String,
     },
 }
--- a/crates/node/src/config/config_input.rs
+++ b/crates/node/src/config/config_input.rs
@@ -1,4 +1,4 @@
-//! Raw configuration documents.
+//! Configuration documents before they are checked.
 
 use std::rc::Rc;
 
@@ -8,71 +8,71 @@
 
 /// Configuration document before it is checked.
 ///
-/// This is also the form in which one node hands a configuration to another.
+/// Nodes also send configurations to each other in this form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigInput {
-    /// Version.
+    /// Version of the document.
     pub version: ConfigVersion,
-    /// Routes.
+    /// Routes, each with a unique pair of host and prefix.
     pub routes: Vec<Rc<RouteInput>>,
-    /// Services.
+    /// Services that the routes may name.
     pub services: Vec<ServiceInput>,
-    /// Limits on what callers send.
+    /// Limits on callers' requests.
     pub limits: LimitsInput,
 }
 
-/// Route before it is checked. Times are seconds.
+/// Route before it is checked.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteInput {
-    /// Name.
+    /// Name of the route.
     pub name: String,
-    /// Host that callers name.
+    /// Host that requests of the route name, in any case.
     pub host: String,
-    /// Start of the path, between slashes.
+    /// Prefix of the path; it begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind of the requests, which says whether they may run more than once.
     pub kind: RequestKind,
-    /// Seconds after which the caller gets a final answer.
+    /// Seconds after which the caller gets a final response.
     pub timeout_s: f64,
-    /// Seconds within which an answer is of full use.
+    /// Target latency in seconds; a later response counts as slow.
     pub target_s: f64,
-    /// Rank; 0 is the most urgent.
+    /// Priority rank; 0 is the most urgent.
     pub rank: u8,
-    /// Most backend servers that one request may be sent to.
+    /// Largest number of backend servers that one request may be sent to.
     pub attempts: u32,
-    /// Services that answer, with their weights.
+    /// Services that requests are sent to, with their weights.
     pub shares: Vec<ShareInput>,
 }
 
-/// One target of a route.
+/// A service that a route sends requests to, and its weight.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareInput {
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Weight among the route's targets.
+    /// Weight relative to the route's other services; 0 sends no requests.
     pub weight: u32,
 }
 
 /// Service before it is checked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceInput {
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// Path of its health check.
+    /// Path of the health check of its backend servers.
     pub health_path: String,
-    /// Connections that each of its backend servers accepts.
+    /// Number of connections that each of its backend servers accepts.
     pub connections: u32,
 }
 
-/// Limits on what callers send. Times are seconds.
+/// Limits on callers' requests, before they are checked.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitsInput {
-    /// Most bytes of a request's head.
+    /// Largest size of a request's head in bytes.
     pub head_bytes: u64,
-    /// Most bytes of a request's body.
+    /// Largest size of a request's body in bytes.
     pub body_bytes: u64,
-    /// Longest time that a head may take.
+    /// Longest time in seconds for receiving a request's head.
     pub head_s: f64,
-    /// Longest time that a connection may stay idle.
+    /// Longest time in seconds for which a connection may stay idle.
     pub idle_s: f64,
 }
--- a/crates/node/src/config/config_version.rs
+++ b/crates/node/src/config/config_version.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Version of a configuration; later ones are greater.
+/// Version of a configuration; a later version is greater, and 0 means none.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
--- a/crates/node/src/config/mesh_config.rs
+++ b/crates/node/src/config/mesh_config.rs
@@ -1,4 +1,4 @@
-//! Checked configurations.
+//! Checked configurations, in the form used to route requests.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -11,16 +11,16 @@
     route_rule::checked_time,
 };
 
-/// Checked limits on what callers send.
+/// Checked limits on callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Most bytes of a request's head.
+    /// Largest size of a request's head in bytes.
     pub head_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Largest size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Longest time that a head may take.
+    /// Longest time for receiving a request's head.
     pub head_time: Duration,
-    /// Longest time that a connection may stay idle.
+    /// Longest time for which a connection may stay idle.
     pub idle_time: Duration,
 }
 
@@ -40,20 +40,23 @@
 /// A checked configuration.
 #[derive(Debug)]
 pub struct MeshConfig {
-    /// Version.
+    /// Version of the document.
     pub version: ConfigVersion,
-    /// Limits on what callers send.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
-    /// The document.
+    /// Document from which the configuration was made.
     pub input: Rc<ConfigInput>,
-    /// Routes by host followed by prefix. A host has no slash and a prefix
-    /// begins with one, so the two can't be confused.
+    /// Routes by the host followed by the prefix.
+    ///
+    /// The key is unambiguous, as a host has no slash and a prefix begins with one.
     routes: HashMap<Box<str>, Rc<RouteRule>>,
 }
 
 impl MeshConfig {
-    /// Returns the route of a request: among those of its host, the one with
-    /// the longest prefix that begins the path.
+    /// Returns the route of a request.
+    ///
+    /// Among the routes of `host`, which must be lower case, it is the one with the longest
+    /// prefix of `path`.
     ///
     /// # Examples
     ///
@@ -89,13 +92,13 @@
     /// # Ok::<(), ConfigError>(())
     /// ```
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<RouteRule>> {
-        let mut place = String::with_capacity(host.len() + path.len());
-        place.push_str(host);
-        place.push_str(path);
-        let mut end = place.len();
-        while let Some(slash) = place[host.len()..end].rfind('/') {
+        let mut key = String::with_capacity(host.len() + path.len());
+        key.push_str(host);
+        key.push_str(path);
+        let mut end = key.len();
+        while let Some(slash) = key[host.len()..end].rfind('/') {
             let slash = host.len() + slash;
-            if let Some(route) = self.routes.get(&place[..=slash]) {
+            if let Some(route) = self.routes.get(&key[..=slash]) {
                 return Some(route);
             }
             end = slash;
@@ -104,20 +107,21 @@
     }
 
     /// Returns the route whose name has this hash.
-    pub fn route_of(&self, route_hash: u64) -> Option<&Rc<RouteRule>> {
+    pub fn route_by_hash(&self, route_hash: u64) -> Option<&Rc<RouteRule>> {
         self.routes
             .values()
             .find(|route| route.route_hash == route_hash)
     }
 
-    /// Checks a document. Routes that `before` has as well are taken from
-    /// there, which keeps their place in the division by weights and costs a
-    /// tenth of making them anew.
+    /// Checks a document and makes it a configuration.
+    ///
+    /// Unchanged routes are taken from the previous configuration. That preserves the state of
+    /// their weighted round robin, and costs a tenth of creating them again.
     ///
     /// # Errors
     ///
-    /// What is wrong with the first bad route.
-    pub fn checked(input: Rc<ConfigInput>, before: Option<&Self>) -> Result<Self, ConfigError> {
+    /// Returns the fault of the first bad route or limit.
+    pub fn checked(input: Rc<ConfigInput>, previous: Option<&Self>) -> Result<Self, ConfigError> {
         if input.routes.is_empty() {
             return Err(ConfigError::NoRoutes);
         }
@@ -125,15 +129,15 @@
         let mut routes = HashMap::with_capacity(input.routes.len());
         for route in &input.routes {
             check_services(route, &services)?;
-            let place = format!("{}{}", route.host.to_ascii_lowercase(), route.prefix);
-            let known = before.and_then(|before| before.routes.get(&*place));
+            let key = format!("{}{}", route.host.to_ascii_lowercase(), route.prefix);
+            let known = previous.and_then(|previous| previous.routes.get(&*key));
             let rule = match known.filter(|rule| rule.input == *route) {
                 Some(rule) => Rc::clone(rule),
                 None => Rc::new(RouteRule::try_from(route)?),
             };
-            if routes.insert(place.into_boxed_str(), rule).is_some() {
+            if routes.insert(key.into_boxed_str(), rule).is_some() {
                 let route = route.name.clone();
-                return Err(ConfigError::DoubledRoute { route });
+                return Err(ConfigError::DuplicateRoute { route });
             }
         }
         Ok(Self {
@@ -144,25 +148,25 @@
         })
     }
 
-    /// Returns the path of a service's health check.
+    /// Returns the path of a service's health check, or `None` for an unknown service.
     pub fn health_path(&self, service: &str) -> Option<&str> {
         let mut services = self.input.services.iter();
         let service = services.find(|known| known.name == service);
         service.map(|service| &*service.health_path)
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes.len()
     }
 
-    /// Whether some route divides its requests between two services.
+    /// Returns whether a route divides its requests between the two services.
     pub fn have_common_route(&self, one: &str, other: &str) -> bool {
         let mut routes = self.routes.values();
         routes.any(|route| route.shares.allows(one) && route.shares.allows(other))
     }
 
-    /// Whether some route may send requests to `service`.
+    /// Returns whether a route may send requests to `service`.
     pub fn uses(&self, service: &str) -> bool {
         self.routes
             .values()
@@ -170,15 +174,16 @@
     }
 }
 
-/// Returns the services that a document names.
+/// Returns the names of the services that a document defines.
 fn service_names(input: &ConfigInput) -> HashSet<&str> {
     let names = input.services.iter().map(|service| &*service.name);
     names.collect()
 }
 
+/// Checks that the document defines all services that `route` names.
 fn check_services(route: &RouteInput, services: &HashSet<&str>) -> Result<(), ConfigError> {
-    let stranger = |share: &&ShareInput| !services.contains(&*share.service);
-    match route.shares.iter().find(stranger) {
+    let is_unknown = |share: &&ShareInput| !services.contains(&*share.service);
+    match route.shares.iter().find(is_unknown) {
         Some(share) => Err(ConfigError::UnknownService {
             route: route.name.clone(),
             service: share.service.clone(),
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -1,10 +1,10 @@
 //! The configuration in force: checked routes and services.
 //!
-//! [`ConfigInput`] is the raw document, in the shape in which nodes hand it to
-//! one another. [`MeshConfig`] is the checked form: every route points at
-//! services that the same document names, so a request never meets a route
-//! without a target. A document is taken whole or not at all. A
-//! [`ConfigDelta`] carries a change from node to node.
+//! [`ConfigInput`] is the unchecked document, in the form in which nodes send it to each
+//! other. [`MeshConfig`] is the checked form. Each of its routes names only services that the
+//! same document defines, so a request never gets a route without a service. A document is
+//! accepted as a whole or refused as a whole. A [`ConfigDelta`] holds the changes between two
+//! versions, and is sent from node to node.
 
 mod config_delta;
 mod config_error;
--- a/crates/node/src/config/request_kind.rs
+++ b/crates/node/src/config/request_kind.rs
@@ -1,9 +1,9 @@
-//! What may be repeated.
+//! Kinds of requests, by whether they may run more than once.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// Kind of a route's requests.
+/// Kind of a route's requests, by whether they may run more than once.
 #[derive(
     Debug,
     Clone,
@@ -22,16 +22,16 @@
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestKind {
-    /// Idempotent, with a short answer.
+    /// Idempotent request with a short response.
     Lookup,
-    /// Idempotent, with a long answer.
+    /// Idempotent request with a long response.
     Bulk,
-    /// Runs at most once for each of the caller's attempts.
+    /// Request that runs at most once for each of the caller's attempts.
     Once,
 }
 
 impl RequestKind {
-    /// Whether a request may run more than once without harm.
+    /// Returns whether a request may run more than once without harm.
     pub const fn is_idempotent(self) -> bool {
         !matches!(self, Self::Once)
     }
--- a/crates/node/src/config/route_rule.rs
+++ b/crates/node/src/config/route_rule.rs
@@ -6,30 +6,31 @@
 
 use super::{ConfigError, RequestKind, RouteInput, WeightedRoundRobin};
 
-/// Longest time that a route or limit may name: an hour is far beyond any
-/// request, and far from overflow.
-const TIME_MAX_S: f64 = 3_600.0;
+/// Longest time in seconds of a route or limit.
+///
+/// One hour is far longer than any request, and far from an overflow.
+const MAX_TIME_S: f64 = 3_600.0;
 
-/// A checked route.
+/// A checked route, by which requests are sent to services.
 #[derive(Debug)]
 pub struct RouteRule {
-    /// The route as written.
+    /// Route as written in the document.
     pub input: Rc<RouteInput>,
-    /// Name.
+    /// Name of the route.
     pub name: Rc<str>,
-    /// Hash of the name, by which service times are kept.
+    /// Hash of the name, which identifies the route in the members' load estimates.
     pub route_hash: u64,
-    /// What may be repeated.
+    /// Kind of the requests, which says whether they may run more than once.
     pub kind: RequestKind,
-    /// Time after which the caller gets a final answer.
+    /// Time after which the caller gets a final response.
     pub timeout: Duration,
-    /// Time within which an answer is of full use.
+    /// Target latency; a later response counts as slow.
     pub target: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority rank; 0 is the most urgent.
     pub rank: u8,
-    /// Most backend servers that one request may be sent to.
+    /// Largest number of backend servers that one request may be sent to.
     pub attempts: u32,
-    /// Services that answer.
+    /// Services that requests are sent to.
     pub shares: WeightedRoundRobin,
 }
 
@@ -38,10 +39,10 @@
 
     fn try_from(input: &Rc<RouteInput>) -> Result<Self, ConfigError> {
         let route = || input.name.clone();
-        let bounded = input.prefix.starts_with('/') && input.prefix.ends_with('/');
-        if !bounded {
+        let has_slashes = input.prefix.starts_with('/') && input.prefix.ends_with('/');
+        if !has_slashes {
             let prefix = input.prefix.clone();
-            return Err(ConfigError::BarePrefix {
+            return Err(ConfigError::PrefixWithoutSlashes {
                 route: route(),
                 prefix,
             });
@@ -70,12 +71,14 @@
     }
 }
 
-/// Turns seconds into a time, or says where they stand.
-pub(super) fn checked_time(seconds: f64, place: &str) -> Result<Duration, ConfigError> {
-    if seconds > 0.0 && seconds <= TIME_MAX_S {
+/// Converts seconds to a duration.
+///
+/// Seconds out of range are refused with an error that names their `location`.
+pub(super) fn checked_time(seconds: f64, location: &str) -> Result<Duration, ConfigError> {
+    if seconds > 0.0 && seconds <= MAX_TIME_S {
         Ok(Duration::from_secs_f64(seconds))
     } else {
-        let place = place.to_owned();
-        Err(ConfigError::BadTime { place })
+        let location = location.to_owned();
+        Err(ConfigError::TimeOutOfRange { location })
     }
 }
--- a/crates/node/src/config/weighted_round_robin.rs
+++ b/crates/node/src/config/weighted_round_robin.rs
@@ -1,83 +1,83 @@
-//! Division of a route's requests among its services.
+//! Division of a route's requests among its services by weight.
 
 use std::{cell::RefCell, rc::Rc};
 
-/// One target of a route and what it is owed.
+/// A service of a route, with its state in the round robin.
 #[derive(Debug)]
-struct ShareSlot {
+struct WeightedTarget {
     service: Rc<str>,
     weight: i64,
+    /// Requests that the service is owed, times the total weight.
     owed: i64,
 }
 
-/// Deals a route's requests to its services in the proportion of weights.
+/// Divides a route's requests among its services in proportion to their weights.
 ///
-/// Smooth weighted round robin: after any number of draws each service is
-/// within one request of its share, so shares hold over short windows, too. A
-/// random draw of 100 requests at a weight of a half is off by 0.1 in one
-/// window of twenty.
+/// It uses smooth weighted round robin. After any number of requests, each service has got its
+/// share to within one request, so the shares also hold over short times. With random
+/// selection, a service with half of the weight would be off its share by 0.1 in one of twenty
+/// windows of 100 requests.
 #[derive(Debug)]
 pub struct WeightedRoundRobin {
-    slots: RefCell<Vec<ShareSlot>>,
+    targets: RefCell<Vec<WeightedTarget>>,
 }
 
 impl WeightedRoundRobin {
-    /// Makes a wheel; services without a weight are left out.
+    /// Creates the division; services with a weight of 0 are left out.
     pub fn new(shares: impl IntoIterator<Item = (Rc<str>, u32)>) -> Self {
-        let slots = shares
+        let targets = shares
             .into_iter()
             .filter(|(_, weight)| *weight > 0)
-            .map(|(service, weight)| ShareSlot {
+            .map(|(service, weight)| WeightedTarget {
                 service,
                 weight: weight.into(),
                 owed: 0,
             })
             .collect();
         Self {
-            slots: RefCell::new(slots),
+            targets: RefCell::new(targets),
         }
     }
 
-    /// Whether no service has a weight.
+    /// Returns whether no service has a weight above 0.
     pub fn is_empty(&self) -> bool {
-        self.slots.borrow().is_empty()
+        self.targets.borrow().is_empty()
     }
 
-    /// Draws the service of the next request.
+    /// Returns the service that the next request is sent to.
     ///
     /// # Panics
     ///
-    /// Panics when no service has a weight; checked configurations have none
-    /// such.
+    /// Panics if no service has a weight above 0. [`RouteRule`](super::RouteRule) excludes that.
     ///
     /// # Examples
     ///
     /// ```
     /// use geranium_node::config::WeightedRoundRobin;
     ///
-    /// let wheel = WeightedRoundRobin::new([("a".into(), 3), ("b".into(), 1)]);
-    /// let drawn: Vec<_> = (0..8).map(|_| wheel.draw()).collect();
+    /// let shares = WeightedRoundRobin::new([("a".into(), 3), ("b".into(), 1)]);
+    /// let drawn: Vec<_> = (0..8).map(|_| shares.draw()).collect();
     /// assert_eq!(drawn.iter().filter(|service| &***service == "b").count(), 2);
     /// ```
     pub fn draw(&self) -> Rc<str> {
-        let mut slots = self.slots.borrow_mut();
-        let total: i64 = slots.iter().map(|slot| slot.weight).sum();
-        for slot in slots.iter_mut() {
-            slot.owed += slot.weight;
+        let mut targets = self.targets.borrow_mut();
+        let total: i64 = targets.iter().map(|target| target.weight).sum();
+        for target in targets.iter_mut() {
+            target.owed += target.weight;
         }
-        let next = slots
+        let next = targets
             .iter_mut()
-            .max_by_key(|slot| slot.owed)
-            .expect("a checked route has a target");
+            .max_by_key(|target| target.owed)
+            .expect("a checked route has a service with a weight");
         next.owed -= total;
         Rc::clone(&next.service)
     }
 
-    /// Whether requests of the route may go to `service`.
+    /// Returns whether requests of the route may be sent to `service`.
     pub fn allows(&self, service: &str) -> bool {
-        self.slots
+        self.targets
             .borrow()
             .iter()
-            .any(|slot| &*slot.service == service)
+            .any(|target| &*target.service == service)
     }
 }
--- a/crates/node/src/node_core/request_outcomes.rs
+++ b/crates/node/src/node_core/request_outcomes.rs
@@ -41,7 +41,7 @@
         let config = self.config.borrow();
         let route = config
             .as_ref()
-            .and_then(|config| config.route_of(route_hash));
+            .and_then(|config| config.route_by_hash(route_hash));
         info!(self.log.logger(), "nested calls of the backend server detected";
             "route" => route.map(|route| &*route.name),
             "cause" => "its runs fail when these are turned away");
--- a/crates/node/tests/all/config.rs
+++ b/crates/node/tests/all/config.rs
@@ -1,4 +1,4 @@
-//! Checked configurations and their differences.
+//! Tests of checked configurations, deltas and the history.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -54,6 +54,7 @@
     }
 }
 
+/// Returns the error with which a document with `route` is refused.
 fn refusal(route: RouteInput) -> ConfigError {
     let checked = MeshConfig::checked(Rc::new(document(1, vec![route])), None);
     checked.expect_err("the document is bad")
@@ -62,24 +63,26 @@
 #[test]
 fn each_bad_route_is_refused_with_its_reason() {
     let good = || route("r", "/r/", &[("a", 1)]);
-    let stranger = refusal(route("r", "/r/", &[("a", 1), ("c", 0)]));
-    assert!(matches!(stranger, ConfigError::UnknownService { service, .. } if service == "c"));
-    let weightless = refusal(route("r", "/r/", &[("a", 0), ("b", 0)]));
-    assert!(matches!(weightless, ConfigError::NoTarget { .. }));
+    let unknown_service = refusal(route("r", "/r/", &[("a", 1), ("c", 0)]));
+    assert!(
+        matches!(unknown_service, ConfigError::UnknownService { service, .. } if service == "c")
+    );
+    let without_weight = refusal(route("r", "/r/", &[("a", 0), ("b", 0)]));
+    assert!(matches!(without_weight, ConfigError::NoTarget { .. }));
     assert!(matches!(
         refusal(route("r", "/r", &[("a", 1)])),
-        ConfigError::BarePrefix { .. }
+        ConfigError::PrefixWithoutSlashes { .. }
     ));
     assert!(matches!(
         refusal(route("r", "r/", &[("a", 1)])),
-        ConfigError::BarePrefix { .. }
+        ConfigError::PrefixWithoutSlashes { .. }
     ));
-    let unattempted = RouteInput {
+    let without_attempts = RouteInput {
         attempts: 0,
         ..good()
     };
     assert!(matches!(
-        refusal(unattempted),
+        refusal(without_attempts),
         ConfigError::NoAttempts { .. }
     ));
     for timeout_s in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e9] {
@@ -88,11 +91,11 @@
             ..good()
         };
         assert!(
-            matches!(refusal(route), ConfigError::BadTime { .. }),
+            matches!(refusal(route), ConfigError::TimeOutOfRange { .. }),
             "{timeout_s}"
         );
     }
-    let doubled = document(
+    let duplicate = document(
         1,
         vec![
             good(),
@@ -102,8 +105,8 @@
             },
         ],
     );
-    let doubled = MeshConfig::checked(Rc::new(doubled), None);
-    assert!(matches!(doubled, Err(ConfigError::DoubledRoute { route }) if route == "s"));
+    let duplicate = MeshConfig::checked(Rc::new(duplicate), None);
+    assert!(matches!(duplicate, Err(ConfigError::DuplicateRoute { route }) if route == "s"));
     let empty = MeshConfig::checked(Rc::new(document(1, Vec::new())), None);
     assert!(matches!(empty, Err(ConfigError::NoRoutes)));
 }
@@ -115,7 +118,8 @@
         route("deep", "/x/y/", &[("a", 1)]),
         route("mid", "/x/", &[("b", 1)]),
     ];
-    let config = MeshConfig::checked(Rc::new(document(1, routes)), None).expect("it is good");
+    let config =
+        MeshConfig::checked(Rc::new(document(1, routes)), None).expect("the document is good");
     let name = |path: &str| {
         config
             .route("till.example", path)
@@ -129,30 +133,32 @@
     assert!(config.route("till.example", "").is_none());
 }
 
-/// Guards against weighted routing that restarts with each version and sends all to one service.
+/// Guards against a weighted round robin that restarts with each version.
+///
+/// If the configuration changes often, such a route sends all requests to one service.
 #[test]
 fn routes_that_stay_keep_their_place_in_the_division() {
     let shares: &[(&str, u32)] = &[("a", 3), ("b", 1)];
     let first = document(1, vec![route("r", "/r/", shares)]);
-    let mut config = MeshConfig::checked(Rc::new(first), None).expect("it is good");
-    let mut drawn = 0;
+    let mut config = MeshConfig::checked(Rc::new(first), None).expect("the document is good");
+    let mut count_b = 0;
     for version in 2..=41 {
         let routes = vec![
             route("r", "/r/", shares),
             route(&format!("n{version}"), "/n/", &[("a", 1)]),
         ];
         let next = Rc::new(document(version, routes));
-        config = MeshConfig::checked(next, Some(&config)).expect("it is good");
+        config = MeshConfig::checked(next, Some(&config)).expect("the document is good");
         let rule = config
             .route("till.example", "/r/x")
             .expect("the route stays");
-        drawn += usize::from(&*rule.shares.draw() == "b");
+        count_b += usize::from(&*rule.shares.draw() == "b");
     }
-    assert_eq!(drawn, 10);
+    assert_eq!(count_b, 10);
 }
 
 #[test]
-fn a_delta_makes_the_next_document_and_no_other() {
+fn a_delta_applies_to_its_own_version_only() {
     let from = document(
         3,
         vec![
@@ -175,20 +181,21 @@
     assert_eq!(delta.removed, ["drop"]);
     assert_eq!(delta.apply(&from), Some(to.clone()));
     assert_eq!(delta.apply(&to), None);
-    let text = serde_json::to_string(&delta).expect("it has a text");
-    let read: ConfigDelta = serde_json::from_str(&text).expect("it was just written");
+    let text = serde_json::to_string(&delta).expect("a delta can be written as JSON");
+    let read: ConfigDelta = serde_json::from_str(&text).expect("the delta was just written");
     assert_eq!(read, delta);
 }
 
 fn updates(history: &ConfigHistory, version: u64) -> Option<ConfigUpdate> {
     let updates = history.update_for(ConfigVersion(version));
-    updates.expect("it can be packed")
+    updates.expect("the document can be compressed")
 }
 
-/// A node asks for news that holds a version of a moment ago, one of long ago,
-/// none, or a later one than the guide.
+/// Guards against an update that doesn't fit the version that the requesting node holds.
+///
+/// That node may hold a recent version, an old one, none, or a later one than the relay.
 #[test]
-fn history_answers_with_the_least_that_does() {
+fn history_returns_the_smallest_sufficient_update() {
     let mut history = ConfigHistory::default();
     assert_eq!(updates(&history, 0), None);
     for version in 10..40 {
@@ -251,11 +258,13 @@
     }
 }
 
-/// Guards against adopting an older version, as from a late answer or a lagging node.
+/// Guards against adopting an older version.
+///
+/// One may come from a late response, or from a node that hasn't received the newest.
 #[test]
 fn an_older_version_is_not_adopted() {
     let log = EventLog::new(Logger::root(Discard, o!()));
-    let core = NodeCore::new(settings(), headers(), log).expect("the metrics register");
+    let core = NodeCore::new(settings(), headers(), log).expect("the metrics can be registered");
     let adopt = |version| {
         let routes = vec![route("r", "/p/", &[("a", 1)])];
         let config = MeshConfig::checked(Rc::new(document(version, routes)), None);
