--- a/crates/node/tests/all/guide.rs
+++ b/crates/node/tests/all/guide.rs
@@ -1,4 +1,4 @@
-//! Which node watches the store for whom.
+//! Tests of the selection of the relay, which watches the store for others.
 
 use geranium_node::{
     distribution::{RelaySelector, StoreReachability, UpdateSource},
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn all_follow_the_first_and_the_first_watches() {
+fn the_first_member_is_the_relay_of_all_others() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
     let choice = |own| {
-        let mut relay_selector = RelaySelector::new(peer_addr(own));
-        relay_selector.store_answered(at(0));
-        relay_selector.choose(at(100), &order)
+        let mut selector = RelaySelector::new(peer_addr(own));
+        selector.store_answered(at(0));
+        selector.choose(at(100), &order)
     };
     assert_eq!(choice(1), UpdateSource::Store);
     for own in 2..6 {
@@ -27,119 +27,118 @@
     }
 }
 
-/// The first one hangs, then the second. The third node goes on to the store
-/// itself, and returns to the first when its time out is over.
+/// Guards against keeping a failed relay, or never returning to it.
+///
+/// The first relay hangs, then the second. The third node uses the store directly, and
+/// returns to the first relay when the exclusion ends.
 #[test]
-fn a_guide_that_fails_is_passed_over_for_a_while() {
+fn a_failed_relay_is_skipped_for_a_while() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut relay_selector = RelaySelector::new(peer_addr(3));
-    relay_selector.store_answered(at(0));
-    relay_selector.record_relay_failure(at(0), peer_addr(1));
+    let mut selector = RelaySelector::new(peer_addr(3));
+    selector.store_answered(at(0));
+    selector.record_relay_failure(at(0), peer_addr(1));
     assert_eq!(
-        relay_selector.choose(at(10), &order),
+        selector.choose(at(10), &order),
         UpdateSource::Node(peer_addr(2))
     );
-    relay_selector.record_relay_failure(at(10), peer_addr(2));
-    assert_eq!(relay_selector.choose(at(20), &order), UpdateSource::Store);
-    relay_selector.store_answered(at(5_000));
+    selector.record_relay_failure(at(10), peer_addr(2));
+    assert_eq!(selector.choose(at(20), &order), UpdateSource::Store);
+    selector.store_answered(at(5_000));
     assert_eq!(
-        relay_selector.choose(at(6_000), &order),
+        selector.choose(at(6_000), &order),
         UpdateSource::Node(peer_addr(1))
     );
 }
 
-/// Guards against following a guide with older news than this node has, and leaving one with newer.
+/// Guards against using a relay that the store answered longer ago than this node.
+///
+/// A node that is cut off as well must keep using the relay.
 #[test]
-fn a_guide_with_old_news_is_passed_over_by_those_with_newer() {
+fn a_relay_cut_off_from_the_store_is_skipped_by_nodes_that_reach_it() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut relay_selector = RelaySelector::new(peer_addr(3));
-    relay_selector.store_answered(at(10_000));
-    assert!(!relay_selector.record_reachability(at(10_100), peer_addr(1), contact(6_000, false)));
+    let mut selector = RelaySelector::new(peer_addr(3));
+    selector.store_answered(at(10_000));
+    assert!(!selector.record_reachability(at(10_100), peer_addr(1), contact(6_000, false)));
     assert_eq!(
-        relay_selector.choose(at(10_100), &order),
+        selector.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
     );
-    let mut away = RelaySelector::new(peer_addr(3));
-    away.store_answered(at(1_000));
-    assert!(!away.record_reachability(at(10_100), peer_addr(1), contact(6_000, false)));
+    let mut cut_off_selector = RelaySelector::new(peer_addr(3));
+    cut_off_selector.store_answered(at(1_000));
+    assert!(!cut_off_selector.record_reachability(at(10_100), peer_addr(1), contact(6_000, false)));
     assert_eq!(
-        away.choose(at(10_100), &order),
+        cut_off_selector.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(1))
     );
 }
 
-/// The store turns the first node itself away. It asks the second, as
-/// everybody else does by then.
+/// Guards against a node that keeps watching a store which refuses its calls.
+///
+/// The first node uses the second as its relay, as the other nodes do by then.
 #[test]
-fn a_node_that_is_cut_off_follows_another() {
+fn a_node_cut_off_from_the_store_uses_another_as_its_relay() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut relay_selector = RelaySelector::new(peer_addr(1));
-    relay_selector.store_answered(at(0));
+    let mut selector = RelaySelector::new(peer_addr(1));
+    selector.store_answered(at(0));
+    assert_eq!(selector.choose(at(3_000), &order), UpdateSource::Store);
     assert_eq!(
-        relay_selector.choose(at(3_000), &order),
-        UpdateSource::Store
-    );
-    assert_eq!(
-        relay_selector.choose(at(4_000), &order),
+        selector.choose(at(4_000), &order),
         UpdateSource::Node(peer_addr(2))
     );
-    assert_eq!(
-        relay_selector.choose(at(4_000), &order[..1]),
-        UpdateSource::Store
-    );
+    assert_eq!(selector.choose(at(4_000), &order[..1]), UpdateSource::Store);
 }
 
 #[test]
-fn a_question_makes_a_watcher_for_a_while() {
-    let mut relay_selector = RelaySelector::new(peer_addr(4));
-    relay_selector.record_update_request(at(0));
-    assert!(relay_selector.has_recent_update_request(at(4_500)));
-    assert!(!relay_selector.has_recent_update_request(at(5_500)));
+fn a_node_watches_the_store_for_a_while_after_an_update_request() {
+    let mut selector = RelaySelector::new(peer_addr(4));
+    selector.record_update_request(at(0));
+    assert!(selector.has_recent_update_request(at(4_500)));
+    assert!(!selector.has_recent_update_request(at(5_500)));
 }
 
-/// Guards against following a guide that has reported losing the store.
+/// Guards against using a relay that has reported that it lost the store.
 #[test]
-fn a_guide_that_has_lost_the_store_is_passed_over_at_once() {
+fn a_relay_that_has_lost_the_store_is_skipped_at_once() {
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut follower = RelaySelector::new(peer_addr(3));
-    follower.store_answered(at(10_000));
-    assert!(!follower.record_reachability(at(10_100), peer_addr(1), contact(200, true)));
+    let mut selector = RelaySelector::new(peer_addr(3));
+    selector.store_answered(at(10_000));
+    assert!(!selector.record_reachability(at(10_100), peer_addr(1), contact(200, true)));
     assert_eq!(
-        follower.choose(at(10_100), &order),
+        selector.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
     );
-    let mut itself = RelaySelector::new(peer_addr(1));
-    itself.store_answered(at(10_000));
-    assert!(itself.record_store_lost());
-    assert!(!itself.record_store_lost());
+    let mut relay = RelaySelector::new(peer_addr(1));
+    relay.store_answered(at(10_000));
+    assert!(relay.record_store_lost());
+    assert!(!relay.record_store_lost());
     assert_eq!(
-        itself.choose(at(10_100), &order),
+        relay.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
     );
-    itself.store_answered(at(10_200));
-    assert_eq!(itself.choose(at(10_200), &order), UpdateSource::Store);
+    relay.store_answered(at(10_200));
+    assert_eq!(relay.choose(at(10_200), &order), UpdateSource::Store);
 }
 
-/// Guards against followers that go from guide to guide while the store is away for all.
+/// Guards against changing from relay to relay while the store is unavailable to all.
 #[test]
 fn one_guide_looks_for_a_store_that_is_away_for_all() {
     let records: Vec<MemberRecord> = (1..6).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
-    let mut relay_selector = RelaySelector::new(peer_addr(5));
-    relay_selector.store_answered(at(10_000));
-    assert!(!relay_selector.record_reachability(at(10_100), peer_addr(1), contact(200, true)));
-    assert!(relay_selector.record_reachability(at(10_200), peer_addr(2), contact(200, true)));
+    let mut selector = RelaySelector::new(peer_addr(5));
+    selector.store_answered(at(10_000));
+    assert!(!selector.record_reachability(at(10_100), peer_addr(1), contact(200, true)));
+    assert!(selector.record_reachability(at(10_200), peer_addr(2), contact(200, true)));
     assert_eq!(
-        relay_selector.choose(at(10_300), &order),
+        selector.choose(at(10_300), &order),
         UpdateSource::Node(peer_addr(3))
     );
-    relay_selector.record_store_lost();
+    selector.record_store_lost();
     assert_eq!(
-        relay_selector.choose(at(10_300), &order),
+        selector.choose(at(10_300), &order),
         UpdateSource::Node(peer_addr(1))
     );
 }
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -1,4 +1,4 @@
-//! What an outage of the store costs a fleet in calls.
+//! Number of store calls that a fleet makes during an outage of the store.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 use crate::support::{at, peer_addr, record};
 
 const STEP: Duration = Duration::from_millis(20);
-const RENEWAL: Duration = Duration::from_secs(2);
-const OUTAGE: Duration = Duration::from_secs(8);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
+const OUTAGE_TIME: Duration = Duration::from_secs(8);
 
-/// One node of a data centre while the store is away.
+/// One node of a data centre while the store is unavailable.
 struct Node {
     relay_selector: RelaySelector,
     access: StoreAccess,
     renewal_at: Duration,
-    /// When its pause began, and how much of it is drawn.
+    /// When the pause before the next probe began, and its jitter.
     pause: (Duration, f64),
     calls: u32,
 }
@@ -27,12 +27,12 @@
 impl Node {
     fn new(number: u8, rng: &mut impl Rng) -> Self {
         let mut relay_selector = RelaySelector::new(peer_addr(number));
-        let seen = RENEWAL.mul_f64(rng.random());
-        relay_selector.store_answered(at(10_000).saturating_sub(seen));
+        let answer_age = RENEWAL_INTERVAL.mul_f64(rng.random());
+        relay_selector.store_answered(at(10_000).saturating_sub(answer_age));
         Self {
             relay_selector,
             access: StoreAccess::default(),
-            renewal_at: at(10_000) + RENEWAL.saturating_sub(seen),
+            renewal_at: at(10_000) + RENEWAL_INTERVAL.saturating_sub(answer_age),
             pause: (Duration::ZERO, 0.0),
             calls: 0,
         }
@@ -51,43 +51,43 @@
             }
             return;
         }
-        let (since, share) = self.pause;
-        if now >= since + self.access.pause(duty, share) {
+        let (since, jitter) = self.pause;
+        if now >= since + self.access.pause(duty, jitter) {
             self.fail(now, rng);
             self.relay_selector.record_store_lost();
         }
     }
 }
 
-/// Plays an outage for one data centre, and returns the calls of all its nodes.
+/// Simulates an outage, and returns the calls of all nodes of a data centre.
 fn calls_of_outage(nodes: u8) -> u32 {
     let mut rng = StdRng::seed_from_u64(7);
     let records: Vec<MemberRecord> = (0..nodes).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut fleet: Vec<Node> = (0..nodes).map(|own| Node::new(own, &mut rng)).collect();
     let mut now = at(10_000);
-    while now < at(10_000) + OUTAGE {
+    while now < at(10_000) + OUTAGE_TIME {
         for own in 0..fleet.len() {
-            let choice = fleet[own].relay_selector.choose(now, &order);
-            if let UpdateSource::Node(peer_addr) = choice {
-                let relay_selector = order
+            let source = fleet[own].relay_selector.choose(now, &order);
+            if let UpdateSource::Node(peer_addr) = source {
+                let position = order
                     .iter()
                     .position(|record| record.peer_addr == peer_addr);
                 let relay_selector =
-                    &mut fleet[relay_selector.expect("it is one of them")].relay_selector;
+                    &mut fleet[position.expect("the relay is a member")].relay_selector;
                 relay_selector.record_update_request(now);
                 let contact = StoreReachability {
                     age: relay_selector.store_age(now),
                     lost: relay_selector.has_lost_store(),
                 };
-                let doubted = fleet[own]
+                let probe_needed = fleet[own]
                     .relay_selector
                     .record_reachability(now, peer_addr, contact);
-                if doubted && fleet[own].access.recheck() {
+                if probe_needed && fleet[own].access.recheck() {
                     fleet[own].pause = (now, rng.random());
                 }
             }
-            let own_duty = choice == UpdateSource::Store
+            let own_duty = source == UpdateSource::Store
                 || fleet[own].relay_selector.has_recent_update_request(now);
             let duty = if own_duty {
                 StoreProbeDuty::Own
@@ -101,7 +101,7 @@
     fleet.iter().map(|node| node.calls).sum()
 }
 
-/// Guards against an outage in which every node looks for the store by itself.
+/// Guards against an outage in which every node probes the store by itself.
 #[test]
 fn an_outage_costs_each_node_a_few_calls() {
     for nodes in [30, 240] {
