--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -52,8 +52,8 @@
 
 /// Time after the stop signal in which callers are still served.
 ///
-/// Callers' readiness checks run every second, and two failed ones in a row take this node
-/// out of service.
+/// Readiness is checked every second, and two failed checks in a row take this node out of
+/// service.
 pub const CALLER_DRAIN_TIME: Duration = Duration::from_millis(2_600);
 
 /// State that all parts of a node share.
--- a/crates/node/src/node_core/request_outcomes.rs
+++ b/crates/node/src/node_core/request_outcomes.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Records a request that this node answered itself, after `tries` failed tries.
+    /// Records a request that this node answered itself, after `tries` tries.
     pub fn record_failed(
         &self,
         request: &OutboundRequest,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Records that a caller closed its request before the reply.
+    /// Records that a caller closed its request before the response.
     pub fn record_caller_left(&self, request: &OutboundRequest, tries: usize) {
         self.metrics.try_failed("caller-left");
         if let Some(log) = self.log.for_request(self.clock.now(), "caller left") {
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -61,7 +61,7 @@
     /// Starts a probe of the store because several relays have lost it.
     pub fn recheck_store(&self) {
         if self.store_access.borrow_mut().recheck() {
-            info!(self.log.logger(), "store is probed"; "cause" => "other nodes lost it");
+            info!(self.log.logger(), "rechecking the store"; "cause" => "other nodes lost it");
             self.store_lost.notify_one();
         }
     }
@@ -157,11 +157,11 @@
     ///
     /// It does so if it has no relay or is itself the relay of another node.
     pub fn watches_store(&self) -> bool {
-        let has_followers = self
+        let is_relay = self
             .relay_selector
             .borrow()
             .has_recent_update_request(self.clock.now());
-        self.knows_local_members() && (has_followers || self.update_source() == UpdateSource::Store)
+        self.knows_local_members() && (is_relay || self.update_source() == UpdateSource::Store)
     }
 
     /// Returns which node probes a store that this node has lost.
