--- a/crates/node/src/crash/crash_news.rs
+++ b/crates/node/src/crash/crash_news.rs
@@ -14,7 +14,7 @@
 use crate::{
     node_core::NodeCore,
     store::{MetaStore, Revision, StoreError, StoreWrite},
-    transport::NodeCall,
+    transport::PeerCall,
 };
 
 /// Time for which a crash stands in the store. Every node reads it within a second or two
@@ -73,7 +73,7 @@
     let mut calls = JoinSet::new();
     for peer_addr in peers {
         let core = Rc::clone(core);
-        let call = NodeCall {
+        let call = PeerCall {
             method: Method::POST,
             path: CRASH_PATH,
             body: body.clone(),
@@ -132,7 +132,7 @@
     let value = serde_json::to_vec(rows).map_err(|error| StoreError::Unexpected {
         reason: error.to_string(),
     })?;
-    core.metrics.store_call("tell-crash");
+    core.metrics.record_store_call("tell-crash");
     let grant = store.grant(CRASH_LEASE).await?;
     let key = format!("{CRASH_PREFIX}{}-{:x}", first.start, first.fingerprint);
     let write = StoreWrite::leased(&key, &value, Revision(0), grant.lease);
--- a/crates/node/src/delegation/delegated_call_queue.rs
+++ b/crates/node/src/delegation/delegated_call_queue.rs
@@ -62,7 +62,7 @@
     if !core.store_access.borrow().is_open() {
         return DelegatedOutcome::Failed;
     }
-    core.metrics.store_call("errand");
+    core.metrics.record_store_call("errand");
     match call.run(store).await {
         Ok(outcome) => {
             core.store_answered();
--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -11,7 +11,7 @@
 use crate::{
     node_core::NodeCore,
     store::{LeaseGrant, LeaseId, MetaStore, Revision, StoreError, StoreWrite},
-    transport::{CallError, NodeCall},
+    transport::{PeerCall, PeerCallError},
 };
 
 /// Longest time for a delegated call: the store's call takes one at most.
@@ -26,7 +26,7 @@
     #[snafu(display("{source}"), context(false))]
     Call {
         /// What was met.
-        source: CallError,
+        source: PeerCallError,
     },
     /// The delegated call or its outcome can't be written as text, or read.
     #[snafu(display("{source}"), context(false))]
@@ -68,7 +68,7 @@
     /// When the store can't be reached or refuses.
     pub async fn grant(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
         if self.is_own() {
-            self.core.metrics.store_call("grant");
+            self.core.metrics.record_store_call("grant");
             let grant = self.store.grant(ttl).await;
             return self.answered(grant);
         }
@@ -92,7 +92,7 @@
     /// As [`MetaStore::renew`].
     pub async fn renew(&self, lease: LeaseId) -> Result<(), StoreError> {
         if self.is_own() {
-            self.core.metrics.store_call("renew");
+            self.core.metrics.record_store_call("renew");
             let renewed = self.store.renew(lease).await;
             return self.answered(renewed);
         }
@@ -117,7 +117,7 @@
         call: &'static str,
     ) -> Result<Revision, StoreError> {
         if self.is_own() {
-            self.core.metrics.store_call(call);
+            self.core.metrics.record_store_call(call);
             let written = self.store.commit(&[write]).await;
             return self.answered(written);
         }
@@ -183,7 +183,7 @@
         peer_addr: SocketAddr,
         delegated_call: &DelegatedCall,
     ) -> Result<DelegatedOutcome, DelegationError> {
-        let call = NodeCall {
+        let call = PeerCall {
             method: Method::POST,
             path: DELEGATED_CALL_PATH,
             body: serde_json::to_vec(delegated_call)?.into(),
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -58,7 +58,7 @@
     store: &impl MetaStore,
     source: ConfigSource,
 ) -> Result<Revision, StoreError> {
-    core.metrics.store_call("read-config");
+    core.metrics.record_store_call("read-config");
     let read = store
         .read(source.key, core.first_read_consistency())
         .await?;
@@ -75,7 +75,7 @@
     source: ConfigSource,
     after: Revision,
 ) -> Result<Revision, StoreError> {
-    core.metrics.store_call("watch-config");
+    core.metrics.record_store_call("watch-config");
     let batch = select! {
         batch = store.watch(source.key, after, WATCH_WAIT) => batch?,
         () = core.until_watch_ends() => return Ok(after),
--- a/crates/node/src/discovery/fleet_follower.rs
+++ b/crates/node/src/discovery/fleet_follower.rs
@@ -12,7 +12,7 @@
 use crate::{
     distribution::{StoreReachability, UpdateRequest, UpdateResponse, UpdateSource},
     node_core::NodeCore,
-    transport::{CallError, NodeCall},
+    transport::{PeerCall, PeerCallError},
 };
 
 /// Longest time that a question waits for news. Within it the relay tells how
@@ -38,7 +38,7 @@
     #[snafu(display("{source}"), context(false))]
     Call {
         /// What was met.
-        source: CallError,
+        source: PeerCallError,
     },
     /// The answer can't be read.
     #[snafu(display("{source}"), context(false))]
@@ -156,7 +156,7 @@
     peer_addr: SocketAddr,
     question: UpdateRequest,
 ) -> Result<UpdateResponse, FollowError> {
-    let call = NodeCall {
+    let call = PeerCall {
         method: Method::GET,
         path: format!("{UPDATE_PATH}?{question}"),
         body: Bytes::new(),
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -71,7 +71,7 @@
 /// Reads the announcements of this data centre, among which is the node that is to be
 /// asked for all else.
 async fn list_home(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
-    core.metrics.store_call("list-home");
+    core.metrics.record_store_call("list-home");
     let prefix = AnnouncementKey::prefix(&core.settings.data_centre);
     let list = store.list(&prefix, ReadConsistency::Linearizable).await?;
     let present: Vec<SocketAddr> = take_items(core, &list.items);
@@ -86,7 +86,7 @@
 }
 
 async fn list_members(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
-    core.metrics.store_call("list-members");
+    core.metrics.record_store_call("list-members");
     let list = store
         .list(NODE_PREFIX, core.first_read_consistency())
         .await?;
@@ -108,7 +108,7 @@
     store: &impl MetaStore,
     after: Revision,
 ) -> Result<(), StoreError> {
-    core.metrics.store_call("watch-members");
+    core.metrics.record_store_call("watch-members");
     let watched = select! {
         batch = store.watch(NODE_PREFIX, after, WATCH_WAIT) => batch,
         () = core.until_watch_ends() => return Ok(()),
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -18,7 +18,7 @@
     loop {
         core.store_lost.notified().await;
         while until_look_due(&core).await {
-            core.metrics.store_call("look");
+            core.metrics.record_store_call("look");
             let looked = store
                 .read(key.as_str(), ReadConsistency::Serializable)
                 .await;
--- a/crates/node/src/header_names.rs
+++ b/crates/node/src/header_names.rs
@@ -86,7 +86,7 @@
 
 /// Removes the headers that concern one connection only, those that
 /// `Connection` names among them.
-pub fn strip_connection(headers: &mut HeaderMap) {
+pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(http::header::CONNECTION)
         .iter()
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     crash::CrashRecord,
-    header_names::{header_text, set_header, strip_connection, strip_peer_headers},
+    header_names::{header_text, set_header, strip_connection_headers, strip_peer_headers},
     member::EndpointStart,
     response_body::{ResponseBody, is_short},
     transport::{ExchangeError, PooledSender},
@@ -122,7 +122,7 @@
     sender: PooledSender,
 ) -> Result<Response<ResponseBody>, InboundError> {
     let (mut head, body) = response.into_parts();
-    strip_connection(&mut head.headers);
+    strip_connection_headers(&mut head.headers);
     strip_peer_headers(&mut head.headers);
     slot.hold(sender);
     if !is_short(&body) {
--- a/crates/node/src/inbound/endpoint_health.rs
+++ b/crates/node/src/inbound/endpoint_health.rs
@@ -51,7 +51,7 @@
                 .map(ToOwned::to_owned),
         };
         if response.into_body().collect().await.is_ok() {
-            endpoints.give_back(sender);
+            endpoints.put_back(sender);
         }
         Ok(answer)
     }
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -135,8 +135,8 @@
         crashes: Rc<RefCell<CrashHistory>>,
     ) -> Self {
         let endpoints = ConnectionPool::new(PoolSettings {
-            connect_time: CONNECT_TIME,
-            idle_time: IDLE_REPEATABLE,
+            connect_timeout: CONNECT_TIME,
+            idle_timeout: IDLE_REPEATABLE,
         });
         let inner = InboundState {
             endpoints,
@@ -220,7 +220,7 @@
     pub fn forget_connections(&self) {
         // Breaks of the start that has ended say nothing of the next.
         self.breaker.borrow_mut().answered();
-        self.inner.endpoints.forget(self.settings.endpoint);
+        self.inner.endpoints.close_idle(self.settings.endpoint);
     }
 
     /// Closes connections that were idle for too long.
--- a/crates/node/src/inbound/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -48,7 +48,7 @@
     /// Gives slot and connection back after a whole answer.
     pub fn complete(mut self) {
         if let Some(sender) = self.sender.take() {
-            self.inner.endpoints.give_back(sender);
+            self.inner.endpoints.put_back(sender);
         }
         self.made();
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -151,7 +151,7 @@
     let begun = Instant::now();
     info!(core.log.logger(), "stopping"; "open" => core.open_requests.get());
     core.begin_shutdown();
-    let latest = core.settings.stop_time.saturating_sub(STOP_MARGIN);
+    let latest = core.settings.shutdown_timeout.saturating_sub(STOP_MARGIN);
     while begun.elapsed() < latest {
         if begun.elapsed() >= CALLER_DRAIN_TIME && core.open_requests.get() == 0 {
             break;
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -149,8 +149,8 @@
             leaving_grace: settings.leaving_time.mul_f64(LEAVING_PART),
         };
         let peer_connections = ConnectionPool::new(PoolSettings {
-            connect_time: settings.peer_connect_timeout,
-            idle_time: settings.peer_idle_timeout,
+            connect_timeout: settings.peer_connect_timeout,
+            idle_timeout: settings.peer_idle_timeout,
         });
         let metrics = NodeMetrics::new(&settings)?;
         let notes = LinkReporter::new(log.clone(), metrics.link());
--- a/crates/node/src/node_core/request_notes.rs
+++ b/crates/node/src/node_core/request_notes.rs
@@ -115,7 +115,7 @@
 
     /// Records that a caller left before its answer.
     pub fn record_caller_left(&self, request: &OutboundRequest, tries: usize) {
-        self.metrics.try_failed("caller-left");
+        self.metrics.record_failed_try("caller-left");
         if let Some(log) = self.log.for_request(self.clock.now(), "caller left") {
             info!(log, "caller left";
                 "request" => &*request.id,
@@ -157,7 +157,7 @@
         refusal: &InboundRefusal,
     ) {
         let reason: &'static str = refusal.reason.into();
-        self.metrics.try_failed(reason);
+        self.metrics.record_failed_try(reason);
         if let Some(log) = self.log.for_request(self.clock.now(), "door refused") {
             info!(log, "door refused";
                 "request" => &*request.id,
@@ -170,8 +170,8 @@
 
     /// Records that a node couldn't be reached.
     pub fn record_unreachable(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
-        self.metrics.try_failed("unreachable");
-        self.peer_connections.forget(at.peer_addr);
+        self.metrics.record_failed_try("unreachable");
+        self.peer_connections.close_idle(at.peer_addr);
         if let Some(log) = self.log.for_request(self.clock.now(), "unreachable") {
             warn!(log, "node unreachable";
                 "request" => &*request.id,
@@ -188,7 +188,7 @@
         at: &MemberRecord,
         silence_timeout: Duration,
     ) {
-        self.metrics.try_failed("silent");
+        self.metrics.record_failed_try("silent");
         if let Some(log) = self.log.for_request(self.clock.now(), "silent") {
             warn!(log, "member silent";
                 "request" => &*request.id,
@@ -200,7 +200,7 @@
 
     /// Records that a try broke after it was sent.
     pub fn record_broken_try(&self, request: &OutboundRequest, at: &MemberRecord, cause: &str) {
-        self.metrics.try_failed("broke");
+        self.metrics.record_failed_try("broke");
         if let Some(log) = self.log.for_request(self.clock.now(), "broke") {
             warn!(log, "try broke";
                 "request" => &*request.id,
--- a/crates/node/src/node_metrics.rs
+++ b/crates/node/src/node_metrics.rs
@@ -132,12 +132,12 @@
     }
 
     /// Counts a failed try.
-    pub fn try_failed(&self, reason: &'static str) {
+    pub fn record_failed_try(&self, reason: &'static str) {
         self.tries_failed.add(1, &[KeyValue::new("reason", reason)]);
     }
 
     /// Counts a call to the store.
-    pub fn store_call(&self, kind: &'static str) {
+    pub fn record_store_call(&self, kind: &'static str) {
         self.store_calls.add(1, &[KeyValue::new("kind", kind)]);
     }
 
--- a/crates/node/src/node_settings.rs
+++ b/crates/node/src/node_settings.rs
@@ -44,7 +44,7 @@
     /// may get new work.
     pub leaving_time: Duration,
     /// Time from the signal to stop to the kill.
-    pub stop_time: Duration,
+    pub shutdown_timeout: Duration,
     /// Megabits a second of the instance's link.
     pub link_mbps: f64,
     /// Bound on retries.
--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -37,7 +37,7 @@
     /// Ends the note after a whole answer.
     pub fn complete(mut self) {
         if let Some(sender) = self.sender.take() {
-            self.core.peer_connections.give_back(sender);
+            self.core.peer_connections.put_back(sender);
         }
     }
 }
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -16,7 +16,7 @@
 use crate::{
     config::{MeshConfig, RouteRule},
     crash::request_fingerprint,
-    header_names::{strip_connection, strip_peer_headers},
+    header_names::{strip_connection_headers, strip_peer_headers},
     node_core::NodeCore,
     response_body::ResponseBody,
     result_code::ResultCode,
@@ -92,7 +92,7 @@
             None => arrived + route.timeout,
         };
         let body = read_body(body, &config, ends_at).await?;
-        strip_connection(&mut head.headers);
+        strip_connection_headers(&mut head.headers);
         strip_peer_headers(&mut head.headers);
         head.headers.insert(
             &self.core.headers.caller_service,
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -15,7 +15,7 @@
     header_names::{
         PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
         PEER_REQUEST_HEADER, PEER_VERSION_HEADER, head_bytes, header_text, set_header,
-        strip_connection, strip_peer_headers,
+        strip_connection_headers, strip_peer_headers,
     },
     inbound::{InboundError, InboundRefusal, InboundRequest},
     link::LinkTraffic,
@@ -134,7 +134,7 @@
         let diagnosis = header_text(response.headers(), &PEER_DIAGNOSIS_HEADER);
         let diagnosis = diagnosis.and_then(|text| serde_json::from_str(text).ok());
         let (mut head, body) = response.into_parts();
-        strip_connection(&mut head.headers);
+        strip_connection_headers(&mut head.headers);
         strip_peer_headers(&mut head.headers);
         if !is_short(&body) {
             let body = ResponseBody::stream(body).with_in_flight_guard(guard);
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -15,7 +15,8 @@
     discovery::{UPDATE_PATH, UpdateHandler},
     header_names::{
         PEER_DIAGNOSIS_HEADER, PEER_FAILURE_HEADER, PEER_LOAD_HEADER, PEER_REFUSAL_HEADER,
-        PEER_REQUEST_HEADER, PEER_VERSION_HEADER, header_text, set_header, strip_connection,
+        PEER_REQUEST_HEADER, PEER_VERSION_HEADER, header_text, set_header,
+        strip_connection_headers,
     },
     inbound::{InboundError, InboundRefusal, InboundRequest, RefusalReason},
     node_core::NodeCore,
@@ -105,7 +106,7 @@
         let left = Duration::from_millis(left.unwrap_or(0));
         let instance = header_text(&head.headers, &names.expected_instance).map(ToOwned::to_owned);
         let mut headers = head.headers;
-        strip_connection(&mut headers);
+        strip_connection_headers(&mut headers);
         let fingerprint = request_fingerprint(&head.method, &head.uri, &headers, &body);
         InboundRequest {
             origin: RequestOrigin::Node,
--- a/crates/node/src/transport/connection_pool.rs
+++ b/crates/node/src/transport/connection_pool.rs
@@ -25,9 +25,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
     /// Longest time that a connection may take to open.
-    pub connect_time: Duration,
+    pub connect_timeout: Duration,
     /// Longest time for which an idle connection is used again.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A connection taken out of the pool.
@@ -62,7 +62,7 @@
     /// Sends a request and returns the head of its answer, and the connection
     /// to give back once the body has been read.
     ///
-    /// `idle_time` bounds the age of an idle connection that is used again; a
+    /// `idle_timeout` bounds the age of an idle connection that is used again; a
     /// connection found closed before anything was sent is replaced.
     ///
     /// # Errors
@@ -72,10 +72,10 @@
         &self,
         addr: SocketAddr,
         mut request: Request<Full<Bytes>>,
-        idle_time: Duration,
+        idle_timeout: Duration,
     ) -> Result<(Response<Incoming>, PooledSender), ExchangeError> {
         loop {
-            let (mut sender, fresh) = match self.take(addr, idle_time) {
+            let (mut sender, fresh) = match self.take(addr, idle_timeout) {
                 Some(sender) => (sender, false),
                 None => (self.connect(addr).await?, true),
             };
@@ -96,7 +96,7 @@
     }
 
     /// Keeps a connection for the next request.
-    pub fn give_back(&self, pooled: PooledSender) {
+    pub fn put_back(&self, pooled: PooledSender) {
         if pooled.sender.is_closed() {
             return;
         }
@@ -109,7 +109,7 @@
 
     /// Closes connections that were idle for too long.
     pub fn sweep(&self) {
-        let longest = self.settings.idle_time;
+        let longest = self.settings.idle_timeout;
         self.idle.borrow_mut().retain(|_, senders| {
             senders.retain(|idle| !idle.sender.is_closed() && idle.since.elapsed() < longest);
             !senders.is_empty()
@@ -117,14 +117,14 @@
     }
 
     /// Closes every idle connection to `addr`.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 
     /// Takes the connection used last: the others grow old and are closed, so
     /// no more stay open than are needed.
-    fn take(&self, addr: SocketAddr, idle_time: Duration) -> Option<SendRequest<Full<Bytes>>> {
-        let longest = idle_time.min(self.settings.idle_time);
+    fn take(&self, addr: SocketAddr, idle_timeout: Duration) -> Option<SendRequest<Full<Bytes>>> {
+        let longest = idle_timeout.min(self.settings.idle_timeout);
         let mut idle = self.idle.borrow_mut();
         let senders = idle.get_mut(&addr)?;
         senders.retain(|idle| !idle.sender.is_closed());
@@ -137,7 +137,7 @@
         let not_sent = |reason: String| ExchangeError::NotSent { reason };
         let socket = TcpSocket::new_v4().map_err(|error| not_sent(error.to_string()))?;
         tune_socket(&socket);
-        let stream = timeout(self.settings.connect_time, socket.connect(addr)).await;
+        let stream = timeout(self.settings.connect_timeout, socket.connect(addr)).await;
         let stream = stream.map_err(|elapsed| not_sent(elapsed.to_string()))?;
         let stream = stream.map_err(|error| {
             let reason = error.to_string();
--- a/crates/node/src/transport/mod.rs
+++ b/crates/node/src/transport/mod.rs
@@ -2,12 +2,12 @@
 
 mod connection_pool;
 mod exchange_error;
-mod node_call;
+mod peer_call;
 mod peer_request_header;
 mod socket_tuning;
 
 pub use connection_pool::{ConnectionPool, PoolSettings, PooledSender};
 pub use exchange_error::ExchangeError;
-pub use node_call::{CallError, NodeCall};
+pub use peer_call::{PeerCall, PeerCallError};
 pub use peer_request_header::PeerRequestHeader;
 pub use socket_tuning::tune_socket;
--- a/crates/node/src/transport/node_call.rs
+++ b/crates/node/src/transport/peer_call.rs
@@ -12,7 +12,7 @@
 
 /// A call of one node to another.
 #[derive(Debug, Clone)]
-pub struct NodeCall<P> {
+pub struct PeerCall<P> {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -25,7 +25,7 @@
 
 /// Failure of a call to another node.
 #[derive(Debug, Snafu)]
-pub enum CallError {
+pub enum PeerCallError {
     /// The node can't be reached, or the connection broke.
     #[snafu(display("{source}"), context(false))]
     Exchange {
@@ -46,12 +46,12 @@
     },
     /// No answer in time.
     #[snafu(display("no answer in time"))]
-    Late,
+    TimedOut,
 }
 
-impl<P: AsRef<str>> NodeCall<P> {
+impl<P: AsRef<str>> PeerCall<P> {
     /// Sends it to the node at `peer_addr` and returns the body of the answer;
-    /// `idle_time` bounds the age of a kept connection.
+    /// `idle_timeout` bounds the age of a kept connection.
     ///
     /// # Errors
     ///
@@ -60,30 +60,30 @@
         self,
         pool: &ConnectionPool,
         peer_addr: SocketAddr,
-        idle_time: Duration,
-    ) -> Result<Bytes, CallError> {
+        idle_timeout: Duration,
+    ) -> Result<Bytes, PeerCallError> {
         let time = self.time;
-        let answered = timeout(time, self.exchange(pool, peer_addr, idle_time)).await;
-        answered.unwrap_or(Err(CallError::Late))
+        let answered = timeout(time, self.exchange(pool, peer_addr, idle_timeout)).await;
+        answered.unwrap_or(Err(PeerCallError::TimedOut))
     }
 
     async fn exchange(
         self,
         pool: &ConnectionPool,
         peer_addr: SocketAddr,
-        idle_time: Duration,
-    ) -> Result<Bytes, CallError> {
+        idle_timeout: Duration,
+    ) -> Result<Bytes, PeerCallError> {
         let mut request = Request::new(Full::new(self.body));
         *request.method_mut() = self.method;
         *request.uri_mut() = Uri::try_from(self.path.as_ref()).unwrap_or_default();
-        let (response, sender) = pool.exchange(peer_addr, request, idle_time).await?;
+        let (response, sender) = pool.exchange(peer_addr, request, idle_timeout).await?;
         let status = response.status();
         let whole = response.into_body().collect().await?.to_bytes();
-        pool.give_back(sender);
+        pool.put_back(sender);
         if status.is_success() {
             Ok(whole)
         } else {
-            Err(CallError::Refused { status })
+            Err(PeerCallError::Refused { status })
         }
     }
 }
--- a/crates/node/tests/all/config.rs
+++ b/crates/node/tests/all/config.rs
@@ -228,7 +228,7 @@
         peer_connect_timeout: Duration::from_millis(250),
         peer_idle_timeout: Duration::from_secs(15),
         leaving_time: Duration::from_secs(2),
-        stop_time: Duration::from_secs(6),
+        shutdown_timeout: Duration::from_secs(6),
         link_mbps: 100.0,
         retries: RetryLimits {
             ratio: 0.2,
