--- a/crates/node/src/result_code.rs
+++ b/crates/node/src/result_code.rs
@@ -3,11 +3,12 @@
 use serde::{Deserialize, Serialize};
 use strum::{Display, FromRepr, IntoStaticStr, VariantArray};
 
-/// Numbered code that callers, operators and logs share.
+/// Result of a request or operation, as callers, operators and logs see it.
 ///
-/// The hundreds group them: 1xx requests refused or ended by a node, 2xx
-/// presets, 3xx the store, 4xx settings, 5xx operators' programs. Numbers are
-/// never given to another meaning; `docs/CODES.md` lists them.
+/// The hundreds digit groups the codes: 1xx for requests that a node rejected
+/// or ended, 2xx for presets, 3xx for the store, 4xx for settings, 5xx for
+/// operators' programs. A number is never reused for another meaning.
+/// `docs/CODES.md` lists all codes.
 ///
 /// # Examples
 ///
@@ -39,77 +40,77 @@
 
     /// The request isn't well-formed HTTP, or a header has a bad value.
     BadRequest = 101,
-    /// Body of the request over its limit.
+    /// The request body exceeds its size limit.
     BodyTooLarge = 103,
-    /// No route has the host and a prefix of the path.
+    /// No route matches the request's host and a prefix of its path.
     NoRoute = 104,
-    /// The request came too slowly.
+    /// The request wasn't received in time.
     RequestTimeout = 105,
 
     /// The node has no configuration yet.
     NotReady = 110,
-    /// The queue beside the backend server, or its link, is full.
+    /// The backend server's queue or its instance's network link is full.
     QueueFull = 111,
-    /// The deadline passed before it was sent to a backend server.
+    /// The deadline passed before the request was sent to a backend server.
     DeadlineBeforeRun = 113,
-    /// No live backend server gives the service.
+    /// No live backend server provides the service.
     NoBackend = 115,
-    /// The backend server is leaving, or the node stopping.
+    /// The backend server is leaving, or its node is stopping.
     Draining = 116,
-    /// The backend server refused to run it.
+    /// The backend server refused to run the request.
     BackendRefused = 117,
-    /// The request crashed backend servers before.
+    /// Earlier runs of the same request crashed backend servers.
     Poisoned = 118,
     /// The node beside the backend server can't be reached.
     NodeUnreachable = 119,
 
-    /// The deadline passed while a backend server may have been running it.
+    /// The deadline passed while a backend server may have been running the request.
     DeadlineWhileRunning = 130,
-    /// The connection to the backend server broke while it may have run.
+    /// The backend server's connection broke; the request may have run.
     BackendBroke = 131,
 
-    /// The preset document isn't JSON of the expected shape.
+    /// The preset document isn't JSON with the expected structure.
     PresetMalformed = 202,
-    /// The preset fails a check that nodes make.
+    /// The preset fails a check that nodes apply to configurations.
     PresetRefused = 204,
     /// No preset has this name.
     PresetUnknown = 208,
-    /// A record of the operators' client can't be read.
+    /// A record that the operators' client wrote to the store can't be read.
     RecordMalformed = 209,
 
-    /// The store can't be reached, is busy or timed out.
+    /// The store is unreachable or busy, or timed out.
     StoreUnavailable = 301,
-    /// The store answered with something unexpected.
+    /// The store returned an unexpected response.
     StoreBadAnswer = 302,
-    /// Another operator's write came first.
+    /// Another operator's write took effect first.
     LostRace = 303,
-    /// Whether the write took effect could not be found out.
+    /// The client couldn't determine whether the write took effect.
     WriteUnknown = 304,
 
     /// A setting is missing or malformed.
     BadSetting = 401,
 
-    /// A node's page can't be reached.
+    /// A node's status or metrics page can't be reached.
     NodePageUnreachable = 501,
-    /// A node's page isn't of the expected form.
+    /// A node's status or metrics page can't be parsed.
     NodePageMalformed = 502,
     /// A file can't be read or written.
     FileUnreadable = 503,
-    /// Some nodes couldn't be read, so a report covers a part of the fleet.
+    /// Some nodes couldn't be read, so the report covers only part of the fleet.
     PartialReport = 504,
-    /// No log line names the request.
+    /// No log line mentions the request.
     RequestUnknown = 505,
-    /// No log line names the request, and lines are missing.
+    /// No log line mentions the request, but log lines are missing.
     LogIncomplete = 506,
 }
 
 impl ResultCode {
-    /// Returns the number.
+    /// Returns the number of the code.
     pub const fn number(self) -> u16 {
         self as u16
     }
 
-    /// Returns the HTTP status that goes with the code towards callers.
+    /// Returns the HTTP status of a response to a caller with this code.
     pub const fn http_status(self) -> u16 {
         match self {
             Self::Ok => 200,
