--- a/crates/node/src/event_log.rs
+++ b/crates/node/src/event_log.rs
@@ -1,4 +1,4 @@
-//! The log: one JSON object a line, bounded, never blocking.
+//! The node's log: one JSON object per line, rate-limited and never blocking.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,54 +12,56 @@
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 use slog::{Drain, Logger, o};
 
-/// Lines that wait for the writing thread.
-const RING_LINES: usize = 512;
-/// Lines a second about single requests. Beyond it they are only counted: under overload
-/// a node refuses many for one and the same reason.
-const LINES_MAX: u32 = 200;
-/// Most bytes of one write. A pipe that several processes share takes as many in one
-/// piece; of longer writes the lines of others cut a part off.
-const WRITE_MAX: usize = 4_096;
-/// Longest wait for the log at the end of the process.
-const FLUSH_TIME: Duration = Duration::from_millis(500);
-/// Pause of the writing thread, in which lines gather to one write.
+/// Most lines that wait for the writer thread; further ones are dropped.
+const QUEUE_LINES_MAX: usize = 512;
+/// Most lines a second about single requests. Further ones are only counted: an overloaded
+/// node refuses many requests for the same reason.
+const REQUEST_LINES_PER_SECOND: u32 = 200;
+/// Most bytes of one write. Writes of up to this size to a pipe that several processes
+/// share are atomic; longer ones may be interleaved with lines of other processes.
+const WRITE_MAX_BYTES: usize = 4_096;
+/// Longest wait for each step of the flush at the end of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause of the writer thread before a write, in which further lines are batched.
 const WRITE_PAUSE: Duration = Duration::from_millis(100);
 
-/// What goes to the writing thread.
+/// Message to the writer thread.
 #[derive(Debug)]
 enum LogItem {
-    /// A line to write.
+    /// Line to write.
     Line(Vec<u8>),
-    /// Write what is there and say so.
+    /// Writes the lines queued so far, then notifies the sender.
     Flush(Sender<()>),
 }
 
-/// Waits for the writing thread at the end of the process.
+/// Handle that waits for the writer thread at the end of the process.
 #[derive(Debug)]
 pub struct LogFlush {
-    ring: Sender<LogItem>,
+    queue: Sender<LogItem>,
 }
 
 impl LogFlush {
-    /// Waits until the lines so far are written, half a second at most: a
-    /// reader that stalls must not keep the process from ending.
+    /// Waits until the lines queued so far are written.
+    ///
+    /// Queueing the request and waiting for the write take half a second each at
+    /// most: a stalled reader of the log must not keep the process from ending.
     pub fn wait(&self) {
         let (done, written) = bounded(1);
         if self
-            .ring
-            .send_timeout(LogItem::Flush(done), FLUSH_TIME)
+            .queue
+            .send_timeout(LogItem::Flush(done), FLUSH_TIMEOUT)
             .is_ok()
         {
-            let _late = written.recv_timeout(FLUSH_TIME);
+            let _late = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-/// Writer that cuts what is written into lines and hands them to a ring.
+/// Writer that splits its input into lines and queues them for the writer thread.
 #[derive(Debug)]
 struct LineWriter {
     line: Vec<u8>,
-    ring: Sender<LogItem>,
+    queue: Sender<LogItem>,
     dropped: u64,
 }
 
@@ -67,15 +69,19 @@
     fn send_line(&mut self) {
         let line = std::mem::take(&mut self.line);
         if self.dropped > 0 {
-            let note = format!(
+            let notice = format!(
                 "{{\"msg\":\"log lines dropped\",\"lines\":{}}}\n",
                 self.dropped
             );
-            if self.ring.try_send(LogItem::Line(note.into_bytes())).is_ok() {
+            if self
+                .queue
+                .try_send(LogItem::Line(notice.into_bytes()))
+                .is_ok()
+            {
                 self.dropped = 0;
             }
         }
-        if let Err(TrySendError::Full(_)) = self.ring.try_send(LogItem::Line(line)) {
+        if let Err(TrySendError::Full(_)) = self.queue.try_send(LogItem::Line(line)) {
             self.dropped += 1;
         }
     }
@@ -95,24 +101,27 @@
     }
 }
 
-/// Makes a logger whose lines a thread of its own writes to `output`.
+/// Creates a logger whose lines a separate thread writes to `output`.
 ///
-/// When the reader of the output stalls, a direct write would block the event loop with
-/// every request in it. The event loop only hands lines to a ring; when that is full,
-/// lines are dropped and counted, and the count is written as soon as there is room.
+/// When the reader of the output stalls, a direct write would block the event loop and
+/// every request on it. The event loop only puts lines into a bounded queue. When the
+/// queue is full, lines are dropped and counted, and the count is logged as soon as there
+/// is room.
 pub fn make_logger(instance: &str, output: impl Write + Send + 'static) -> (Logger, LogFlush) {
-    let (ring, lines) = bounded(RING_LINES);
-    let flush = LogFlush { ring: ring.clone() };
+    let (queue, lines) = bounded(QUEUE_LINES_MAX);
+    let flush = LogFlush {
+        queue: queue.clone(),
+    };
     let writer = LineWriter {
         line: Vec::new(),
-        ring,
+        queue,
         dropped: 0,
     };
-    let started = thread::Builder::new()
+    let spawned = thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || write_lines(&lines, output));
-    // Without the thread the ring is closed, and the node runs without a log.
-    drop(started);
+    // If the thread can't be started, the queue is closed and the node runs without a log.
+    drop(spawned);
     let json = slog_json::Json::default(writer);
     let context = o!("node" => instance.to_owned());
     (Logger::root(Mutex::new(json).fuse(), context), flush)
@@ -120,79 +129,82 @@
 
 fn write_lines(lines: &Receiver<LogItem>, mut output: impl Write) {
     while let Ok(first) = lines.recv() {
-        let mut batch = Vec::with_capacity(WRITE_MAX);
-        let mut asked = Vec::new();
+        let mut batch = Vec::with_capacity(WRITE_MAX_BYTES);
+        let mut waiters = Vec::new();
         if matches!(first, LogItem::Line(_)) {
             thread::sleep(WRITE_PAUSE);
         }
         for item in std::iter::once(first).chain(lines.try_iter()) {
             match item {
                 LogItem::Line(line) => {
-                    if batch.len() + line.len() > WRITE_MAX {
+                    if batch.len() + line.len() > WRITE_MAX_BYTES {
                         write_batch(&mut output, &mut batch);
                     }
                     batch.extend_from_slice(&line);
                 }
-                LogItem::Flush(done) => asked.push(done),
+                LogItem::Flush(done) => waiters.push(done),
             }
         }
         write_batch(&mut output, &mut batch);
-        for done in asked {
+        for done in waiters {
             let _gone = done.send(());
         }
     }
 }
 
-/// Writes whole lines in one piece.
+/// Writes the batched lines with a single write.
 fn write_batch(output: &mut impl Write, batch: &mut Vec<u8>) {
     if !batch.is_empty() {
-        // There is no better place to report that the log can't be written.
+        // A failed write can't be logged, so the error is ignored.
         drop(output.write_all(batch).and_then(|()| output.flush()));
         batch.clear();
     }
 }
 
-/// Bounds the lines about single requests.
+/// Log of a node, with a rate limit on lines about single requests.
 #[derive(Debug, Clone)]
 pub struct EventLog {
     logger: Logger,
-    meter: Rc<LineMeter>,
+    limiter: Rc<LineLimiter>,
 }
 
+/// Counts the lines of the current second, and by kind those withheld in it.
 #[derive(Debug, Default)]
-struct LineMeter {
+struct LineLimiter {
     second: Cell<u64>,
     lines: Cell<u32>,
     withheld: RefCell<Vec<(&'static str, u32)>>,
 }
 
 impl EventLog {
-    /// Makes the log of a node.
+    /// Creates the log of a node.
     pub fn new(logger: Logger) -> Self {
         Self {
             logger,
-            meter: Rc::default(),
+            limiter: Rc::default(),
         }
     }
 
-    /// Returns the logger for what isn't about a single request.
+    /// Returns the logger for events that aren't about a single request.
     pub const fn logger(&self) -> &Logger {
         &self.logger
     }
 
-    /// Returns the logger for a line about a request, or none when this
-    /// second has had its share; `kind` is then counted.
+    /// Returns the logger for a line about a single request.
+    ///
+    /// Returns none once this second's lines are used up, and counts the line under `kind`.
+    /// The first line of a later second logs these counts.
     pub fn for_request(&self, now: Duration, kind: &'static str) -> Option<&Logger> {
-        let meter = &self.meter;
-        if meter.second.replace(now.as_secs()) != now.as_secs() {
-            meter.lines.set(0);
+        let limiter = &self.limiter;
+        if limiter.second.replace(now.as_secs()) != now.as_secs() {
+            limiter.lines.set(0);
             self.write_withheld();
         }
-        if meter.lines.get() < LINES_MAX {
-            meter.lines.set(meter.lines.get() + 1);
+        if limiter.lines.get() < REQUEST_LINES_PER_SECOND {
+            limiter.lines.set(limiter.lines.get() + 1);
             return Some(&self.logger);
         }
-        let mut withheld = meter.withheld.borrow_mut();
+        let mut withheld = limiter.withheld.borrow_mut();
         match withheld.iter_mut().find(|(known, _)| *known == kind) {
             Some((_, count)) => *count += 1,
             None => withheld.push((kind, 1)),
@@ -201,7 +213,7 @@
     }
 
     fn write_withheld(&self) {
-        for (kind, count) in self.meter.withheld.borrow_mut().drain(..) {
+        for (kind, count) in self.limiter.withheld.borrow_mut().drain(..) {
             slog::info!(self.logger, "lines withheld"; "kind" => kind, "count" => count);
         }
     }
--- a/crates/node/src/header_names.rs
+++ b/crates/node/src/header_names.rs
@@ -1,45 +1,46 @@
-//! Names of the headers that callers and backend servers speak.
+//! Names of HTTP headers, and functions that read, set and remove headers.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 
-/// Names of the headers that callers and backend servers speak.
+/// Names of the platform's headers in requests and responses.
 ///
-/// They differ between platforms, so the node is told them at its start.
+/// They differ between platforms, so the platform adapter passes them to the
+/// node at startup.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Identifier of a caller's attempt, echoed in the answer.
+    /// Identifier of a caller's attempt, echoed in the response.
     pub request_id: HeaderName,
-    /// Milliseconds that the caller still waits.
+    /// Milliseconds until the caller stops waiting for the response.
     pub deadline_ms: HeaderName,
-    /// Proof that an answer is the backend server's own.
+    /// Signature that proves that a response comes from the backend server.
     pub signature: HeaderName,
-    /// Start of the backend server that alone may run the request.
+    /// The only start of the backend server that may run the request.
     pub expected_instance: HeaderName,
-    /// Start of the backend server that answered.
+    /// Start of the backend server that responded.
     pub instance: HeaderName,
-    /// Says that the backend server did not run the request.
+    /// States that the backend server did not run the request.
     pub not_executed: HeaderName,
-    /// Service of the machine on which the request began.
+    /// Service of the machine on which the request originated.
     pub caller_service: HeaderName,
 }
 
-/// What one node tells another of a request: see
+/// Routing data of a request that one node sends to another:
 /// [`PeerRequestHeader`](crate::transport::PeerRequestHeader).
 pub const PEER_REQUEST_HEADER: HeaderName = HeaderName::from_static("geranium-hop");
-/// Load of the backend server: see [`LoadReport`](crate::member::LoadReport).
+/// Load of the backend server: [`LoadReport`](crate::member::LoadReport).
 pub const PEER_LOAD_HEADER: HeaderName = HeaderName::from_static("geranium-load");
-/// The request certainly didn't run: see
+/// Reason why the request certainly didn't run:
 /// [`InboundRefusal`](crate::inbound::InboundRefusal).
 pub const PEER_REFUSAL_HEADER: HeaderName = HeaderName::from_static("geranium-refusal");
-/// The request may have run and has no usable answer.
+/// Reason why a request that may have run has no usable response.
 pub const PEER_FAILURE_HEADER: HeaderName = HeaderName::from_static("geranium-broke");
-/// What was found of a backend server whose connection broke: see
-/// [`BreakDiagnosis`](crate::crash::BreakDiagnosis), as JSON.
+/// Diagnosis of a broken connection to a backend server:
+/// [`BreakDiagnosis`](crate::crash::BreakDiagnosis) as JSON.
 pub const PEER_DIAGNOSIS_HEADER: HeaderName = HeaderName::from_static("geranium-finding");
-/// Version of the configuration that the answering node holds.
+/// Version of the configuration that the responding node holds.
 pub const PEER_VERSION_HEADER: HeaderName = HeaderName::from_static("geranium-version");
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which concern one connection only.
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     http::header::CONNECTION,
     http::header::TRANSFER_ENCODING,
@@ -50,8 +51,8 @@
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
 ];
-/// Headers by which nodes speak to one another.
-const HOP_HEADERS: [HeaderName; 6] = [
+/// Headers that only nodes send to each other.
+const PEER_HEADERS: [HeaderName; 6] = [
     PEER_REQUEST_HEADER,
     PEER_LOAD_HEADER,
     PEER_REFUSAL_HEADER,
@@ -60,11 +61,11 @@
     PEER_VERSION_HEADER,
 ];
 
-/// Bytes of a head beside the headers that are told: the first line, and what the
-/// library adds (date, length, connection).
-const HEAD_REST: u64 = 120;
+/// Estimated bytes of a head apart from the given headers: the first line, and the headers
+/// that the HTTP library adds (date, length, connection).
+const HEAD_FIXED_BYTES: u64 = 120;
 
-/// Returns about how many bytes a head takes.
+/// Returns the approximate size of a request's or response's head in bytes.
 ///
 /// # Examples
 ///
@@ -81,11 +82,10 @@
     let lines = headers
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len());
-    HEAD_REST + lines.sum::<usize>() as u64
+    HEAD_FIXED_BYTES + lines.sum::<usize>() as u64
 }
 
-/// Removes the headers that concern one connection only, those that
-/// `Connection` names among them.
+/// Removes the hop-by-hop headers, including those that `Connection` lists.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(http::header::CONNECTION)
@@ -102,20 +102,21 @@
     }
 }
 
-/// Removes the headers by which nodes speak to one another: what comes from
-/// outside must not be taken for a node's word.
+/// Removes the headers that only nodes send to each other.
+///
+/// Callers and backend servers must not be able to forge them.
 pub fn strip_peer_headers(headers: &mut HeaderMap) {
-    for name in &HOP_HEADERS {
+    for name in &PEER_HEADERS {
         headers.remove(name);
     }
 }
 
-/// Returns a header as text, if it is there and printable.
+/// Returns the value of a header, or none if it is absent or not printable.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Sets a header to a text; one that no header can hold becomes `unprintable`.
+/// Sets a header to `text`, or to `unprintable` if a header can't hold the text.
 pub fn set_header(headers: &mut HeaderMap, name: &HeaderName, text: &str) {
     let value = HeaderValue::from_str(text);
     headers.insert(
--- a/crates/node/src/http_listener.rs
+++ b/crates/node/src/http_listener.rs
@@ -1,4 +1,4 @@
-//! HTTP servers on the node's ports.
+//! HTTP servers on the node's listeners.
 
 use std::{convert::Infallible, net::SocketAddr, pin::pin, rc::Rc, time::Duration};
 
@@ -16,24 +16,24 @@
 
 use crate::{node_core::NodeCore, response_body::ResponseBody, transport::tune_socket};
 
-/// Connections that may wait to be accepted: a burst of a second's new callers
-/// at twenty times today's rate. Beyond it the kernel drops opening packets,
-/// which come again after a second.
+/// Most connections that may wait to be accepted: a second's new callers at twenty
+/// times today's rate. Beyond it the kernel drops SYN packets, which clients send
+/// again after a second.
 const BACKLOG: u32 = 1_024;
-/// Smallest read buffer that the HTTP library takes.
-const BUFFER_MIN: usize = 8_192;
-/// Time without a further connection after which a closing port is shut: what
-/// waits in the kernel is there at once.
-const LAST_ACCEPT: Duration = Duration::from_millis(3);
-/// Pause after a connection couldn't be accepted: descriptors have run out,
-/// and some are given back within milliseconds.
+/// Smallest read buffer that the HTTP library accepts.
+const BUFFER_MIN_BYTES: usize = 8_192;
+/// Time without a further connection after which a closing listener is shut.
+/// Connections that wait in the kernel are accepted at once.
+const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(3);
+/// Pause after a connection couldn't be accepted. File descriptors have run out
+/// then, and some are released within milliseconds.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Longest time that a new connection has for its first request while the node closes:
-/// two round trips to distant callers, and as much again for a busy machine.
-const FIRST_REQUEST: Duration = Duration::from_millis(100);
+/// Longest wait for a new connection's first request while the node closes: two round
+/// trips to distant callers, and as much again for a busy machine.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A port that can't be opened.
+/// Failure to listen on an address.
 #[derive(Debug, Snafu)]
 #[snafu(display("can't listen on {addr}: {source}"))]
 pub struct BindError {
@@ -41,20 +41,20 @@
     source: std::io::Error,
 }
 
-/// Limits of a port.
+/// Limits on the connections of a listener.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// Longest time that a connection may stay idle or a head may take.
-    pub idle_time: Duration,
-    /// Most bytes of a head.
-    pub head_bytes: usize,
+    /// Longest time that a connection may stay idle or a head may take to arrive.
+    pub idle_timeout: Duration,
+    /// Most bytes of a request's head.
+    pub max_head_bytes: usize,
 }
 
-/// Opens a port.
+/// Opens a listener on an address.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// Returns an error when the address can't be bound.
 pub fn bind_listener(addr: SocketAddr) -> Result<TcpListener, BindError> {
     let listen = || {
         let socket = TcpSocket::new_v4()?;
@@ -65,31 +65,32 @@
     listen().context(BindSnafu { addr })
 }
 
-/// Answers every request that comes to a port with what `answer` makes of it.
+/// Serves every request on a listener with `handler`, until the node closes.
 ///
-/// `limits` is asked for each connection, as configurations change.
+/// `limits` is called for each connection, as configurations change.
 ///
-/// When a process ends while a connection waits to be accepted, or a request is on its
-/// way on an idle one, the caller is reset though it could have been told to come back.
-/// So once the node closes, what waits is accepted, then the port is shut; idle
-/// connections that bring nothing are closed and the others end with their next answer. A
-/// connection that is too new to have brought its first request gets a moment for it. The
-/// port counts as a connection until then, so the process waits for it.
+/// If the process ended while a connection waits to be accepted, or while a request
+/// arrives on an idle one, the caller's connection would be reset, although the node
+/// could have told the caller to retry. So once the node closes, waiting connections are
+/// accepted, then the listener is shut. Idle connections without a new request are closed,
+/// and the others end with their next response. A connection that hasn't brought its first
+/// request yet gets 100 ms for it. The listener counts as a connection until then, so the
+/// process waits for it.
 pub async fn serve_listener<F>(
     core: Rc<NodeCore>,
     listener: TcpListener,
     limits: impl Fn() -> ConnectionLimits,
-    answer: impl Fn(Request<Incoming>) -> F + Clone + 'static,
+    handler: impl Fn(Request<Incoming>) -> F + Clone + 'static,
 ) where
     F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let mut closing = core.closing.subscribe();
-    let _port_mark = core.connection_guard();
+    let _listener_guard = core.connection_guard();
     let serve = |stream: TcpStream| {
         tune_socket(&stream);
         let closing = core.closing.subscribe();
         let guard = core.connection_guard();
-        let connection = serve_connection(stream, limits(), answer.clone(), closing);
+        let connection = serve_connection(stream, limits(), handler.clone(), closing);
         tokio::task::spawn_local(async move {
             connection.await;
             drop(guard);
@@ -100,7 +101,7 @@
             biased;
             accepted = listener.accept() => accepted,
             _ = closing.wait_for(|closing| *closing) => {
-                match timeout(LAST_ACCEPT, listener.accept()).await {
+                match timeout(LAST_ACCEPT_TIMEOUT, listener.accept()).await {
                     Ok(accepted) => accepted,
                     Err(_nobody_waits) => break,
                 }
@@ -114,13 +115,14 @@
             }
         }
     }
-    last_connections(listener).for_each(serve);
+    drain_backlog(listener).for_each(serve);
 }
 
-/// Yields what the kernel has taken for a port since it was last asked, and
-/// shuts the port: what comes between the two is reset, so nothing else is done
-/// there.
-fn last_connections(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
+/// Yields the connections that wait in the kernel's backlog, then shuts the listener.
+///
+/// Connections that arrive between the last accept and the shutdown are reset, so
+/// nothing else is done in between.
+fn drain_backlog(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
     let listener = listener.into_std().ok();
     let accept = move || {
         let (stream, _) = listener.as_ref()?.accept().ok()?;
@@ -133,39 +135,39 @@
 async fn serve_connection<F>(
     stream: TcpStream,
     limits: ConnectionLimits,
-    answer: impl Fn(Request<Incoming>) -> F,
+    handler: impl Fn(Request<Incoming>) -> F,
     mut closing: watch::Receiver<bool>,
 ) where
     F: Future<Output = Response<ResponseBody>>,
 {
-    let asked = Rc::new(Notify::new());
+    let request_seen = Rc::new(Notify::new());
     let service = service_fn({
-        let asked = Rc::clone(&asked);
+        let request_seen = Rc::clone(&request_seen);
         move |request| {
-            asked.notify_one();
-            let answer = answer(request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            request_seen.notify_one();
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         }
     });
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle_time)
-        .max_buf_size(limits.head_bytes.max(BUFFER_MIN));
-    // A caller that leaves or breaks off is no fault of the node's; what it
-    // means for a request shows where the request is dropped.
+        .header_read_timeout(limits.idle_timeout)
+        .max_buf_size(limits.max_head_bytes.max(BUFFER_MIN_BYTES));
+    // A connection that the caller closes or breaks is no fault of the node. Its
+    // effect on a request is handled where the request is dropped.
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     select! {
         biased;
         ended = &mut connection => return drop(ended),
         _ = closing.wait_for(|closing| *closing) => {}
     }
-    // An earlier request has left its notice, so only a connection that has
-    // brought none waits here.
+    // `Notify` stores the notification of an earlier request, so only a connection
+    // that has brought no request waits here.
     select! {
         biased;
         ended = &mut connection => return drop(ended),
-        _ = timeout(FIRST_REQUEST, asked.notified()) => {}
+        _ = timeout(FIRST_REQUEST_TIMEOUT, request_seen.notified()) => {}
     }
     connection.as_mut().graceful_shutdown();
     drop(connection.await);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,18 +1,20 @@
-//! A node: the process beside each backend server.
+//! A node: the process that runs beside each backend server.
 //!
-//! Callers on the node's machine send their requests to it. The
-//! [`outbound`] finds the route in the [`config`] in force, picks a backend
-//! server out of the [`member`] view and sends the request to the node beside
-//! that one, whose [`inbound`] admits it, runs it and answers. [`discovery`] keeps
-//! configuration and members up to date from the metadata [`store`], and
-//! announces the own backend server there; an [`delegation`] is such a call made for
-//! another node.
+//! Callers send their requests to the node on their machine. Its [`outbound`]
+//! proxy looks up the route in the active [`config`], picks a backend server
+//! from the [`member`] view and forwards the request to the node beside that
+//! server. The [`inbound`] proxy there admits the request, passes it to the
+//! backend server and returns the response. [`discovery`] keeps configuration
+//! and members up to date from the metadata [`store`], and announces the local
+//! backend server there. A node that can't reach the store has another node
+//! make the call ([`delegation`]).
 //!
-//! One thread runs it all, on one event loop, so that no decision needs a
-//! lock and no request is handed from thread to thread. A second thread only
-//! writes the log. What decides has no I/O and takes the time as an argument:
-//! [`member::FleetView`], [`inbound::AdmissionQueue`], [`inbound::EndpointTracker`],
-//! [`retry::RetryBudget`], [`config::MeshConfig`].
+//! One thread with one event loop serves all requests, so that no decision
+//! needs a lock and no request moves between threads. A second thread only
+//! writes the log. The types that decide do no I/O and take the time as an
+//! argument: [`member::FleetView`], [`inbound::AdmissionQueue`],
+//! [`inbound::EndpointTracker`], [`retry::RetryBudget`],
+//! [`config::MeshConfig`].
 
 pub mod admin;
 pub mod config;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node put together.
+//! Startup and shutdown of a node.
 
 use std::{rc::Rc, time::Duration};
 
@@ -30,26 +30,26 @@
     store::MetaStore,
 };
 
-/// Idle time of ports that only other nodes and the platform use; above that
-/// of the connections which nodes keep to one another.
-const INNER_IDLE: Duration = Duration::from_secs(60);
-/// Most bytes of a head on those ports.
-const INNER_HEAD: usize = 64 * 1024;
-/// Idle time towards callers before the first configuration.
-const FIRST_IDLE: Duration = Duration::from_secs(15);
-/// Time between sweeps of idle connections and vanished members.
-const SWEEP_TIME: Duration = Duration::from_millis(500);
-/// Time kept free before the kill.
+/// Idle timeout of listeners for other nodes, the platform and operators. It exceeds
+/// that of the connections which nodes keep to each other, so the client closes first.
+const INTERNAL_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Most bytes of a head on these listeners.
+const INTERNAL_HEAD_MAX_BYTES: usize = 64 * 1024;
+/// Idle timeout of callers' connections before the first configuration.
+const INITIAL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time between cleanups of idle connections and vanished members.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Part of the shutdown timeout that is kept free before the process is killed.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
-/// Longest time for connections to end once the ports are shut: each has an
-/// answer in hand or none. Callers that don't read hold theirs open.
-const CLOSE_MAX: Duration = Duration::from_millis(200);
-/// Time between looks at them.
-const CLOSE_LOOK: Duration = Duration::from_millis(5);
-/// Time between looks at what is still open while stopping.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Longest wait for connections to end once the listeners are closing. By then each
+/// sends its last response or is idle. Callers that don't read keep theirs open.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time between checks for open connections.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time between checks for open requests while the node stops.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The ports of a node, open.
+/// Open listeners of a node.
 #[derive(Debug)]
 pub struct NodeListeners {
     callers: TcpListener,
@@ -60,12 +60,14 @@
 }
 
 impl NodeListeners {
-    /// Opens them. A node whose metrics port is taken runs without metrics:
-    /// callers must not suffer for it.
+    /// Opens every listener of a node.
+    ///
+    /// If the metrics address can't be bound, the node runs without metrics, as
+    /// callers must not be affected.
     ///
     /// # Errors
     ///
-    /// When another address can't be bound.
+    /// Returns an error when another address can't be bound.
     pub fn open(addrs: &ListenAddrs, logger: &Logger) -> Result<Self, BindError> {
         let metrics = addrs.metrics.and_then(|addr| {
             let opened = bind_listener(addr);
@@ -83,16 +85,16 @@
     }
 }
 
-/// What the platform asks of a node, as its adapter answers it.
+/// Handler of the platform's requests to a node, implemented by the platform adapter.
 pub trait PlatformHandler: Clone + 'static {
-    /// Answers a readiness check.
+    /// Handles a readiness check.
     fn readiness(self, request: Request<Incoming>) -> impl Future<Output = Response<ResponseBody>>;
 
-    /// Answers a heartbeat or farewell of the backend server.
+    /// Handles a heartbeat or deregistration of the backend server.
     fn report(self, request: Request<Incoming>) -> impl Future<Output = Response<ResponseBody>>;
 }
 
-/// Starts every task of a node on the current thread's executor.
+/// Spawns every task of a node on the current thread's executor.
 pub fn start_node(
     core: &Rc<NodeCore>,
     listeners: NodeListeners,
@@ -106,7 +108,7 @@
         "service" => &*core.settings.service,
         "data_centre" => &*core.settings.data_centre);
     serve_callers(core, listeners.callers);
-    serve_inner(core, listeners.peers, {
+    serve_internal(core, listeners.peers, {
         let handler = PeerHandler::new(Rc::clone(core));
         let core = Rc::clone(core);
         move |request| {
@@ -114,19 +116,19 @@
                 handler.clone(),
                 core.open_request_guard(RequestOrigin::Node),
             );
-            async move { opened(handler.answer(request).await, open) }
+            async move { track_response(handler.answer(request).await, open) }
         }
     });
     let readiness = platform.clone();
-    serve_inner(core, listeners.readiness, move |request| {
+    serve_internal(core, listeners.readiness, move |request| {
         readiness.clone().readiness(request)
     });
-    serve_inner(core, listeners.reports, move |request| {
+    serve_internal(core, listeners.reports, move |request| {
         platform.clone().report(request)
     });
     if let Some(metrics) = listeners.metrics {
         let handler = AdminHandler::new(Rc::clone(core));
-        serve_inner(core, metrics, move |request| {
+        serve_internal(core, metrics, move |request| {
             std::future::ready(handler.answer(&request))
         });
     }
@@ -143,10 +145,10 @@
     spawn_local(sweep(Rc::clone(core)));
 }
 
-/// Stops a node: finishes what is open and returns when the process may end.
+/// Stops a node: finishes open requests and returns when the process may end.
 ///
-/// Callers are still served until they have noticed that the node isn't ready
-/// any more; other nodes get refusals, upon which they go elsewhere.
+/// Callers are served until readiness checks have taken the node out of use. Other
+/// nodes' requests are refused, and those nodes retry elsewhere.
 pub async fn stop_node(core: &Rc<NodeCore>) {
     let begun = Instant::now();
     info!(core.log.logger(), "stopping"; "open" => core.open_requests.get());
@@ -156,64 +158,67 @@
         if begun.elapsed() >= CALLER_DRAIN_TIME && core.open_requests.get() == 0 {
             break;
         }
-        sleep(STOP_LOOK).await;
+        sleep(STOP_POLL_INTERVAL).await;
     }
     core.closing.send_replace(true);
     let closed = Instant::now();
-    while closed.elapsed() < CLOSE_MAX && core.connections.get() > 0 {
-        sleep(CLOSE_LOOK).await;
+    while closed.elapsed() < CLOSE_TIMEOUT && core.connections.get() > 0 {
+        sleep(CLOSE_POLL_INTERVAL).await;
     }
     info!(core.log.logger(), "stopped";
         "open" => core.open_requests.get(),
         "took_ms" => begun.elapsed().as_millis() as u64);
 }
 
-/// Counts an answer as open, and on the link, until its end.
-fn opened(answer: Response<ResponseBody>, open: OpenRequestGuard) -> Response<ResponseBody> {
-    open.sent_head(answer.headers());
-    answer.map(|body| body.with_open_request_guard(open))
+/// Counts a response as open until its end, and its head as link traffic.
+fn track_response(
+    response: Response<ResponseBody>,
+    open: OpenRequestGuard,
+) -> Response<ResponseBody> {
+    open.sent_head(response.headers());
+    response.map(|body| body.with_open_request_guard(open))
 }
 
 fn serve_callers(core: &Rc<NodeCore>, listener: TcpListener) {
-    let flow = OutboundProxy::new(Rc::clone(core));
+    let proxy = OutboundProxy::new(Rc::clone(core));
     let (counted, limited) = (Rc::clone(core), Rc::clone(core));
-    let answer = move |request| {
-        let (flow, open) = (
-            flow.clone(),
+    let handler = move |request| {
+        let (proxy, open) = (
+            proxy.clone(),
             counted.open_request_guard(RequestOrigin::Caller),
         );
-        async move { opened(flow.answer(request).await, open) }
+        async move { track_response(proxy.answer(request).await, open) }
     };
     let limits = move || match &*limited.config.borrow() {
         Some(config) => ConnectionLimits {
-            idle_time: config.limits.idle_time,
-            head_bytes: config.limits.head_bytes,
+            idle_timeout: config.limits.idle_time,
+            max_head_bytes: config.limits.head_bytes,
         },
         None => ConnectionLimits {
-            idle_time: FIRST_IDLE,
-            head_bytes: INNER_HEAD,
+            idle_timeout: INITIAL_IDLE_TIMEOUT,
+            max_head_bytes: INTERNAL_HEAD_MAX_BYTES,
         },
     };
-    spawn_local(serve_listener(Rc::clone(core), listener, limits, answer));
+    spawn_local(serve_listener(Rc::clone(core), listener, limits, handler));
 }
 
-fn serve_inner<F>(
+fn serve_internal<F>(
     core: &Rc<NodeCore>,
     listener: TcpListener,
-    answer: impl Fn(Request<Incoming>) -> F + Clone + 'static,
+    handler: impl Fn(Request<Incoming>) -> F + Clone + 'static,
 ) where
     F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let limits = || ConnectionLimits {
-        idle_time: INNER_IDLE,
-        head_bytes: INNER_HEAD,
+        idle_timeout: INTERNAL_IDLE_TIMEOUT,
+        max_head_bytes: INTERNAL_HEAD_MAX_BYTES,
     };
-    spawn_local(serve_listener(Rc::clone(core), listener, limits, answer));
+    spawn_local(serve_listener(Rc::clone(core), listener, limits, handler));
 }
 
 async fn sweep(core: Rc<NodeCore>) {
     loop {
-        sleep(SWEEP_TIME).await;
+        sleep(SWEEP_INTERVAL).await;
         core.sweep(core.clock.now());
     }
 }
--- a/crates/node/src/node_clock.rs
+++ b/crates/node/src/node_clock.rs
@@ -4,40 +4,42 @@
 
 use tokio::time::Instant;
 
-/// Monotonic time since the node's start, as decisions take it.
+/// Monotonic clock that counts from the node's start.
 ///
-/// The time of day may jump by seconds. It decides only which starts of a
-/// backend server a farewell ends that doesn't say ([`NodeClock::unix_ms`]).
+/// Decisions take their time from it, as the wall clock may jump by seconds. The wall
+/// clock ([`NodeClock::unix_ms`]) decides only one thing: which starts of a backend server
+/// a deregistration ends when it doesn't give the start's time.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeClock {
     start: Instant,
 }
 
 impl NodeClock {
-    /// Starts the clock.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self {
             start: Instant::now(),
         }
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the clock's start.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Returns the time from the start to `instant`.
+    /// Returns the time from the clock's start to `instant`, or zero if it was earlier.
     pub fn at(&self, instant: Instant) -> Duration {
         instant.saturating_duration_since(self.start)
     }
 
-    /// Returns the moment `time` after the start.
+    /// Returns the instant that is `time` after the clock's start.
     pub fn instant(&self, time: Duration) -> Instant {
         self.start + time
     }
 
-    /// Returns the time of day in Unix milliseconds. It may jump; whatever
-    /// measures a time takes the steady clock.
+    /// Returns the wall-clock time in Unix milliseconds.
+    ///
+    /// It may jump, so durations are taken from the monotonic clock.
     pub fn unix_ms() -> u64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         now.map_or(0, |now| now.as_millis() as u64)
--- a/crates/node/src/node_metrics.rs
+++ b/crates/node/src/node_metrics.rs
@@ -21,40 +21,40 @@
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 4.0,
 ];
 
-/// What a request's end says of its service.
+/// Outcome of a request, as objectives of its service count it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RequestResult {
-    /// A good answer within the route's target time.
+    /// The response was good and within the route's target latency.
     Good,
-    /// A good answer after it.
+    /// The response was good and later than the route's target latency.
     Slow,
-    /// No good answer.
+    /// The request got no good response.
     Failed,
-    /// The request itself was at fault.
+    /// The request itself was at fault: its response has a 4xx status and no route.
     CallerFault,
 }
 
-/// A request that has its answer, for the counters.
+/// Answered request, as the counters take it.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestCount<'a> {
-    /// Service; empty when the request had no route.
+    /// Service of the route; empty when the request matched none.
     pub service: &'a str,
-    /// What may be repeated; none when the request had no route.
+    /// Kind of the route's requests; none when the request matched no route.
     pub kind: Option<RequestKind>,
-    /// Reason of an answer of this node's own.
+    /// Reason of a response that this node made itself; `Ok` otherwise.
     pub code: ResultCode,
-    /// What it says of the service.
+    /// Outcome for the service's objectives.
     pub result: RequestResult,
-    /// Time to the answer's head.
+    /// Time until the response's head.
     pub took: Duration,
 }
 
-/// A node's metrics.
+/// Metrics of a node.
 #[derive(Debug)]
 pub struct NodeMetrics {
     registry: Registry,
-    // Keeps the reader registered for as long as metrics are asked for.
+    // Dropping the provider would unregister its reader and end the metrics.
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
     latency: Histogram<f64>,
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// When the exporter refuses its registry.
+    /// Returns an error when the exporter can't be registered.
     pub fn new(settings: &NodeSettings) -> Result<Self, Box<dyn Error>> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -89,8 +89,8 @@
             .u64_gauge("geranium_node_info")
             .build()
             .record(1, &labels);
-        // On the same page as the counters, so that a reader can't take the
-        // counters of one process for those of the next.
+        // The start time is on the same page as the counters, so that a reader can't
+        // mistake the counters of one process for those of the next.
         meter
             .u64_gauge("geranium_node_started")
             .build()
@@ -112,7 +112,7 @@
         })
     }
 
-    /// Counts a request that got its final answer.
+    /// Counts a request that got its final response.
     pub fn request(&self, count: RequestCount<'_>) {
         let service = KeyValue::new("service", count.service.to_owned());
         let kind = KeyValue::new("kind", count.kind.map_or("none", Into::into));
@@ -131,33 +131,33 @@
         self.requests.add(1, &labels);
     }
 
-    /// Counts a failed try.
+    /// Counts a failed try by its reason.
     pub fn record_failed_try(&self, reason: &'static str) {
         self.tries_failed.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts a call to the store.
+    /// Counts a call to the store by its kind.
     pub fn record_store_call(&self, kind: &'static str) {
         self.store_calls.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Shows the version of the configuration in force.
+    /// Sets the version of the configuration in force.
     pub fn config_version(&self, version: u64) {
         self.config_version.record(version, &[]);
     }
 
-    /// Shows how many members are known.
+    /// Sets the number of known members.
     pub fn members(&self, count: usize) {
         self.members.record(count as u64, &[]);
     }
 
-    /// Shows a figure of the inbound proxy's queue.
+    /// Sets one of the figures of the inbound proxy's queue.
     pub fn queue(&self, figure: &'static str, value: u32) {
         let labels = [KeyValue::new("figure", figure)];
         self.queue.record(value.into(), &labels);
     }
 
-    /// Returns the counters of the link.
+    /// Returns the counters of bytes sent over the instance's link.
     pub fn link(&self) -> LinkCounters {
         self.link.clone()
     }
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     ///
-    /// When the encoder refuses a metric.
+    /// Returns an error when a metric can't be encoded.
     pub fn text(&self) -> prometheus::Result<Vec<u8>> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/node/src/node_settings.rs
+++ b/crates/node/src/node_settings.rs
@@ -1,36 +1,36 @@
-//! Checked settings of a node.
+//! Validated settings of a node.
 
 use std::{net::SocketAddr, time::Duration};
 
 use crate::retry::RetryLimits;
 
-/// Addresses on which a node listens.
+/// Addresses on which a node listens, by who connects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenAddrs {
-    /// Callers on this machine, the backend server among them.
+    /// Callers on this machine, including the local backend server.
     pub callers: SocketAddr,
     /// Other nodes.
     pub peers: SocketAddr,
     /// Readiness checks.
     pub readiness: SocketAddr,
-    /// Heartbeats of the backend server.
+    /// Heartbeats and deregistrations of the backend server.
     pub reports: SocketAddr,
-    /// Metrics.
+    /// Operators' programs, which read metrics, status and members; none to serve none.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Settings of a node.
+/// Validated settings of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeSettings {
-    /// Name of the instance, for the log.
+    /// Name of the instance, which labels log lines and metrics.
     pub instance: String,
-    /// Data centre.
+    /// Data centre of the instance.
     pub data_centre: String,
-    /// Service of the backend server beside this node.
+    /// Service of the local backend server.
     pub service: String,
-    /// Address of that backend server.
+    /// Address of the local backend server.
     pub endpoint: SocketAddr,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether the whole fleet starts for the first time, so nobody is announced yet.
     pub first_start: bool,
     /// Address at which other nodes reach this one.
     pub peer_addr: SocketAddr,
@@ -38,15 +38,15 @@
     pub listen: ListenAddrs,
     /// Longest time that a connection to another node may take to open.
     pub peer_connect_timeout: Duration,
-    /// Longest use of an idle connection to another node.
+    /// Longest idle time after which a connection to another node is reused.
     pub peer_idle_timeout: Duration,
-    /// Time after the acknowledgment of its leaving in which a backend server
-    /// may get new work.
+    /// Time in which a leaving backend server may still get new requests, counted from
+    /// the acknowledgment of its leaving.
     pub leaving_time: Duration,
-    /// Time from the signal to stop to the kill.
+    /// Time between the signal to stop and the kill of the process.
     pub shutdown_timeout: Duration,
-    /// Megabits a second of the instance's link.
+    /// Bandwidth of the instance's network link, in megabits per second.
     pub link_mbps: f64,
-    /// Bound on retries.
+    /// Limits on retries.
     pub retries: RetryLimits,
 }
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -1,4 +1,4 @@
-//! Requests of other nodes.
+//! Handler of other nodes' requests.
 
 use std::rc::Rc;
 
@@ -25,23 +25,23 @@
     transport::PeerRequestHeader,
 };
 
-/// Longest time that another node may take to send a request: bodies are
-/// there before it is sent.
-const BODY_TIME: Duration = Duration::from_secs(5);
+/// Longest time for the body of another node's request to arrive. The sender has
+/// received the whole body before it sends the request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers requests of other nodes.
+/// Handles the requests that other nodes send to this one.
 #[derive(Debug, Clone)]
 pub struct PeerHandler {
     core: Rc<NodeCore>,
 }
 
 impl PeerHandler {
-    /// Makes the port of a node.
+    /// Creates the handler of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
-    /// Answers a request.
+    /// Returns the response to a request, with this node's configuration version.
     pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let mut response = if incoming.uri().path() == UPDATE_PATH {
             let handler = UpdateHandler::new(Rc::clone(&self.core));
@@ -65,30 +65,33 @@
 
     async fn run(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let (head, body) = incoming.into_parts();
-        let note = header_text(&head.headers, &PEER_REQUEST_HEADER)
+        let peer_header = header_text(&head.headers, &PEER_REQUEST_HEADER)
             .and_then(|text| text.parse::<PeerRequestHeader>().ok());
-        let Some(note) = note else {
+        let Some(peer_header) = peer_header else {
             return empty_response(StatusCode::BAD_REQUEST);
         };
         if self.core.inbound.refuses_peers() {
-            return refused(&InboundRefusal {
+            return refusal_response(&InboundRefusal {
                 reason: RefusalReason::Stopping,
                 retry_after: Duration::ZERO,
             });
         }
-        self.core.record_peer_version(note.version, note.from);
+        self.core
+            .record_peer_version(peer_header.version, peer_header.from);
         let now = Instant::now();
-        let body = match tokio::time::timeout(BODY_TIME, body.collect()).await {
+        let body = match tokio::time::timeout(BODY_TIMEOUT, body.collect()).await {
             Ok(Ok(whole)) => whole.to_bytes(),
             _ => return empty_response(StatusCode::BAD_REQUEST),
         };
-        let request = self.inbound_request(head, body, &note, now);
-        let mut response = match self.core.inbound.run(request, note.idempotent).await {
+        let request = self.inbound_request(head, body, &peer_header, now);
+        let mut response = match self.core.inbound.run(request, peer_header.idempotent).await {
             Ok(response) => response,
-            Err(InboundError::Refused { refusal }) => refused(&refusal),
-            Err(InboundError::Broke { reason, diagnosis }) => broke(&reason, diagnosis.as_ref()),
+            Err(InboundError::Refused { refusal }) => refusal_response(&refusal),
+            Err(InboundError::Broke { reason, diagnosis }) => {
+                failure_response(&reason, diagnosis.as_ref())
+            }
         };
-        let load = self.core.inbound.load(note.route_hash);
+        let load = self.core.inbound.load(peer_header.route_hash);
         set_header(response.headers_mut(), &PEER_LOAD_HEADER, &load.to_string());
         response
     }
@@ -97,13 +100,13 @@
         &self,
         head: http::request::Parts,
         body: Bytes,
-        note: &PeerRequestHeader,
+        peer_header: &PeerRequestHeader,
         now: Instant,
     ) -> InboundRequest {
         let names = &self.core.headers;
-        let left =
+        let remaining =
             header_text(&head.headers, &names.deadline_ms).and_then(|text| text.parse().ok());
-        let left = Duration::from_millis(left.unwrap_or(0));
+        let remaining = Duration::from_millis(remaining.unwrap_or(0));
         let instance = header_text(&head.headers, &names.expected_instance).map(ToOwned::to_owned);
         let mut headers = head.headers;
         strip_connection_headers(&mut headers);
@@ -115,18 +118,18 @@
             uri: head.uri,
             headers,
             body,
-            rank: note.rank,
-            route_hash: note.route_hash,
-            nested: note.nested,
-            may_wait: note.may_wait,
-            useful_until: now + note.useful,
-            ends_at: now + left,
+            rank: peer_header.rank,
+            route_hash: peer_header.route_hash,
+            nested: peer_header.nested,
+            may_wait: peer_header.may_wait,
+            useful_until: now + peer_header.useful,
+            ends_at: now + remaining,
             instance,
         }
     }
 }
 
-fn refused(refusal: &InboundRefusal) -> Response<ResponseBody> {
+fn refusal_response(refusal: &InboundRefusal) -> Response<ResponseBody> {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     set_header(
         response.headers_mut(),
@@ -136,7 +139,7 @@
     response
 }
 
-fn broke(reason: &str, diagnosis: Option<&BreakDiagnosis>) -> Response<ResponseBody> {
+fn failure_response(reason: &str, diagnosis: Option<&BreakDiagnosis>) -> Response<ResponseBody> {
     let mut response = empty_response(StatusCode::BAD_GATEWAY);
     let reason = if reason.is_empty() { "unknown" } else { reason };
     set_header(response.headers_mut(), &PEER_FAILURE_HEADER, reason);
--- a/crates/node/src/request_origin.rs
+++ b/crates/node/src/request_origin.rs
@@ -1,8 +1,8 @@
-//! Origin of a request.
+//! Sender of a request.
 
-/// Origin of a request, to which its answer goes.
+/// Sender of a request, which gets its response.
 ///
-/// Answers to callers stay on this instance; only traffic to other nodes uses its link.
+/// Responses to callers stay on this instance; only traffic to other nodes uses the link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOrigin {
     /// A caller on this instance.
--- a/crates/node/src/response_body.rs
+++ b/crates/node/src/response_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers.
+//! Bodies of responses.
 
 use std::{
     pin::Pin,
@@ -19,15 +19,15 @@
     Whole(Option<Bytes>),
     Stream {
         incoming: Incoming,
-        /// What was read and has not had its turn on the link.
-        rest: Bytes,
+        /// Bytes that were read and have not had their turn on the link.
+        unsent: Bytes,
     },
 }
 
-/// Body of an answer, with what is held until its end.
+/// Body of a response, with the resources that are held until its end.
 ///
-/// A stream that breaks ends with an error, upon which the server closes the
-/// connection: a broken answer never looks complete.
+/// A stream that breaks ends with an error, and the server then closes the
+/// connection, so that a truncated response never looks complete.
 #[derive(Debug)]
 pub struct ResponseBody {
     source: BodySource,
@@ -37,19 +37,21 @@
     reservation: Option<LinkReservation>,
 }
 
-/// Longest answer that counts as short: it is read whole before its head is passed
-/// on, so that a break in it is known while another try is still possible. Longer
-/// ones cost memory, fill links, and are passed on as they come.
+/// Largest body of a short response, in bytes.
+///
+/// A short response is read whole before its head is passed on, so that a broken
+/// connection is noticed while another try is still possible. Longer responses would
+/// take memory and fill links, and are streamed.
 pub const SHORT_RESPONSE_MAX_BYTES: u64 = 32 * 1024;
 
-/// Whether a body is known to be short.
+/// Returns whether a body is known to be short.
 pub fn is_short(body: &impl Body) -> bool {
     body.size_hint()
         .exact()
         .is_some_and(|bytes| bytes <= SHORT_RESPONSE_MAX_BYTES)
 }
 
-/// Makes an answer that says nothing but its status.
+/// Creates a response with a status and an empty body.
 ///
 /// # Examples
 ///
@@ -57,8 +59,8 @@
 /// use geranium_node::response_body::empty_response;
 /// use http::StatusCode;
 ///
-/// let answer = empty_response(StatusCode::BAD_REQUEST);
-/// assert_eq!(answer.status(), StatusCode::BAD_REQUEST);
+/// let response = empty_response(StatusCode::BAD_REQUEST);
+/// assert_eq!(response.status(), StatusCode::BAD_REQUEST);
 /// ```
 pub fn empty_response(status: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::whole(Bytes::new()));
@@ -66,11 +68,11 @@
     response
 }
 
-/// Makes an answer of a value in JSON.
+/// Creates a response with a value as JSON.
 ///
 /// # Errors
 ///
-/// When the value can't be written so.
+/// Returns an error when the value can't be serialized.
 ///
 /// # Examples
 ///
@@ -78,8 +80,8 @@
 /// use geranium_node::response_body::json_response;
 /// use http::StatusCode;
 ///
-/// let answer = json_response(&[1, 2])?;
-/// assert_eq!(answer.status(), StatusCode::OK);
+/// let response = json_response(&[1, 2])?;
+/// assert_eq!(response.status(), StatusCode::OK);
 /// # Ok::<(), serde_json::Error>(())
 /// ```
 pub fn json_response(value: &impl Serialize) -> Result<Response<ResponseBody>, serde_json::Error> {
@@ -91,32 +93,32 @@
 }
 
 impl ResponseBody {
-    /// Makes a body that is there in full.
+    /// Creates a body from all of its bytes.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::from_source(BodySource::Whole(Some(bytes.into())))
     }
 
-    /// Makes a body that passes on what comes in.
+    /// Creates a body that forwards an incoming one.
     pub fn stream(incoming: Incoming) -> Self {
-        let rest = Bytes::new();
-        Self::from_source(BodySource::Stream { incoming, rest })
+        let unsent = Bytes::new();
+        Self::from_source(BodySource::Stream { incoming, unsent })
     }
 
-    /// Holds a slot of the backend server until the end.
+    /// Holds a slot of the backend server until the end of the body.
     #[must_use]
     pub fn with_slot(mut self, slot: RunSlot) -> Self {
         self.slot = Some(slot);
         self
     }
 
-    /// Holds the note of an open request until the end.
+    /// Holds the guard of a request in flight until the end of the body.
     #[must_use]
     pub fn with_in_flight_guard(mut self, guard: InFlightGuard) -> Self {
         self.guard = Some(guard);
         self
     }
 
-    /// Sends what is long as the link's promise says.
+    /// Sends a long body at the pace of its reservation on the link.
     #[must_use]
     pub fn with_reservation(mut self, reservation: Option<LinkReservation>) -> Self {
         self.reservation = reservation;
@@ -127,7 +129,7 @@
         self
     }
 
-    /// Counts the request as open until the end.
+    /// Counts the request as open until the end of the body.
     #[must_use]
     pub fn with_open_request_guard(mut self, open: OpenRequestGuard) -> Self {
         self.open = Some(open);
@@ -144,8 +146,8 @@
         }
     }
 
-    /// Counts bytes that go out.
-    fn count(&mut self, bytes: usize) {
+    /// Counts sent bytes, under the reservation if the body has one.
+    fn record_sent(&mut self, bytes: usize) {
         match (&mut self.reservation, &self.open) {
             (Some(reservation), _) => reservation.sent(bytes as u64),
             (None, Some(open)) => open.sent_short_body(bytes as u64),
@@ -153,31 +155,31 @@
         }
     }
 
-    /// Hands on what comes in, a piece at a time where the link's turns are
-    /// waited for.
+    /// Forwards the incoming body. With a reservation, it is forwarded in chunks that
+    /// wait for their turns on the link.
     fn poll_stream(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        let BodySource::Stream { incoming, rest } = &mut self.source else {
+        let BodySource::Stream { incoming, unsent } = &mut self.source else {
             return Poll::Ready(None);
         };
-        if rest.is_empty() {
+        if unsent.is_empty() {
             match ready!(Pin::new(incoming).poll_frame(cx)) {
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(data) => *rest = data,
+                    Ok(data) => *unsent = data,
                     Err(trailers) => return Poll::Ready(Some(Ok(trailers))),
                 },
                 ended => return Poll::Ready(ended),
             }
         }
-        let piece = match &mut self.reservation {
+        let chunk = match &mut self.reservation {
             Some(reservation) => ready!(reservation.poll_turn(cx)),
-            None => rest.len(),
+            None => unsent.len(),
         };
-        let piece = rest.split_to(piece.min(rest.len()));
-        self.count(piece.len());
-        Poll::Ready(Some(Ok(Frame::data(piece))))
+        let chunk = unsent.split_to(chunk.min(unsent.len()));
+        self.record_sent(chunk.len());
+        Poll::Ready(Some(Ok(Frame::data(chunk))))
     }
 
     fn finish(&mut self) {
@@ -205,12 +207,12 @@
         let this = self.get_mut();
         if let BodySource::Whole(bytes) = &mut this.source {
             let bytes = bytes.take();
-            this.count(bytes.as_ref().map_or(0, Bytes::len));
+            this.record_sent(bytes.as_ref().map_or(0, Bytes::len));
             this.finish();
             return Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))));
         }
         let polled = this.poll_stream(cx);
-        // The server stops asking once the promised length is reached, so the
+        // The server stops polling once the declared length is reached, so the
         // end has to be noticed with the last frame.
         let ended = match &polled {
             Poll::Ready(None) => true,
@@ -226,7 +228,9 @@
     fn is_end_stream(&self) -> bool {
         match &self.source {
             BodySource::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            BodySource::Stream { incoming, rest } => rest.is_empty() && incoming.is_end_stream(),
+            BodySource::Stream { incoming, unsent } => {
+                unsent.is_empty() && incoming.is_end_stream()
+            }
         }
     }
 
@@ -235,9 +239,9 @@
             BodySource::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
-            BodySource::Stream { incoming, rest } => {
+            BodySource::Stream { incoming, unsent } => {
                 let hint = incoming.size_hint();
-                let read = rest.len() as u64;
+                let read = unsent.len() as u64;
                 let mut whole = SizeHint::new();
                 whole.set_lower(hint.lower() + read);
                 if let Some(upper) = hint.upper() {
