--- a/crates/node/src/transport/connection_pool.rs
+++ b/crates/node/src/transport/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections, one request at a time on each.
+//! Pool of HTTP/1 connections, each with one request at a time.
 
 use std::{cell::RefCell, collections::HashMap, io::ErrorKind, net::SocketAddr, time::Duration};
 
@@ -17,20 +17,20 @@
 
 use super::{ExchangeError, tune_socket};
 
-/// Largest read buffer of a connection: a few windows of a long answer; more
+/// Largest read buffer of a connection: a few windows of a long response. More
 /// would only hold memory for callers that read slowly.
-const BUFFER_MAX: usize = 64 * 1024;
+const BUFFER_MAX_BYTES: usize = 64 * 1024;
 
-/// Settings of a pool.
+/// Timeouts of a connection pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
     /// Longest time that a connection may take to open.
     pub connect_timeout: Duration,
-    /// Longest time for which an idle connection is used again.
+    /// Longest idle time after which a connection is reused.
     pub idle_timeout: Duration,
 }
 
-/// A connection taken out of the pool.
+/// Connection that is in use, to be put back into the pool.
 #[derive(Debug)]
 pub struct PooledSender {
     addr: SocketAddr,
@@ -43,7 +43,7 @@
     since: Instant,
 }
 
-/// Kept connections to a few addresses.
+/// Pool of idle connections by address.
 #[derive(Debug)]
 pub struct ConnectionPool {
     settings: PoolSettings,
@@ -51,7 +51,7 @@
 }
 
 impl ConnectionPool {
-    /// Makes an empty pool.
+    /// Creates an empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         Self {
             settings,
@@ -59,15 +59,15 @@
         }
     }
 
-    /// Sends a request and returns the head of its answer, and the connection
-    /// to give back once the body has been read.
+    /// Sends a request and returns the head of its response, and the connection.
     ///
-    /// `idle_timeout` bounds the age of an idle connection that is used again; a
-    /// connection found closed before anything was sent is replaced.
+    /// The connection is to be put back once the body has been read. It is one that was
+    /// idle for less than `idle_timeout`, or a new one. An idle connection that turns out
+    /// to be closed before anything was sent is replaced.
     ///
     /// # Errors
     ///
-    /// Whether something may have been sent.
+    /// Returns an error that says whether some of the request may have been sent.
     pub async fn exchange(
         &self,
         addr: SocketAddr,
@@ -75,7 +75,7 @@
         idle_timeout: Duration,
     ) -> Result<(Response<Incoming>, PooledSender), ExchangeError> {
         loop {
-            let (mut sender, fresh) = match self.take(addr, idle_timeout) {
+            let (mut sender, is_new) = match self.take(addr, idle_timeout) {
                 Some(sender) => (sender, false),
                 None => (self.connect(addr).await?, true),
             };
@@ -86,7 +86,7 @@
                     let Some(unsent) = error.take_message() else {
                         return Err(ExchangeError::Broke { reason });
                     };
-                    if fresh {
+                    if is_new {
                         return Err(ExchangeError::NotSent { reason });
                     }
                     request = unsent;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Keeps a connection for the next request.
+    /// Puts a connection back for the next request, unless it is closed.
     pub fn put_back(&self, pooled: PooledSender) {
         if pooled.sender.is_closed() {
             return;
@@ -107,7 +107,7 @@
         });
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that have been idle for longer than the pool's timeout.
     pub fn sweep(&self) {
         let longest = self.settings.idle_timeout;
         self.idle.borrow_mut().retain(|_, senders| {
@@ -121,8 +121,10 @@
         self.idle.borrow_mut().remove(&addr);
     }
 
-    /// Takes the connection used last: the others grow old and are closed, so
-    /// no more stay open than are needed.
+    /// Takes the most recently used idle connection to `addr`.
+    ///
+    /// The others reach their idle timeout and are closed, so that no more connections
+    /// stay open than are needed.
     fn take(&self, addr: SocketAddr, idle_timeout: Duration) -> Option<SendRequest<Full<Bytes>>> {
         let longest = idle_timeout.min(self.settings.idle_timeout);
         let mut idle = self.idle.borrow_mut();
@@ -149,10 +151,10 @@
             }
         })?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(BUFFER_MAX);
+        builder.max_buf_size(BUFFER_MAX_BYTES);
         let handshake = builder.handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|error| not_sent(error.to_string()))?;
-        // How a connection ends shows in the request that it carries.
+        // An error of the connection is reported to the request that it carries.
         tokio::task::spawn_local(async move { drop(connection.await) });
         Ok(sender)
     }
--- a/crates/node/src/transport/exchange_error.rs
+++ b/crates/node/src/transport/exchange_error.rs
@@ -1,26 +1,26 @@
-//! Failures of a request sent over a connection.
+//! Failures of an HTTP exchange over a connection.
 
 use snafu::Snafu;
 
-/// Failure of a request sent over a connection.
+/// Failure of an HTTP exchange, by whether the request may have been sent.
 #[derive(Debug, Snafu)]
 pub enum ExchangeError {
-    /// Nothing of the request left this process.
+    /// No part of the request left this process.
     #[snafu(display("not sent: {reason}"))]
     NotSent {
-        /// What was met.
+        /// Text of the underlying error.
         reason: String,
     },
-    /// Nothing of the request left this process: the address takes no connections.
+    /// No part of the request left this process: the peer refused or reset the connection.
     #[snafu(display("not sent: {reason}"))]
     Refused {
-        /// What was met.
+        /// Text of the underlying error.
         reason: String,
     },
-    /// Some or all of the request may have arrived.
-    #[snafu(display("broke after sending: {reason}"))]
+    /// Some or all of the request may have arrived at the peer.
+    #[snafu(display("connection broke after sending: {reason}"))]
     Broke {
-        /// What was met.
+        /// Text of the underlying error.
         reason: String,
     },
 }
--- a/crates/node/src/transport/mod.rs
+++ b/crates/node/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Connections that a node opens, and what one node tells another.
+//! Connections that a node opens, and the calls and headers that nodes exchange.
 
 mod connection_pool;
 mod exchange_error;
--- a/crates/node/src/transport/peer_call.rs
+++ b/crates/node/src/transport/peer_call.rs
@@ -1,4 +1,4 @@
-//! A call of one node to another, apart from callers' requests.
+//! Calls between nodes that carry no caller's request.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,52 +10,53 @@
 
 use super::{ConnectionPool, ExchangeError};
 
-/// A call of one node to another.
+/// Call from one node to another that carries no caller's request.
 #[derive(Debug, Clone)]
 pub struct PeerCall<P> {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the call.
     pub path: P,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// Longest time until the answer is here.
+    /// Longest time until the whole response has arrived.
     pub time: Duration,
 }
 
-/// Failure of a call to another node.
+/// Failure of a call to another node, as the calling node sees it.
 #[derive(Debug, Snafu)]
 pub enum PeerCallError {
     /// The node can't be reached, or the connection broke.
     #[snafu(display("{source}"), context(false))]
     Exchange {
-        /// What was met.
+        /// Failure of the HTTP exchange.
         source: ExchangeError,
     },
-    /// The answer broke off.
+    /// The connection broke during the response body.
     #[snafu(display("{source}"), context(false))]
     Body {
-        /// What was met.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
-    /// The node refused.
+    /// The node responded with a status other than 2xx.
     #[snafu(display("status {status}"))]
     Refused {
-        /// Status.
+        /// HTTP status.
         status: StatusCode,
     },
-    /// No answer in time.
-    #[snafu(display("no answer in time"))]
+    /// The response didn't arrive in time.
+    #[snafu(display("no response in time"))]
     TimedOut,
 }
 
 impl<P: AsRef<str>> PeerCall<P> {
-    /// Sends it to the node at `peer_addr` and returns the body of the answer;
-    /// `idle_timeout` bounds the age of a kept connection.
+    /// Sends the call to the node at `peer_addr` and returns the response body.
+    ///
+    /// `idle_timeout` is the longest idle time after which a connection is reused.
     ///
     /// # Errors
     ///
-    /// When no good answer is here in time.
+    /// Returns an error when no response with a 2xx status arrives in time.
     pub async fn send(
         self,
         pool: &ConnectionPool,
@@ -63,8 +64,8 @@
         idle_timeout: Duration,
     ) -> Result<Bytes, PeerCallError> {
         let time = self.time;
-        let answered = timeout(time, self.exchange(pool, peer_addr, idle_timeout)).await;
-        answered.unwrap_or(Err(PeerCallError::TimedOut))
+        let result = timeout(time, self.exchange(pool, peer_addr, idle_timeout)).await;
+        result.unwrap_or(Err(PeerCallError::TimedOut))
     }
 
     async fn exchange(
--- a/crates/node/src/transport/peer_request_header.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -1,4 +1,4 @@
-//! What one node tells another of a request.
+//! Header with which a node forwards a request to another.
 
 use std::{
     net::{AddrParseError, SocketAddr},
@@ -11,43 +11,43 @@
 
 use crate::config::ConfigVersion;
 
-/// What one node tells another of a request.
+/// Routing data of a request that one node forwards to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerRequestHeader {
-    /// Rank of the route.
+    /// Priority rank of the route.
     pub rank: u8,
     /// Hash of the route.
     pub route_hash: u64,
-    /// Whether it belongs to a run that has begun.
+    /// Whether a request that already runs at a backend server made this one.
     pub nested: bool,
-    /// Whether it may run more than once without harm.
+    /// Whether the request may run more than once without harm.
     pub idempotent: bool,
-    /// Whether it may wait for a slot; it probes for a free one otherwise.
+    /// Whether the request may queue for a slot; if not, it is refused unless one is free.
     pub may_wait: bool,
-    /// Time left in which the answer is of full use.
+    /// Time left until the route's target latency has passed.
     pub useful: Duration,
-    /// Version of the configuration that the sender holds; 0 for none.
+    /// Version of the sender's configuration; 0 when it has none.
     pub version: ConfigVersion,
-    /// Address at which the sender takes requests of other nodes.
+    /// Address at which the sender accepts requests of other nodes.
     pub from: SocketAddr,
 }
 
-/// A note that can't be read.
+/// Failure to parse a [`PeerRequestHeader`].
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum PeerRequestHeaderError {
-    /// A figure is missing.
-    #[snafu(display("a figure is missing"))]
+    /// The header has too few fields.
+    #[snafu(display("a field is missing"))]
     Missing,
-    /// The address isn't one.
+    /// The sender's address is malformed.
     #[snafu(display("{source}"), context(false))]
     Address {
-        /// What the parser met.
+        /// Error of the parser.
         source: AddrParseError,
     },
-    /// A figure isn't a number.
+    /// A field isn't a number in its range.
     #[snafu(display("{source}"), context(false))]
-    Figure {
-        /// What the parser met.
+    Number {
+        /// Error of the parser.
         source: ParseIntError,
     },
 }
@@ -56,10 +56,10 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let useful_ms = self.useful.as_millis();
         let flags = [self.nested, self.idempotent, self.may_wait];
-        let [nested, repeats, waits] = flags.map(u8::from);
+        let [nested, idempotent, may_wait] = flags.map(u8::from);
         write!(
             f,
-            "{},{:x},{nested},{repeats},{waits},",
+            "{},{:x},{nested},{idempotent},{may_wait},",
             self.rank, self.route_hash
         )?;
         write!(f, "{useful_ms},{},{}", self.version, self.from)
@@ -69,21 +69,21 @@
 impl FromStr for PeerRequestHeader {
     type Err = PeerRequestHeaderError;
 
-    /// Reads what [`Display`](std::fmt::Display) wrote.
+    /// Parses the format that [`Display`](std::fmt::Display) writes.
     ///
     /// # Examples
     ///
     /// ```
     /// use geranium_node::transport::PeerRequestHeader;
     ///
-    /// let note: PeerRequestHeader = "2,ff,0,1,0,380,12,10.1.0.4:7600".parse()?;
-    /// assert_eq!((note.rank, note.route_hash, note.version.0), (2, 255, 12));
-    /// assert_eq!(note.to_string(), "2,ff,0,1,0,380,12,10.1.0.4:7600");
+    /// let header: PeerRequestHeader = "2,ff,0,1,0,380,12,10.1.0.4:7600".parse()?;
+    /// assert_eq!((header.rank, header.route_hash, header.version.0), (2, 255, 12));
+    /// assert_eq!(header.to_string(), "2,ff,0,1,0,380,12,10.1.0.4:7600");
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     fn from_str(text: &str) -> Result<Self, PeerRequestHeaderError> {
-        let mut figures = text.split(',');
-        let mut next = || figures.next().ok_or(PeerRequestHeaderError::Missing);
+        let mut fields = text.split(',');
+        let mut next = || fields.next().ok_or(PeerRequestHeaderError::Missing);
         let (rank, route_hash) = (next()?.parse()?, u64::from_str_radix(next()?, 16)?);
         let mut flag = || Ok::<_, PeerRequestHeaderError>(next()?.parse::<u8>()? != 0);
         Ok(Self {
