--- a/crates/node/src/store/meta_store.rs
+++ b/crates/node/src/store/meta_store.rs
@@ -1,4 +1,4 @@
-//! The seam to the metadata store.
+//! Trait of the metadata store.
 
 use std::time::Duration;
 
@@ -9,38 +9,37 @@
 
 /// Key-value store with compare-and-swap, leases and watches.
 ///
-/// Reads are linearizable unless [`ReadConsistency`] says otherwise. Each call ends within a time limit of the
-/// implementation's own, so that a silent store shows as
-/// [`StoreError::NoAnswer`].
+/// Each call ends within a time limit that the implementation sets, so that a
+/// store that doesn't respond shows as [`StoreError::NoAnswer`].
 pub trait MetaStore: 'static {
-    /// Reads one key.
+    /// Reads one key, which may be absent.
     ///
     /// # Errors
     ///
-    /// When the store can't be reached or refuses.
+    /// Returns an error when the store can't be reached or refuses the call.
     fn read(
         &self,
         key: &str,
-        age: ReadConsistency,
+        consistency: ReadConsistency,
     ) -> impl Future<Output = Result<StoreRead, StoreError>>;
 
     /// Reads every key under a prefix.
     ///
     /// # Errors
     ///
-    /// When the store can't be reached or refuses.
+    /// Returns an error when the store can't be reached or refuses the call.
     fn list(
         &self,
         prefix: &str,
-        age: ReadConsistency,
+        consistency: ReadConsistency,
     ) -> impl Future<Output = Result<StoreList, StoreError>>;
 
-    /// Waits for changes under a prefix after a revision, `wait` at most.
+    /// Waits up to `wait` for changes under a prefix after a revision.
     ///
     /// # Errors
     ///
-    /// [`StoreError::HistoryGone`] when a new list is needed; otherwise when
-    /// the store can't be reached or refuses.
+    /// Returns [`StoreError::HistoryGone`] when the prefix must be listed again, and
+    /// other errors when the store can't be reached or refuses the call.
     fn watch(
         &self,
         prefix: &str,
@@ -48,30 +47,30 @@
         wait: Duration,
     ) -> impl Future<Output = Result<WatchBatch, StoreError>>;
 
-    /// Makes changes together: all of them, or none when one of their keys
-    /// isn't at the revision that it names.
+    /// Applies all of the writes or none, and returns the revision of the store.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`], [`StoreError::NoLease`], or when the store
-    /// can't be reached or refuses.
+    /// Returns [`StoreError::Conflict`] when a key isn't at its expected revision,
+    /// [`StoreError::NoLease`] when a lease has ended, and other errors when the store
+    /// can't be reached or refuses the call.
     fn commit(
         &self,
         writes: &[StoreWrite<'_>],
     ) -> impl Future<Output = Result<Revision, StoreError>>;
 
-    /// Asks for a lease.
+    /// Requests a new lease that ends after `ttl` unless renewed.
     ///
     /// # Errors
     ///
-    /// When the store can't be reached or refuses.
+    /// Returns an error when the store can't be reached or refuses the call.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseGrant, StoreError>>;
 
-    /// Renews a lease.
+    /// Renews a lease for its time to live.
     ///
     /// # Errors
     ///
-    /// [`StoreError::NoLease`] when it has ended; otherwise when the store
-    /// can't be reached or refuses.
+    /// Returns [`StoreError::NoLease`] when the lease has ended, and other errors when
+    /// the store can't be reached or refuses the call.
     fn renew(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
 }
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -1,8 +1,8 @@
-//! What the node needs of the metadata store.
+//! Interface to the metadata store.
 //!
-//! [`MetaStore`] is the seam: the adapter implements it over the platform's
-//! protocol, tests over a map in memory. Nothing else of the product knows how
-//! the store is spoken to.
+//! The platform adapter implements [`MetaStore`] over the platform's protocol,
+//! and tests implement it over a map in memory. No other part of the product
+//! depends on the store's protocol.
 
 mod meta_store;
 mod read_consistency;
--- a/crates/node/src/store/read_consistency.rs
+++ b/crates/node/src/store/read_consistency.rs
@@ -1,12 +1,13 @@
-//! How old what is read may be.
+//! Consistency of reads.
 
-/// How old what is read may be.
+/// Consistency of a read from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadConsistency {
-    /// As it is now.
+    /// The read returns the latest state.
     Linearizable,
-    /// As it was some seconds ago, at a tenth of the price. The revision that
-    /// comes with it is the highest that was read: a watch from there misses
-    /// nothing, and may begin before the history that the store keeps.
+    /// The read may return a state some seconds old, at a tenth of the cost.
+    ///
+    /// Its revision is the highest among the items read. A watch from there misses no
+    /// change, but may begin before the history that the store keeps.
     Serializable,
 }
--- a/crates/node/src/store/store_era.rs
+++ b/crates/node/src/store/store_era.rs
@@ -1,21 +1,22 @@
-//! Eras of the store.
+//! Eras of the store, which count restores from older copies of its data.
 
 use std::cell::Cell;
 
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-/// Number of times that the store has come back from an older copy of its data.
+/// Number of times that the store was restored from an older copy of its data.
 ///
-/// What was written between the copy and the return is gone, and revisions and lease
-/// numbers are given out again: those of different eras can't be compared.
+/// Writes made after the copy are lost, and the store assigns their revisions and lease
+/// numbers again, so those of different eras can't be compared. 0 means that the store
+/// didn't report its era.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct StoreEra(pub u32);
 
 impl StoreEra {
-    /// Whether the store didn't tell its era.
+    /// Returns whether the store didn't report its era.
     pub const fn is_none(&self) -> bool {
         self.0 == 0
     }
@@ -27,21 +28,22 @@
     }
 }
 
-/// The latest era that this process has heard of.
+/// Latest era of the store that this process knows.
 #[derive(Debug, Default)]
 pub struct EraTracker {
     latest: Cell<StoreEra>,
-    risen: Notify,
+    advanced: Notify,
 }
 
 impl EraTracker {
-    /// Returns the latest era.
+    /// Returns the latest known era.
     pub fn latest(&self) -> StoreEra {
         self.latest.get()
     }
 
-    /// Takes in an era, from the store or another node. One that is over changes nothing:
-    /// answers may cross on the wire.
+    /// Records an era reported by the store or another node.
+    ///
+    /// An earlier era than the latest is ignored, as responses may arrive out of order.
     ///
     /// # Examples
     ///
@@ -56,18 +58,18 @@
     pub fn observe(&self, era: StoreEra) {
         if era > self.latest.get() {
             self.latest.set(era);
-            self.risen.notify_waiters();
+            self.advanced.notify_waiters();
         }
     }
 
-    /// Waits until an era after `known` has begun, and returns it.
+    /// Waits for an era later than `known`, and returns it.
     pub async fn after(&self, known: StoreEra) -> StoreEra {
         loop {
-            let risen = self.risen.notified();
+            let advanced = self.advanced.notified();
             if self.latest.get() > known {
                 return self.latest.get();
             }
-            risen.await;
+            advanced.await;
         }
     }
 }
--- a/crates/node/src/store/store_error.rs
+++ b/crates/node/src/store/store_error.rs
@@ -1,4 +1,4 @@
-//! Failures of the store.
+//! Failures of calls to the store.
 
 use snafu::Snafu;
 use strum::IntoStaticStr;
@@ -9,36 +9,36 @@
 #[derive(Debug, Snafu, Clone, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum StoreError {
-    /// The store refused the call for now; nothing was done.
+    /// The store refused the call for now and did nothing.
     #[snafu(display("the store is busy ({status})"))]
     Busy {
         /// HTTP status.
         status: u16,
     },
-    /// No answer; a write may have been done, or may be done later.
-    #[snafu(display("no answer from the store: {reason}"))]
+    /// No response arrived; a write may have taken effect, or may do so later.
+    #[snafu(display("no response from the store: {reason}"))]
     NoAnswer {
-        /// What was met.
+        /// Description of the failure.
         reason: String,
     },
-    /// The history asked for is gone: list again.
-    #[snafu(display("the store no longer has this history"))]
+    /// The store no longer has the requested history; list the prefix again.
+    #[snafu(display("the store no longer has the requested history"))]
     HistoryGone,
-    /// A key has another revision than expected.
+    /// A key isn't at the expected revision.
     #[snafu(display("the key {key} is at revision {current}"))]
     Conflict {
-        /// Key.
+        /// Key of the write.
         key: String,
-        /// Revision of the key now; 0 when it doesn't exist.
+        /// Current revision of the key; 0 when it doesn't exist.
         current: Revision,
     },
     /// The lease has ended.
     #[snafu(display("the lease has ended"))]
     NoLease,
-    /// The answer isn't of the expected shape.
-    #[snafu(display("unexpected answer of the store: {reason}"))]
+    /// The store returned an unexpected response.
+    #[snafu(display("unexpected response from the store: {reason}"))]
     Unexpected {
-        /// What was met.
+        /// Description of the failure.
         reason: String,
     },
 }
--- a/crates/node/src/store/store_item.rs
+++ b/crates/node/src/store/store_item.rs
@@ -1,4 +1,4 @@
-//! Items of the store.
+//! Revisions, leases and items of the store.
 
 use std::time::Duration;
 
@@ -6,21 +6,22 @@
 
 use super::StoreEra;
 
-/// Bits of a revision that hold the store's number; the era is in those above.
+/// Low bits of a revision, which hold the store's number; the higher ones hold the era.
 const NUMBER_BITS: u32 = 48;
-/// Greatest number of an era.
+/// Largest number that a revision can hold.
 const NUMBER_MAX: u64 = (1 << NUMBER_BITS) - 1;
 
-/// Revision of the store or of a key, with the era in which it was given out.
+/// Revision of the store or of a key, with the era in which it was assigned.
 ///
-/// Any revision of a later era is greater than any of an earlier one, also where nodes tell
-/// one another of it as a number. 0 stands for none.
+/// Any revision of a later era is greater than any of an earlier one, also as the plain
+/// number that nodes exchange. 0 stands for none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Makes a revision of the number that the store gave out in an era. Number 0 is none in
-    /// every era.
+    /// Creates a revision from the number that the store assigned in an era.
+    ///
+    /// Number 0 stands for none in every era. Numbers are capped at 48 bits.
     ///
     /// # Examples
     ///
@@ -46,12 +47,12 @@
         Self(((era.0 as u64) << NUMBER_BITS) | number)
     }
 
-    /// Returns the era in which it was given out.
+    /// Returns the era in which the revision was assigned.
     pub const fn era(self) -> StoreEra {
         StoreEra((self.0 >> NUMBER_BITS) as u32)
     }
 
-    /// Returns the number that the store knows it by in its era.
+    /// Returns the number that the store assigned to the revision in its era.
     pub const fn number(self) -> u64 {
         self.0 & NUMBER_MAX
     }
@@ -63,76 +64,77 @@
     }
 }
 
-/// Identifier of a lease, with the era in which it was granted or seen: in another era the
-/// store may have given its number to another node.
+/// Identifier of a lease, with the era in which it was granted or seen.
+///
+/// In another era, the store may have assigned the same number to another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseId {
-    /// Era.
+    /// Era in which the lease was granted or seen.
     pub era: StoreEra,
-    /// Number that the store knows it by in its era.
+    /// Number that the store assigned to the lease in this era.
     pub number: u64,
 }
 
-/// A key with its value.
+/// Key of the store with its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreItem {
     /// Key.
     pub key: String,
     /// Value.
     pub value: Vec<u8>,
-    /// Revision of the last change.
+    /// Revision of the key's last change.
     pub revision: Revision,
-    /// Lease with which it ends.
+    /// Lease whose end removes the key; none when the key stays until removed.
     pub lease: Option<LeaseId>,
 }
 
-/// One key as it was read.
+/// Result of reading one key.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoreRead {
-    /// The key, if it exists.
+    /// Item of the key; none when it doesn't exist.
     pub item: Option<StoreItem>,
-    /// Revision of the store, from which a watch goes on without a gap. That
-    /// of the key may be older than the history which the store keeps.
+    /// Revision of the store, from which a watch continues without a gap. The
+    /// revision of the key may be older than the history that the store keeps.
     pub revision: Revision,
 }
 
-/// All items under a prefix.
+/// Result of listing a prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoreList {
-    /// Items.
+    /// All items under the prefix.
     pub items: Vec<StoreItem>,
-    /// Revision from which a watch goes on without a gap.
+    /// Revision from which a watch continues without a gap.
     pub revision: Revision,
 }
 
-/// One change.
+/// Change of one key, as a watch reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreEvent {
     /// A key was written.
     Written(StoreItem),
     /// A key was removed, or its lease ended.
     Deleted {
-        /// Key.
+        /// Removed key.
         key: String,
         /// Revision of the removal.
         revision: Revision,
     },
 }
 
-/// Answer of a watch.
+/// Result of a watch.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WatchBatch {
-    /// Changes in order.
+    /// Changes in the order of their revisions; empty when there were none in time.
     pub events: Vec<StoreEvent>,
-    /// Revision from which to go on.
+    /// Revision from which the next watch continues.
     pub revision: Revision,
 }
 
 /// Lease that the store granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Identifier.
+    /// Identifier of the lease.
     pub lease: LeaseId,
-    /// Time after which it ends unless renewed.
+    /// Time after which the lease ends unless renewed.
     pub ttl: Duration,
 }
--- a/crates/node/src/store/store_write.rs
+++ b/crates/node/src/store/store_write.rs
@@ -1,34 +1,34 @@
-//! Changes of the store.
+//! Conditional writes to the store.
 
 use super::{LeaseId, Revision};
 
-/// What becomes of a key.
+/// Change of a key by a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreChange<'a> {
-    /// It holds a value, until its lease ends if it has one.
+    /// The key is set to a value, until its lease ends if it has one.
     Put {
-        /// Value.
+        /// New value of the key.
         value: &'a [u8],
-        /// Lease; none to keep the key until it is removed.
+        /// Lease of the key; none to keep the key until it is removed.
         lease: Option<LeaseId>,
     },
-    /// It is removed.
+    /// The key is removed.
     Remove,
 }
 
-/// A change of one key, done only while the key is at a revision.
+/// Write of one key, applied only if the key is at the expected revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreWrite<'a> {
-    /// Key.
+    /// Key to write.
     pub key: &'a str,
     /// Revision that the key must have; 0 when it must not exist.
     pub expected: Revision,
-    /// What becomes of it.
+    /// Change to apply.
     pub change: StoreChange<'a>,
 }
 
 impl<'a> StoreWrite<'a> {
-    /// Writes `value`, to be kept until it is removed.
+    /// Creates a write of `value` that stays until the key is removed.
     pub const fn put(key: &'a str, value: &'a [u8], expected: Revision) -> Self {
         Self {
             key,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Writes `value` under a lease.
+    /// Creates a write of `value` that stays until its lease ends.
     pub const fn leased(key: &'a str, value: &'a [u8], expected: Revision, lease: LeaseId) -> Self {
         let lease = Some(lease);
         Self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns the lease with which the key is to end.
+    /// Returns the lease of the written value, if it has one.
     pub const fn lease(&self) -> Option<LeaseId> {
         match self.change {
             StoreChange::Put { lease, .. } => lease,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Removes the key.
+    /// Creates a removal of the key.
     pub const fn remove(key: &'a str, expected: Revision) -> Self {
         Self {
             key,
