--- a/crates/node/src/admin/admin_handler.rs
+++ b/crates/node/src/admin/admin_handler.rs
@@ -1,4 +1,4 @@
-//! The port for operators' programs.
+//! Handler of operators' requests.
 
 use std::rc::Rc;
 
@@ -14,33 +14,33 @@
     response_body::{ResponseBody, json_response},
 };
 
-/// Path of the metrics, in the Prometheus text format.
+/// Path of the node's metrics, in the Prometheus text format.
 pub const METRICS_PATH: &str = "/metrics";
-/// Path of the [`NodeStatus`], as JSON.
+/// Path of the node's [`NodeStatus`], as JSON.
 pub const STATUS_PATH: &str = "/status";
 
-/// Path of the members that the node knows, as JSON.
+/// Path of the records of all known members, as JSON.
 pub const MEMBERS_PATH: &str = "/members";
 
-/// Shows metrics and state to operators' programs.
+/// Handles requests of operators' programs for metrics, status and members.
 #[derive(Debug, Clone)]
 pub struct AdminHandler {
     core: Rc<NodeCore>,
 }
 
 impl AdminHandler {
-    /// Makes the port of a node.
+    /// Creates the handler of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
-    /// Answers a request.
+    /// Returns the page that a request asks for, or a 404 response.
     pub fn answer(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             METRICS_PATH => self.metrics(),
             STATUS_PATH => self.status(),
             MEMBERS_PATH => self.members(),
-            _ => page(StatusCode::NOT_FOUND, "text/plain", Vec::new()),
+            _ => text_response(StatusCode::NOT_FOUND, "text/plain", Vec::new()),
         }
     }
 
@@ -51,8 +51,8 @@
         metrics.queue("running", load.running);
         metrics.queue("waiting", load.waiting);
         match metrics.text() {
-            Ok(text) => page(StatusCode::OK, "text/plain; version=0.0.4", text),
-            Err(cause) => self.failed("metrics", &cause),
+            Ok(text) => text_response(StatusCode::OK, "text/plain; version=0.0.4", text),
+            Err(cause) => self.internal_error("metrics", &cause),
         }
     }
 
@@ -76,29 +76,35 @@
             waiting: load.waiting,
             ready: self.core.is_ready(),
         };
-        self.json("status", &status)
+        self.json_page("status", &status)
     }
 
     fn members(&self) -> Response<ResponseBody> {
         let fleet = self.core.fleet.borrow();
         let records: Vec<&MemberRecord> = fleet.records().collect();
-        self.json("members", &records)
+        self.json_page("members", &records)
     }
 
-    fn json(&self, what: &str, value: &impl Serialize) -> Response<ResponseBody> {
-        json_response(value).unwrap_or_else(|cause| self.failed(what, &cause))
+    fn json_page(&self, page: &str, value: &impl Serialize) -> Response<ResponseBody> {
+        json_response(value).unwrap_or_else(|cause| self.internal_error(page, &cause))
     }
 
-    fn failed(&self, what: &str, cause: &dyn std::error::Error) -> Response<ResponseBody> {
-        error!(self.core.log.logger(), "page not shown"; "page" => what, "cause" => %cause);
-        page(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", Vec::new())
+    fn internal_error(&self, page: &str, cause: &dyn std::error::Error) -> Response<ResponseBody> {
+        error!(self.core.log.logger(), "page failed"; "page" => page, "cause" => %cause);
+        text_response(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", Vec::new())
     }
 }
 
-fn page(status: StatusCode, kind: &'static str, text: Vec<u8>) -> Response<ResponseBody> {
+fn text_response(
+    status: StatusCode,
+    content_type: &'static str,
+    text: Vec<u8>,
+) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::whole(text));
     *response.status_mut() = status;
-    let kind = HeaderValue::from_static(kind);
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static(content_type);
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     response
 }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! What a node shows to operators and their programs.
+//! Metrics, status and members for operators and their programs.
 
 mod admin_handler;
 mod node_status;
--- a/crates/node/src/admin/node_status.rs
+++ b/crates/node/src/admin/node_status.rs
@@ -1,33 +1,33 @@
-//! A node's state in a few figures.
+//! Status of a node.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// A node's state in a few figures, as its status page shows it.
+/// Status of a node, as its status page shows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// Instance on which the node runs.
     pub instance: String,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: String,
-    /// Service of its backend server.
+    /// Service of the local backend server.
     pub service: String,
-    /// Address at which other nodes reach it.
+    /// Address at which other nodes reach this one.
     #[serde(rename = "hop")]
     pub peer_addr: SocketAddr,
-    /// Version of the configuration in force; 0 before the first.
+    /// Version of the configuration in force; 0 while there is none.
     pub version: u64,
-    /// Members that it knows.
+    /// Number of members that the node knows.
     pub members: usize,
-    /// Milliseconds since the store last answered it.
+    /// Milliseconds since the store last answered this node.
     pub store_age_ms: u64,
-    /// Start of the backend server that lives beside it, if one is known.
+    /// Current start of the local backend server; none when no live one is known.
     pub backend: Option<String>,
-    /// Requests that run at the backend server.
+    /// Number of requests that run at the local backend server.
     pub running: u32,
-    /// Requests that wait for it.
+    /// Number of requests that wait for a slot of the local backend server.
     pub waiting: u32,
-    /// Whether it takes callers.
+    /// Whether the node accepts callers' requests.
     pub ready: bool,
 }
