--- a/crates/node/tests/all/eras.rs
+++ b/crates/node/tests/all/eras.rs
@@ -1,4 +1,4 @@
-//! What nodes know from different eras of the store.
+//! Order of updates that come from different eras of the store.
 
 use std::time::Duration;
 
@@ -24,9 +24,9 @@
     }
 }
 
-/// Guards against an answer of an earlier era that comes last and undoes what is known.
+/// Guards against a late response of an earlier era that overwrites newer member state.
 #[test]
-fn an_answer_of_an_earlier_era_undoes_nothing() {
+fn a_response_of_an_earlier_era_overwrites_nothing() {
     let mut fleet = FleetView::new("hofdi");
     fleet.announce(NOW, record(MemberState::Leaving), revision(2, 5));
     assert!(!fleet.announce(NOW, record(MemberState::Ready), revision(1, 900)));
@@ -34,14 +34,15 @@
     fleet.listed(NOW, revision(1, 902), |_| false);
     let member = fleet
         .at(support::record(4).peer_addr)
-        .expect("it is announced");
+        .expect("announced member");
     assert_eq!(member.record.state, MemberState::Leaving);
     assert!(!member.has_lapsed());
 }
 
-/// Guards against a view that stays deaf until the counter of the new era has caught up.
+/// Guards against a view that ignores updates of a new era until its revision numbers
+/// exceed those of the era before.
 #[test]
-fn news_of_a_later_era_are_taken_in_at_lower_numbers() {
+fn updates_of_a_later_era_are_applied_at_lower_numbers() {
     let mut fleet = FleetView::new("hofdi");
     fleet.announce(NOW, record(MemberState::Ready), revision(1, 900));
     fleet.listed(NOW, revision(1, 900), |_| true);
@@ -53,22 +54,23 @@
     assert_eq!(updates.written.len(), 1);
 }
 
-/// Guards against crashes of a new era that aren't handed on to nodes that know the one before.
+/// Guards against crashes of a new era that aren't forwarded to nodes whose latest revision
+/// is of the era before.
 #[test]
-fn crashes_of_a_later_era_are_handed_on() {
-    let mut book = CrashHistory::default();
-    let row = CrashRecord {
+fn crashes_of_a_later_era_are_forwarded() {
+    let mut history = CrashHistory::default();
+    let crash = CrashRecord {
         fingerprint: 7,
         start: start("i-1"),
     };
-    book.record(NOW, row, revision(2, 3));
-    assert_eq!(book.records_since(revision(1, 900)).len(), 1);
+    history.record(NOW, crash, revision(2, 3));
+    assert_eq!(history.records_since(revision(1, 900)).len(), 1);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against an order in which news arrive that decides what is known in the end.
+    /// Guards against a final state that depends on the order in which updates arrive.
     #[test]
     fn the_latest_era_wins_in_any_order(
         updates in prop::collection::vec((1..4_u32, 1..20_u64, any::<bool>()), 1..30),
@@ -79,20 +81,20 @@
             fleet.announce(NOW, record(state), revision(era, number));
         }
         let last = updates.iter().map(|&(era, number, _)| (era, number)).max();
-        let (era, number) = last.expect("there are news");
-        let known = fleet.at(support::record(4).peer_addr).expect("it is announced");
+        let (era, number) = last.expect("at least one update");
+        let known = fleet.at(support::record(4).peer_addr).expect("announced member");
         prop_assert_eq!(known.revision(), revision(era, number));
-        let latest = updates.iter().rfind(|updates| (updates.0, updates.1) == (era, number));
-        let leaving = latest.expect("it is there").2;
+        let latest = updates.iter().rfind(|update| (update.0, update.1) == (era, number));
+        let leaving = latest.expect("an update with the last revision").2;
         prop_assert_eq!(known.record.state == MemberState::Leaving, leaving);
     }
 
-    /// Guards against revisions that nodes tell one another and that lose their era.
+    /// Guards against revisions that lose their era when nodes exchange them as plain numbers.
     #[test]
-    fn a_revision_is_the_same_after_it_was_told(era in 0..60_000_u32, number in 1..1_u64 << 47) {
-        let told = revision(era, number);
-        let heard = Revision(told.0);
-        prop_assert_eq!((heard.era(), heard.number()), (StoreEra(era), number));
-        prop_assert!(heard < revision(era + 1, 1));
+    fn a_revision_sent_as_a_number_keeps_its_era(era in 0..60_000_u32, number in 1..1_u64 << 47) {
+        let sent = revision(era, number);
+        let received = Revision(sent.0);
+        prop_assert_eq!((received.era(), received.number()), (StoreEra(era), number));
+        prop_assert!(received < revision(era + 1, 1));
     }
 }
--- a/crates/node/tests/all/main.rs
+++ b/crates/node/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, without network or clock.
+//! Tests of the node's decision logic, without network or wall clock.
 
 mod budget;
 mod calls;
--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -1,31 +1,31 @@
-//! What several tests use.
+//! Fixtures that several tests use.
 
 use std::{net::SocketAddr, time::Duration};
 
 use geranium_node::member::{EndpointStart, MemberRecord, MemberState, StartInput};
 
-/// Returns a time after a node's start.
+/// Returns the time `millis` after a node's start.
 pub fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Returns a start whose time isn't told.
+/// Returns a start of a backend server without a start time.
 pub fn start(instance: impl Into<String>) -> EndpointStart {
     born(instance, None)
 }
 
-/// Returns a start of the Unix time `born_ms`.
+/// Returns a start of a backend server at `born_ms`, in Unix milliseconds.
 pub fn born(instance: impl Into<String>, born_ms: impl Into<Option<u64>>) -> EndpointStart {
     let (instance, born_ms) = (instance.into(), born_ms.into());
     EndpointStart::try_from(StartInput { instance, born_ms }).expect("a usable identifier")
 }
 
-/// Returns the address of a numbered node.
+/// Returns the peer address of the node with this number.
 pub fn peer_addr(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, number], 7600))
 }
 
-/// Returns what a numbered node announces.
+/// Returns the announced member record of the node with this number.
 pub fn record(number: u8) -> MemberRecord {
     MemberRecord {
         peer_addr: peer_addr(number),
