--- a/crates/node/src/crash/break_diagnosis.rs
+++ b/crates/node/src/crash/break_diagnosis.rs
@@ -1,35 +1,37 @@
-//! What was found of a backend server whose connection broke under a run.
+//! Diagnosis of a connection to the backend server that broke while a request ran.
 
 use serde::{Deserialize, Serialize};
 use strum::IntoStaticStr;
 
 use crate::member::EndpointStart;
 
-/// Why the connection of a run broke.
+/// Cause of a connection that broke while a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, IntoStaticStr, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum BreakCause {
-    /// The backend server has crashed: nothing listens at its address, or another start of
-    /// it does.
+    /// The backend server has crashed: its address refuses connections, or another start
+    /// of it listens there.
     Crashed,
-    /// The backend server lives, and only the answer was lost.
+    /// The same start of the backend server still runs, and only the answer was lost.
     AnswerLost,
-    /// It isn't known whether the backend server lives.
+    /// The probe couldn't tell whether the backend server still runs.
     Unclear,
 }
 
-/// What was found of a backend server whose connection broke under a run.
+/// Result of probing a backend server whose connection broke while a request ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BreakDiagnosis {
     /// Why the connection broke.
     pub cause: BreakCause,
-    /// The start of the backend server that ran the request.
+    /// Start of the backend server that ran the request.
     pub start: EndpointStart,
 }
 
 impl BreakDiagnosis {
-    /// Whether the request may have crashed the backend server, and would crash the next.
+    /// Returns whether the request may have crashed the backend server.
+    ///
+    /// Such a request might crash the next backend server, too.
     ///
     /// # Examples
     ///
--- a/crates/node/src/crash/broken_runs.rs
+++ b/crates/node/src/crash/broken_runs.rs
@@ -1,4 +1,4 @@
-//! Runs whose connection to the backend server broke.
+//! Runs of requests whose connection to the backend server broke.
 
 use std::{
     cell::{Cell, RefCell},
@@ -7,178 +7,190 @@
 
 use tokio::sync::{Notify, oneshot};
 
-use super::{BreakCause, BreakDiagnosis, CrashRecord, crash_news::CRASH_LEASE};
+use super::{BreakCause, BreakDiagnosis, CrashRecord, crash_broadcast::CRASH_LEASE_TIME};
 use crate::member::EndpointStart;
 
-/// Time for which a broken run is remembered. If another start replaces its backend server
-/// within it, the run counts as a crash. The platform restarts a server within seconds.
+/// Time for which a broken run is kept. If another start replaces its backend server in
+/// that time, the run counts as a crash. The platform restarts a server within seconds.
 const RECENT_TIME: Duration = Duration::from_secs(10);
-/// Longest time from the crash of a backend server that is restarted before a probe reaches
-/// it to its first heartbeat.
+/// Longest time between a crash and the first heartbeat of the restarted backend server,
+/// where the restart comes before the probe.
 const RESTART_TIME: Duration = Duration::from_secs(2);
-/// Maximum number of remembered runs, enough for a backend server that breaks every run for
-/// some seconds.
+/// Maximum number of recent broken runs that are kept, enough for a backend server that
+/// breaks every run for some seconds.
 const RECENT_MAX: usize = 1_024;
 
-/// A run whose connection broke before an answer, and whose sender waits for the cause.
+/// Run whose connection broke before an answer, and whose sender waits for the cause.
 #[derive(Debug)]
 pub(super) struct BrokenRun {
-    pub(super) row: CrashRecord,
-    /// When it was sent.
-    pub(super) began: Duration,
-    pub(super) found: oneshot::Sender<BreakDiagnosis>,
+    pub(super) record: CrashRecord,
+    /// Time at which the request was sent to the backend server.
+    pub(super) sent_at: Duration,
+    pub(super) diagnosis_sender: oneshot::Sender<BreakDiagnosis>,
 }
 
-/// A recent broken run that isn't counted as a crash.
+/// Recent broken run that isn't counted as a crash.
 #[derive(Debug)]
 struct RecentRun {
+    /// Time at which the run was diagnosed.
     at: Duration,
     cause: BreakCause,
-    row: CrashRecord,
+    record: CrashRecord,
 }
 
-/// Runs whose connection to the backend server broke before an answer.
+/// Runs whose connection broke before an answer, and crashes waiting to be shared.
+///
+/// The inbound proxy adds broken runs; [`watch_crashes`](super::watch_crashes) takes them
+/// out and diagnoses them.
 #[derive(Debug, Default)]
 pub struct BrokenRuns {
     waiting: RefCell<Vec<BrokenRun>>,
-    /// The start whose runs broke last, with the time of the first break since it was last
-    /// seen to live.
+    /// Start whose runs broke last, and the time at which the first of them broke. Cleared
+    /// when a probe doesn't find the start crashed.
     first_break: RefCell<Option<(EndpointStart, Duration)>>,
     recent: RefCell<Vec<RecentRun>>,
-    /// Rows of starts that were found to have crashed after their runs were settled.
-    late: RefCell<Vec<CrashRecord>>,
-    /// Number of batches of such rows that are being sent to other nodes.
-    late_open: Cell<u32>,
-    late_told: Notify,
+    /// Records of crashes that showed only after the runs were diagnosed otherwise.
+    late_crashes: RefCell<Vec<CrashRecord>>,
+    /// Number of batches of late crashes that are being sent to other nodes.
+    late_batches_open: Cell<u32>,
+    late_batch_notified: Notify,
     /// Crashes that were written to the store, with the time of the write.
     written: RefCell<Vec<(Duration, Vec<CrashRecord>)>>,
-    /// Crashes to be written to the store again.
+    /// Crashes that are to be written to the store again.
     unwritten: RefCell<Vec<Vec<CrashRecord>>>,
-    pub(super) heard: Notify,
+    /// Signals waiting runs, late crashes or crashes to be written again.
+    pub(super) work_added: Notify,
 }
 
 impl BrokenRuns {
-    /// Records that the connection of a run, sent at `began`, broke now. The receiver gets
-    /// the cause once it is known; nothing when the backend server had crashed before the run
-    /// was sent.
+    /// Records that the connection of a run sent at `sent_at` broke now.
+    ///
+    /// The receiver gets the diagnosis once the backend server was probed. The channel closes
+    /// without one when the backend server had crashed before the run was sent.
     pub fn push(
         &self,
         now: Duration,
-        began: Duration,
-        row: CrashRecord,
+        sent_at: Duration,
+        record: CrashRecord,
     ) -> oneshot::Receiver<BreakDiagnosis> {
-        let (found, diagnosis) = oneshot::channel();
+        let (diagnosis_sender, diagnosis) = oneshot::channel();
         let mut first = self.first_break.borrow_mut();
-        if first.as_ref().is_none_or(|(start, _)| *start != row.start) {
-            *first = Some((row.start.clone(), now));
+        if first
+            .as_ref()
+            .is_none_or(|(start, _)| *start != record.start)
+        {
+            *first = Some((record.start.clone(), now));
         }
-        self.waiting
-            .borrow_mut()
-            .push(BrokenRun { row, began, found });
-        self.heard.notify_one();
+        self.waiting.borrow_mut().push(BrokenRun {
+            record,
+            sent_at,
+            diagnosis_sender,
+        });
+        self.work_added.notify_one();
         diagnosis
     }
 
-    /// Drops the runs that were sent to a start after it crashed: they weren't running then.
-    pub(super) fn drop_later(&self, start: &EndpointStart, runs: &mut Vec<BrokenRun>) {
+    /// Drops the runs that were sent after the start crashed, as they weren't running then.
+    pub(super) fn drop_sent_after_crash(&self, start: &EndpointStart, runs: &mut Vec<BrokenRun>) {
         let first = self.first_break.borrow();
         let crash = first.as_ref().filter(|(crashed, _)| crashed == start);
         if let Some((_, at)) = crash {
-            runs.retain(|run| run.began <= *at);
+            runs.retain(|run| run.sent_at <= *at);
         }
     }
 
-    /// Records that a start wasn't found to have crashed.
-    pub(super) fn not_crashed(&self, start: &EndpointStart) {
+    /// Forgets the first break of a start that wasn't found to have crashed.
+    pub(super) fn clear_first_break(&self, start: &EndpointStart) {
         let mut first = self.first_break.borrow_mut();
         if first.as_ref().is_some_and(|(broken, _)| broken == start) {
             *first = None;
         }
     }
 
-    /// Records that `instance` has replaced a start that didn't announce its end.
+    /// Records that `instance` has replaced a start that ended without an announcement.
     ///
-    /// A backend server that is restarted within milliseconds listens again before a probe
-    /// finds it gone, possibly under its old identifier. Runs that broke shortly before count
-    /// as crashes, unless the earlier start answered a probe after they broke.
+    /// A backend server that is restarted within milliseconds listens again before the probe
+    /// comes, possibly under its old identifier. Runs that broke shortly before count as
+    /// crashes, unless the earlier start answered a probe after they broke.
     pub fn replaced(&self, now: Duration, ended: &EndpointStart, instance: &str) {
         let mut recent = self.recent.borrow_mut();
         let crashed = |run: &RecentRun| {
-            let since = match run.cause {
+            let window = match run.cause {
                 BreakCause::AnswerLost if ended.instance() != instance => return false,
-                // What answered may have been the next start already.
+                // The next start may have answered the probe under the same identifier.
                 BreakCause::AnswerLost => RESTART_TIME,
                 BreakCause::Unclear | BreakCause::Crashed => RECENT_TIME,
             };
-            run.row.start == *ended && now < run.at + since
+            run.record.start == *ended && now < run.at + window
         };
-        let rows = recent.iter().filter(|run| crashed(run));
-        let rows: Vec<CrashRecord> = rows.map(|run| run.row.clone()).collect();
-        recent.retain(|run| run.row.start != *ended);
-        if !rows.is_empty() {
-            self.late.borrow_mut().extend(rows);
-            self.heard.notify_one();
+        let records = recent.iter().filter(|run| crashed(run));
+        let records: Vec<CrashRecord> = records.map(|run| run.record.clone()).collect();
+        recent.retain(|run| run.record.start != *ended);
+        if !records.is_empty() {
+            self.late_crashes.borrow_mut().extend(records);
+            self.work_added.notify_one();
         }
     }
 
     /// Records crashes that were written to the store.
-    pub(super) fn remember_written(&self, now: Duration, rows: Vec<CrashRecord>) {
+    pub(super) fn remember_written(&self, now: Duration, records: Vec<CrashRecord>) {
         let mut written = self.written.borrow_mut();
-        written.retain(|(at, _)| now < *at + CRASH_LEASE);
-        written.push((now, rows));
+        written.retain(|(at, _)| now < *at + CRASH_LEASE_TIME);
+        written.push((now, records));
     }
 
-    /// Queues the crashes that the store may have lost, to be written again.
-    pub fn write_again(&self, now: Duration) {
+    /// Queues crashes that the store may have lost, so that they are written again.
+    pub fn requeue_written(&self, now: Duration) {
         let written = self.written.take();
-        let lasting = written
+        let unexpired = written
             .into_iter()
-            .filter(|(at, _)| now < *at + CRASH_LEASE);
-        let rows = lasting.map(|(_, rows)| rows);
-        self.unwritten.borrow_mut().extend(rows);
-        self.heard.notify_one();
+            .filter(|(at, _)| now < *at + CRASH_LEASE_TIME);
+        let records = unexpired.map(|(_, records)| records);
+        self.unwritten.borrow_mut().extend(records);
+        self.work_added.notify_one();
     }
 
-    /// Takes the crashes that are to be written again.
+    /// Takes the crashes that are to be written to the store again.
     pub(super) fn take_unwritten(&self) -> Vec<Vec<CrashRecord>> {
         self.unwritten.take()
     }
 
     /// Records a broken run that isn't counted as a crash.
-    pub(super) fn remember(&self, now: Duration, cause: BreakCause, row: CrashRecord) {
+    pub(super) fn remember(&self, now: Duration, cause: BreakCause, record: CrashRecord) {
         let mut recent = self.recent.borrow_mut();
         recent.retain(|run| now < run.at + RECENT_TIME);
         if recent.len() < RECENT_MAX {
             let at = now;
-            recent.push(RecentRun { at, cause, row });
+            recent.push(RecentRun { at, cause, record });
         }
     }
 
-    /// Takes the runs whose senders wait.
+    /// Takes the runs whose senders wait for a diagnosis.
     pub(super) fn take_waiting(&self) -> Vec<BrokenRun> {
         self.waiting.take()
     }
 
-    /// Takes the rows of starts that turned out to have crashed, if there are any.
-    pub(super) fn take_late(&self) -> Option<Vec<CrashRecord>> {
-        let rows = self.late.take();
-        if rows.is_empty() {
+    /// Takes the records of late crashes as one batch; none when there are none.
+    pub(super) fn take_late_crashes(&self) -> Option<Vec<CrashRecord>> {
+        let records = self.late_crashes.take();
+        if records.is_empty() {
             return None;
         }
-        self.late_open.set(self.late_open.get() + 1);
-        Some(rows)
+        self.late_batches_open.set(self.late_batches_open.get() + 1);
+        Some(records)
     }
 
-    /// Notes that other nodes know of the rows that were taken.
-    pub(super) fn told_late(&self) {
-        self.late_open.set(self.late_open.get().saturating_sub(1));
-        self.late_told.notify_waiters();
+    /// Records that other nodes were notified of one batch of late crashes.
+    pub(super) fn record_late_notified(&self) {
+        self.late_batches_open
+            .set(self.late_batches_open.get().saturating_sub(1));
+        self.late_batch_notified.notify_waiters();
     }
 
-    /// Waits until other nodes have been told of the crashes found by [`Self::replaced`].
+    /// Waits until other nodes were notified of the crashes found by [`Self::replaced`].
     pub async fn until_late_told(&self) {
-        while self.late_open.get() > 0 || !self.late.borrow().is_empty() {
-            self.late_told.notified().await;
+        while self.late_batches_open.get() > 0 || !self.late_crashes.borrow().is_empty() {
+            self.late_batch_notified.notified().await;
         }
     }
 }
--- a/crates/node/src/crash/completion_credit.rs
+++ b/crates/node/src/crash/completion_credit.rs
@@ -1,61 +1,61 @@
-//! Requests that completed well of late.
+//! Credit that requests earn by recent successful completions.
 
-/// Places of the table: the hottest few thousand requests of one node. Each
-/// takes 16 bytes, 64 KB in all.
-const PLACES: usize = 4_096;
-/// Most credit one request may hold: enough to pay off one crash, so that a
-/// request which turns bad after a change of data is refused after one crash
-/// more than an unknown one.
+/// Entries of the table, enough for the few thousand most frequent requests of one node.
+/// Each takes 16 bytes, 64 KB in all.
+const ENTRIES: usize = 4_096;
+/// Completions that offset one crash, and the most credit that one request may hold. A
+/// request that turns bad after a change of data is therefore refused after only one
+/// crash more than an unknown one.
 pub(super) const CREDIT_PER_CRASH: u16 = 16;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct CreditPlace {
+struct CreditEntry {
     fingerprint: u64,
     credit: u16,
 }
 
-/// Fixed table of completions by fingerprint.
+/// Fixed-size table of successful completions by fingerprint.
 ///
-/// A completion of another request with the same place wears the holder's
-/// credit down before it takes the place, so frequent requests stay.
+/// A completion of another request that maps to the same entry reduces the credit there
+/// and replaces the entry only once that is zero, so frequent requests stay.
 #[derive(Debug)]
 pub(super) struct CompletionCredit {
-    places: Vec<CreditPlace>,
+    entries: Vec<CreditEntry>,
 }
 
 impl CompletionCredit {
     pub(super) fn new() -> Self {
         Self {
-            places: vec![CreditPlace::default(); PLACES],
+            entries: vec![CreditEntry::default(); ENTRIES],
         }
     }
 
-    /// Notes a good completion.
+    /// Records a successful completion.
     pub(super) fn completed(&mut self, fingerprint: u64) {
-        let place = self.place_of(fingerprint);
-        if place.fingerprint == fingerprint {
-            place.credit = (place.credit + 1).min(CREDIT_PER_CRASH);
-        } else if place.credit == 0 {
-            *place = CreditPlace {
+        let entry = self.entry_of(fingerprint);
+        if entry.fingerprint == fingerprint {
+            entry.credit = (entry.credit + 1).min(CREDIT_PER_CRASH);
+        } else if entry.credit == 0 {
+            *entry = CreditEntry {
                 fingerprint,
                 credit: 1,
             };
         } else {
-            place.credit -= 1;
+            entry.credit -= 1;
         }
     }
 
-    /// Spends a crash's worth of credit, if it is there.
-    pub(super) fn pay(&mut self, fingerprint: u64) -> bool {
-        let place = self.place_of(fingerprint);
-        let enough = place.fingerprint == fingerprint && place.credit >= CREDIT_PER_CRASH;
+    /// Spends the credit for one crash, and returns whether there was enough.
+    pub(super) fn spend(&mut self, fingerprint: u64) -> bool {
+        let entry = self.entry_of(fingerprint);
+        let enough = entry.fingerprint == fingerprint && entry.credit >= CREDIT_PER_CRASH;
         if enough {
-            place.credit = 0;
+            entry.credit = 0;
         }
         enough
     }
 
-    fn place_of(&mut self, fingerprint: u64) -> &mut CreditPlace {
-        &mut self.places[fingerprint as usize % PLACES]
+    fn entry_of(&mut self, fingerprint: u64) -> &mut CreditEntry {
+        &mut self.entries[fingerprint as usize % ENTRIES]
     }
 }
--- a/crates/node/src/crash/crash_handler.rs
+++ b/crates/node/src/crash/crash_handler.rs
@@ -1,4 +1,4 @@
-//! Takes in what other nodes tell of crashes.
+//! HTTP handler for crash records from other nodes.
 
 use std::rc::Rc;
 
@@ -14,36 +14,40 @@
     store::Revision,
 };
 
-/// Path at which a node is told of crashes.
+/// Path to which other nodes post crash records.
 pub const CRASH_PATH: &str = "/.geranium/crash";
-/// Maximum size of a message: a thousand rows of some 80 bytes, with room to spare.
-const BODY_MAX: usize = 256 * 1024;
+/// Maximum size of a message: a thousand records of some 80 bytes, with room to spare.
+const BODY_MAX_BYTES: usize = 256 * 1024;
 
-/// Takes in what other nodes tell of crashes.
+/// Handles crash records that other nodes send.
 #[derive(Debug, Clone)]
 pub struct CrashHandler {
     core: Rc<NodeCore>,
 }
 
 impl CrashHandler {
-    /// Makes the port of a node.
+    /// Makes the handler of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
-    /// Takes in crashes, and answers once they count here.
+    /// Records the crashes of a message and answers once they count on this node.
+    ///
+    /// A body that is too long or can't be decoded gets status 400.
     pub async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
-        let body = Limited::new(request.into_body(), BODY_MAX).collect().await;
+        let body = Limited::new(request.into_body(), BODY_MAX_BYTES)
+            .collect()
+            .await;
         let body = body.map(Collected::to_bytes).unwrap_or_default();
         match serde_json::from_slice::<Vec<CrashRecord>>(&body) {
-            Ok(rows) => {
-                for row in rows {
-                    self.core.record_crash(row, Revision(0));
+            Ok(records) => {
+                for record in records {
+                    self.core.record_crash(record, Revision(0));
                 }
                 empty_response(StatusCode::OK)
             }
             Err(cause) => {
-                warn!(self.core.log.logger(), "crash unreadable"; "cause" => %cause);
+                warn!(self.core.log.logger(), "crash records not decoded"; "cause" => %cause);
                 empty_response(StatusCode::BAD_REQUEST)
             }
         }
--- a/crates/node/src/crash/crash_watch.rs
+++ b/crates/node/src/crash/crash_watch.rs
@@ -1,4 +1,4 @@
-//! Telling a crash of the backend server from a broken connection.
+//! Finds out whether the backend server crashed when its connections break.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -11,7 +11,7 @@
 use super::{
     BreakCause, BreakDiagnosis, CrashRecord,
     broken_runs::BrokenRun,
-    crash_news::{store_crash, tell_peers},
+    crash_broadcast::{notify_peers, store_crashes},
 };
 use crate::{
     member::EndpointStart,
@@ -20,46 +20,59 @@
     transport::ExchangeError,
 };
 
-/// Time after a break in which further ones gather: a process that crashes drops all its
-/// connections within a millisecond or two.
-const GATHER: Duration = Duration::from_millis(5);
-/// Longest probe of a backend server. The senders of broken runs wait for it.
-const PROBE_TIME: Duration = Duration::from_millis(250);
-/// Pause after a probe whose connection broke as well: the process is ending.
+/// Time after the first break in which further ones are collected. A process that crashes
+/// drops all its connections within a millisecond or two.
+const GATHER_TIME: Duration = Duration::from_millis(5);
+/// Longest time for probing a backend server. The senders of broken runs wait for it.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Pause after a probe that failed without a clear result. Where its connection broke as
+/// well, the process is ending.
 const PROBE_PAUSE: Duration = Duration::from_millis(5);
 
-/// Watches for crashes of the backend server until the node ends.
+/// Diagnoses broken runs and records crashes of the backend server until the node ends.
 ///
-/// A request that crashes its backend server is told from one whose answer was lost by
-/// whether the backend server lives after its connections broke. Those who sent what broke
-/// are answered once that is known, so that a caller that sends such a request again at
-/// once finds it known.
+/// A request crashed its backend server, rather than lost its answer, if the backend
+/// server doesn't run any more after its connections broke. The senders of broken runs are
+/// answered only once that is known, so that a request that a caller resends at once meets
+/// nodes that know of the crash.
 pub async fn watch_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
-        core.inbound.broken_runs().heard.notified().await;
-        if let Some(late) = core.inbound.broken_runs().take_late() {
-            spawn_local(record_late(Rc::clone(&core), Rc::clone(&store), late));
+        core.inbound.broken_runs().work_added.notified().await;
+        if let Some(late_crashes) = core.inbound.broken_runs().take_late_crashes() {
+            spawn_local(record_late_crashes(
+                Rc::clone(&core),
+                Rc::clone(&store),
+                late_crashes,
+            ));
         }
-        for rows in core.inbound.broken_runs().take_unwritten() {
-            spawn_local(store_crash(Rc::clone(&core), Rc::clone(&store), rows));
+        for records in core.inbound.broken_runs().take_unwritten() {
+            spawn_local(store_crashes(Rc::clone(&core), Rc::clone(&store), records));
         }
-        sleep(GATHER).await;
-        for (start, runs) in by_start(core.inbound.broken_runs().take_waiting()) {
-            spawn_local(settle(Rc::clone(&core), Rc::clone(&store), start, runs));
+        sleep(GATHER_TIME).await;
+        for (start, runs) in group_by_start(core.inbound.broken_runs().take_waiting()) {
+            spawn_local(diagnose_runs(
+                Rc::clone(&core),
+                Rc::clone(&store),
+                start,
+                runs,
+            ));
         }
     }
 }
 
-fn by_start(runs: Vec<BrokenRun>) -> HashMap<EndpointStart, Vec<BrokenRun>> {
+fn group_by_start(runs: Vec<BrokenRun>) -> HashMap<EndpointStart, Vec<BrokenRun>> {
     let mut starts: HashMap<EndpointStart, Vec<BrokenRun>> = HashMap::new();
     for run in runs {
-        starts.entry(run.row.start.clone()).or_default().push(run);
+        starts
+            .entry(run.record.start.clone())
+            .or_default()
+            .push(run);
     }
     starts
 }
 
-/// Finds out why runs at one start broke, and tells those who sent them.
-async fn settle(
+/// Finds out why runs at one start broke, and sends the diagnosis to their senders.
+async fn diagnose_runs(
     core: Rc<NodeCore>,
     store: Rc<impl MetaStore>,
     start: EndpointStart,
@@ -74,55 +87,61 @@
         "took_ms" => begun.elapsed().as_millis() as u64,
         "only_trials" => core.inbound.is_breaker_open());
     if cause == BreakCause::Crashed {
-        core.inbound.broken_runs().drop_later(&start, &mut runs);
+        core.inbound
+            .broken_runs()
+            .drop_sent_after_crash(&start, &mut runs);
     } else {
-        core.inbound.broken_runs().not_crashed(&start);
+        core.inbound.broken_runs().clear_first_break(&start);
     }
-    let rows: Vec<CrashRecord> = runs.iter().map(|run| run.row.clone()).collect();
-    if rows.is_empty() {
+    let records: Vec<CrashRecord> = runs.iter().map(|run| run.record.clone()).collect();
+    if records.is_empty() {
         return;
     }
     if cause == BreakCause::Crashed {
         warn!(core.log.logger(), "backend server crashed";
-            "instance" => %start, "runs" => rows.len(), "evidence" => "probe");
-        record(Rc::clone(&core), store, rows).await;
+            "instance" => %start, "runs" => records.len(), "evidence" => "probe");
+        record_crashes(Rc::clone(&core), store, records).await;
     } else {
         let now = core.clock.now();
-        for row in rows {
-            core.inbound.broken_runs().remember(now, cause, row);
+        for record in records {
+            core.inbound.broken_runs().remember(now, cause, record);
         }
     }
     let diagnosis = BreakDiagnosis { cause, start };
     for run in runs {
-        // A sender that was cancelled meanwhile waits no more.
-        let _gone = run.found.send(diagnosis.clone());
+        // The sender may have been cancelled meanwhile.
+        let _gone = run.diagnosis_sender.send(diagnosis.clone());
     }
 }
 
-/// Records crashes that showed as another start took the place of the one that crashed.
-async fn record_late(core: Rc<NodeCore>, store: Rc<impl MetaStore>, rows: Vec<CrashRecord>) {
+/// Records crashes that showed when another start replaced the one that crashed.
+async fn record_late_crashes(
+    core: Rc<NodeCore>,
+    store: Rc<impl MetaStore>,
+    records: Vec<CrashRecord>,
+) {
     warn!(core.log.logger(), "backend server crashed";
-        "runs" => rows.len(), "evidence" => "another start took its place");
-    record(Rc::clone(&core), store, rows).await;
-    core.inbound.broken_runs().told_late();
+        "runs" => records.len(), "evidence" => "another start took its place");
+    record_crashes(Rc::clone(&core), store, records).await;
+    core.inbound.broken_runs().record_late_notified();
 }
 
-/// Records crashes here, with the peers and in the store.
-async fn record(core: Rc<NodeCore>, store: Rc<impl MetaStore>, rows: Vec<CrashRecord>) {
+/// Records crashes on this node, on its peers and in the store.
+async fn record_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>, records: Vec<CrashRecord>) {
     let now = core.clock.now();
-    for row in &rows {
+    for record in &records {
         let mut crashes = core.crashes.borrow_mut();
-        crashes.record(now, row.clone(), Revision(0));
+        crashes.record(now, record.clone(), Revision(0));
     }
-    spawn_local(store_crash(Rc::clone(&core), store, rows.clone()));
-    tell_peers(&core, &rows).await;
+    spawn_local(store_crashes(Rc::clone(&core), store, records.clone()));
+    notify_peers(&core, &records).await;
 }
 
-/// Asks the backend server which start it is.
+/// Probes the backend server's health path to find out whether `start` still runs.
 ///
-/// An answer of the start that was asked before proves that it lives. That it takes no
-/// connection proves that it is gone, unless other runs are still open there: an overloaded
-/// server refuses connections, too.
+/// An answer from the same start shows that it still runs. A refused connection shows that
+/// it has ended, unless other runs are still open there: an overloaded server refuses
+/// connections, too.
 async fn probe(core: &NodeCore, start: &EndpointStart) -> BreakCause {
     let config = core.config.borrow().clone();
     let path = config.and_then(|config| {
@@ -130,7 +149,7 @@
         path.map(ToOwned::to_owned)
     });
     let path = path.unwrap_or_else(|| "/".to_owned());
-    let until = Instant::now() + PROBE_TIME;
+    let until = Instant::now() + PROBE_TIMEOUT;
     loop {
         let answer = timeout_at(until, core.inbound.check_health(&path)).await;
         match answer {
--- a/crates/node/src/crash/mod.rs
+++ b/crates/node/src/crash/mod.rs
@@ -1,25 +1,27 @@
-//! Requests that crash the backend servers which run them.
+//! Detects and refuses requests that crash the backend servers which run them.
 //!
-//! Callers send such a request again, and each resend takes down one more backend server
-//! of the service. An inbound proxy whose connections broke ([`BrokenRuns`]) probes whether the
-//! backend server lives ([`watch_crashes`]). If it doesn't, or another start takes its place
-//! soon, each request that was running gets a [`CrashRecord`]. The nodes beside the other
-//! backend servers of the service are told of it ([`CrashHandler`]) before whoever sent the
-//! request is answered; all others hear of it by way of the store ([`CrashHistory`]).
-//! [`PoisonRegistry`] counts the rows of each [`request_fingerprint`] and says from which count
-//! on a request is refused. Nodes refuse it to their callers, and inbound proxies to other nodes.
+//! Callers resend such a request, and each resend crashes one more backend server of the
+//! service. When connections to the backend server break ([`BrokenRuns`]), the node probes
+//! whether it still runs ([`watch_crashes`]). If it doesn't, or if another start soon
+//! replaces it, each request that was running gets a [`CrashRecord`]. The nodes whose
+//! backend servers get the same requests are notified ([`CrashHandler`]) before the sender
+//! of the request is answered; all others learn of it by way of the store
+//! ([`CrashHistory`]). [`PoisonRegistry`] counts the records of each
+//! [`request_fingerprint`] and decides from which count on a request is refused. Outbound
+//! proxies refuse it to callers, and inbound proxies to other nodes.
 //!
-//! Innocent requests that ran beside share the row of a crash. They run again one at a time
-//! on each backend server, so that few of them share a second one, and are told apart by
-//! completing: each run of good completions pays off one crash. A request that never
-//! completes here and always had company is refused for a tenth of the time.
+//! Every request that was running at a crash gets a record, also those that didn't cause
+//! it. Such suspects run again one at a time on each backend server, so that few of them
+//! share a second crash. Successful completions clear them: each `CREDIT_PER_CRASH`
+//! completions offset one crash. A request that never completes on this node, and wasn't
+//! the only one running at any crash, is refused for a tenth of the time.
 
 mod break_diagnosis;
 mod broken_runs;
 mod completion_credit;
+mod crash_broadcast;
 mod crash_handler;
 mod crash_history;
-mod crash_news;
 mod crash_record;
 mod crash_watch;
 mod poison_limits;
--- a/crates/node/src/crash/poison_limits.rs
+++ b/crates/node/src/crash/poison_limits.rs
@@ -1,12 +1,12 @@
-//! Limits on requests that crash backend servers.
+//! Limits of the poison registry.
 
 use std::time::Duration;
 
-/// Limits on requests that crash backend servers.
+/// Limits from which a request that crashes backend servers is refused, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoisonLimits {
-    /// Crashes of backend servers after which a request is refused.
+    /// Number of crashes of backend servers after which a request is refused.
     pub crashes: u32,
-    /// Time for which it stays refused after the last of them.
-    pub hold: Duration,
+    /// Time for which a request stays refused after its latest crash.
+    pub refusal_time: Duration,
 }
--- a/crates/node/src/crash/poison_registry.rs
+++ b/crates/node/src/crash/poison_registry.rs
@@ -1,4 +1,4 @@
-//! The register itself.
+//! Crash counts per request.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -11,15 +11,15 @@
 };
 use crate::member::EndpointStart;
 
-/// Rows kept, enough for a release that crashes every backend server of a data centre
-/// with a dozen requests each.
-const ROWS_MAX: usize = 4_096;
-/// Divisor of the hold for requests that were always in company and crashed
-/// no server more than the limit asks: one of a dozen is guilty, and a wrong
-/// guess costs one more crash in a minute's time.
-const COMPANY_HOLD_DIVISOR: u32 = 10;
+/// Maximum number of records in memory, enough for a release that crashes every backend
+/// server of a data centre with a dozen requests each.
+const RECORDS_MAX: usize = 4_096;
+/// Divisor of the refusal time for requests that weren't the only one running at any of
+/// their crashes and have just reached the limit. Of a dozen such requests one is the
+/// cause, and a wrong guess costs one more crash a minute later.
+const SHARED_CRASH_DIVISOR: u32 = 10;
 
-/// Counts crashes per request and says which to refuse.
+/// Counts crashes per request and decides which requests are refused.
 ///
 /// # Examples
 ///
@@ -30,7 +30,7 @@
 ///     member::{EndpointStart, StartError, StartInput},
 /// };
 ///
-/// let limits = PoisonLimits { crashes: 2, hold: Duration::from_secs(600) };
+/// let limits = PoisonLimits { crashes: 2, refusal_time: Duration::from_secs(600) };
 /// let mut registry = PoisonRegistry::new(limits);
 /// let crash = |instance: &str| {
 ///     let instance = instance.to_owned();
@@ -49,108 +49,108 @@
 #[derive(Debug)]
 pub struct PoisonRegistry {
     limits: PoisonLimits,
-    rows: VecDeque<(Duration, CrashRecord)>,
+    records: VecDeque<(Duration, CrashRecord)>,
     crashes: HashMap<EndpointStart, Vec<u64>>,
     suspects: HashMap<u64, SuspectRecord>,
     credit: CompletionCredit,
 }
 
 impl PoisonRegistry {
-    /// Makes an empty register.
+    /// Makes an empty registry.
     pub fn new(limits: PoisonLimits) -> Self {
         Self {
             limits,
-            rows: VecDeque::new(),
+            records: VecDeque::new(),
             crashes: HashMap::new(),
             suspects: HashMap::new(),
             credit: CompletionCredit::new(),
         }
     }
 
-    /// Takes in a row and reports whether it was new.
-    pub fn record(&mut self, now: Duration, row: CrashRecord) -> bool {
+    /// Adds a record and returns whether it was new.
+    pub fn record(&mut self, now: Duration, record: CrashRecord) -> bool {
         self.expire(now);
-        let crash = self.crashes.entry(row.start.clone()).or_default();
-        if crash.contains(&row.fingerprint) {
+        let crash = self.crashes.entry(record.start.clone()).or_default();
+        if crash.contains(&record.fingerprint) {
             return false;
         }
-        crash.push(row.fingerprint);
-        let suspect = self.suspects.entry(row.fingerprint);
+        crash.push(record.fingerprint);
+        let suspect = self.suspects.entry(record.fingerprint);
         let suspect = suspect.or_insert(SuspectRecord::new(now));
         suspect.crashed(now);
-        if self.credit.pay(row.fingerprint) {
-            suspect.pay();
+        if self.credit.spend(record.fingerprint) {
+            suspect.forgive_one();
         }
-        self.rows.push_back((now, row));
-        if self.rows.len() > ROWS_MAX {
+        self.records.push_back((now, record));
+        if self.records.len() > RECORDS_MAX {
             self.forget_oldest();
         }
         true
     }
 
-    /// Notes that a request was answered well by a backend server.
+    /// Records that a backend server completed a request successfully.
     pub fn completed(&mut self, fingerprint: u64) {
         self.credit.completed(fingerprint);
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
-        if suspect.unpaid() > 0 && self.credit.pay(fingerprint) {
-            suspect.pay();
+        if suspect.unforgiven() > 0 && self.credit.spend(fingerprint) {
+            suspect.forgive_one();
         }
     }
 
-    /// Says whether a request may run.
+    /// Returns whether a request may run, and with what restriction.
     pub fn status(&self, now: Duration, fingerprint: u64) -> PoisonStatus {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return PoisonStatus::Clear;
         };
         let age = suspect.age(now);
-        if suspect.unpaid() == 0 || age >= self.limits.hold {
+        if suspect.unforgiven() == 0 || age >= self.limits.refusal_time {
             return PoisonStatus::Clear;
         }
-        if suspect.unpaid() < self.limits.crashes {
+        if suspect.unforgiven() < self.limits.crashes {
             return PoisonStatus::Suspect;
         }
-        let hold = self.hold_of(fingerprint, suspect);
-        if age >= hold {
+        let refusal_time = self.refusal_time_of(fingerprint, suspect);
+        if age >= refusal_time {
             return PoisonStatus::Suspect;
         }
         PoisonStatus::Refused {
-            retry_after: hold.saturating_sub(age),
+            retry_after: refusal_time.saturating_sub(age),
         }
     }
 
-    /// Whether good answers paid for a crash of the request.
-    pub fn was_good(&self, fingerprint: u64) -> bool {
+    /// Returns whether successful completions offset a crash of the request.
+    pub fn was_forgiven(&self, fingerprint: u64) -> bool {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.is_some_and(SuspectRecord::was_good)
+        suspect.is_some_and(SuspectRecord::was_forgiven)
     }
 
-    /// Returns the rows in memory.
-    pub fn rows(&self) -> impl Iterator<Item = &CrashRecord> {
-        self.rows.iter().map(|(_, row)| row)
+    /// Returns the records in memory, oldest first.
+    pub fn records(&self) -> impl Iterator<Item = &CrashRecord> {
+        self.records.iter().map(|(_, record)| record)
     }
 
-    fn hold_of(&self, fingerprint: u64, suspect: &SuspectRecord) -> Duration {
-        let beyond = suspect.unpaid() > self.limits.crashes;
+    fn refusal_time_of(&self, fingerprint: u64, suspect: &SuspectRecord) -> Duration {
+        let above_limit = suspect.unforgiven() > self.limits.crashes;
         // Several servers that end together, as after a bad release, each have the
-        // popular requests in flight. One that was answered well before is more
-        // likely such a bystander than guilty, and refused it can't show it.
-        let beyond = beyond && !suspect.was_good();
-        if beyond || self.was_alone(fingerprint) {
-            self.limits.hold
+        // frequent requests in flight. A request with successful completions is more likely
+        // one of these than the cause, and it can't complete again while it is refused.
+        let above_limit = above_limit && !suspect.was_forgiven();
+        if above_limit || self.crashed_alone(fingerprint) {
+            self.limits.refusal_time
         } else {
-            self.limits.hold / COMPANY_HOLD_DIVISOR
+            self.limits.refusal_time / SHARED_CRASH_DIVISOR
         }
     }
 
-    fn was_alone(&self, fingerprint: u64) -> bool {
+    fn crashed_alone(&self, fingerprint: u64) -> bool {
         self.crashes.values().any(|crash| crash == &[fingerprint])
     }
 
     fn expire(&mut self, now: Duration) {
-        let memory = self.limits.hold;
-        while let Some((at, _)) = self.rows.front() {
+        let memory = self.limits.refusal_time;
+        while let Some((at, _)) = self.records.front() {
             if now.saturating_sub(*at) < memory {
                 break;
             }
@@ -159,19 +159,19 @@
     }
 
     fn forget_oldest(&mut self) {
-        let Some((_, row)) = self.rows.pop_front() else {
+        let Some((_, record)) = self.records.pop_front() else {
             return;
         };
-        if let Some(crash) = self.crashes.get_mut(&row.start) {
-            crash.retain(|&fingerprint| fingerprint != row.fingerprint);
+        if let Some(crash) = self.crashes.get_mut(&record.start) {
+            crash.retain(|&fingerprint| fingerprint != record.fingerprint);
             if crash.is_empty() {
-                self.crashes.remove(&row.start);
+                self.crashes.remove(&record.start);
             }
         }
-        if let Some(suspect) = self.suspects.get_mut(&row.fingerprint) {
+        if let Some(suspect) = self.suspects.get_mut(&record.fingerprint) {
             suspect.forget_one();
             if suspect.crashes() == 0 {
-                self.suspects.remove(&row.fingerprint);
+                self.suspects.remove(&record.fingerprint);
             }
         }
     }
--- a/crates/node/src/crash/poison_status.rs
+++ b/crates/node/src/crash/poison_status.rs
@@ -1,18 +1,19 @@
-//! What the register says about a request.
+//! Status of a request in the poison registry.
 
 use std::time::Duration;
 
-/// Standing of a request with the poison register.
+/// Status of a request in the poison registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PoisonStatus {
-    /// Nothing is held against it.
+    /// No crash counts against the request.
     Clear,
-    /// It was running when a backend server crashed: it is never retried, and runs beside no
-    /// other such request.
+    /// The request was running when a backend server crashed.
+    ///
+    /// It is never retried, and never runs beside another suspect.
     Suspect,
-    /// It is refused as `Poisoned`, and did not run.
+    /// The request is refused as `Poisoned` and doesn't run.
     Refused {
-        /// Time after which it may be sent again.
+        /// Time after which the request may be sent again.
         retry_after: Duration,
     },
 }
--- a/crates/node/src/crash/request_fingerprint.rs
+++ b/crates/node/src/crash/request_fingerprint.rs
@@ -1,4 +1,4 @@
-//! Hashes by which a request that comes again is known.
+//! Hashes that identify a request that is sent again.
 
 use http::{HeaderMap, Method, Uri, header};
 use xxhash_rust::xxh3::Xxh3Default;
--- a/crates/node/src/crash/suspect_record.rs
+++ b/crates/node/src/crash/suspect_record.rs
@@ -1,15 +1,15 @@
-//! What is held against one request.
+//! Crash count of one request.
 
 use std::time::Duration;
 
-/// Crashes of one fingerprint.
+/// Crashes of one fingerprint, and how many of them were offset.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SuspectRecord {
-    /// Crashes in memory.
+    /// Number of crashes whose records are in memory.
     crashes: u32,
-    /// How many of them good completions paid off.
-    paid: u32,
-    /// Time of the latest crash heard of.
+    /// Number of these crashes that successful completions offset.
+    forgiven: u32,
+    /// Time at which the latest crash was recorded on this node.
     latest: Duration,
 }
 
@@ -17,7 +17,7 @@
     pub(super) const fn new(now: Duration) -> Self {
         Self {
             crashes: 0,
-            paid: 0,
+            forgiven: 0,
             latest: now,
         }
     }
@@ -28,30 +28,30 @@
         self.latest = now;
     }
 
-    /// Takes one crash off the count for a run of good completions.
-    pub(super) fn pay(&mut self) {
-        self.paid = (self.paid + 1).min(self.crashes);
+    /// Offsets one crash by successful completions.
+    pub(super) fn forgive_one(&mut self) {
+        self.forgiven = (self.forgiven + 1).min(self.crashes);
     }
 
-    /// Drops the oldest crash; a paid one goes first.
+    /// Removes the oldest crash, counting it as an offset one if there are any.
     pub(super) fn forget_one(&mut self) {
         self.crashes = self.crashes.saturating_sub(1);
-        self.paid = self.paid.saturating_sub(1);
+        self.forgiven = self.forgiven.saturating_sub(1);
     }
 
-    /// Returns the crashes in memory, paid off or not.
+    /// Returns the number of crashes in memory, offset or not.
     pub(super) const fn crashes(&self) -> u32 {
         self.crashes
     }
 
-    /// Returns the crashes that count.
-    pub(super) const fn unpaid(&self) -> u32 {
-        self.crashes - self.paid
+    /// Returns the number of crashes that weren't offset.
+    pub(super) const fn unforgiven(&self) -> u32 {
+        self.crashes - self.forgiven
     }
 
-    /// Reports whether good completions paid for one of the crashes.
-    pub(super) const fn was_good(&self) -> bool {
-        self.paid > 0
+    /// Returns whether successful completions offset one of the crashes.
+    pub(super) const fn was_forgiven(&self) -> bool {
+        self.forgiven > 0
     }
 
     /// Returns the time since the latest crash.
--- a/crates/node/src/discovery/era_watch.rs
+++ b/crates/node/src/discovery/era_watch.rs
@@ -22,6 +22,6 @@
         }
         known = era;
         core.announcement_changed.notify_one();
-        core.inbound.broken_runs().write_again(core.clock.now());
+        core.inbound.broken_runs().requeue_written(core.clock.now());
     }
 }
--- a/crates/node/tests/all/poison.rs
+++ b/crates/node/tests/all/poison.rs
@@ -14,7 +14,7 @@
 const POISON: u64 = 1;
 const TERMS: PoisonLimits = PoisonLimits {
     crashes: 2,
-    hold: Duration::from_secs(600),
+    refusal_time: Duration::from_secs(600),
 };
 const SECOND: Duration = Duration::from_secs(1);
 /// Second from which the crashing request is sent.
@@ -97,12 +97,12 @@
 /// for the whole hold. One crash more is proof enough for one in company.
 #[test]
 fn the_guilty_stay_out_for_the_whole_hold() {
-    let hold = Duration::from_secs(600);
+    let refusal_time = Duration::from_secs(600);
     let mut registry = PoisonRegistry::new(TERMS);
     for instance in 0..2 {
         registry.record(SECOND, row(POISON, instance, 1));
     }
-    let retry_after = hold;
+    let retry_after = refusal_time;
     assert_eq!(
         registry.status(SECOND, POISON),
         PoisonStatus::Refused { retry_after }
@@ -115,7 +115,10 @@
         registry.status(SECOND, 2),
         PoisonStatus::Refused { retry_after }
     );
-    assert_eq!(registry.status(SECOND + hold, POISON), PoisonStatus::Clear);
+    assert_eq!(
+        registry.status(SECOND + refusal_time, POISON),
+        PoisonStatus::Clear
+    );
 }
 
 /// A price sat beside a crash that another request caused. Sixteen good answers
@@ -167,7 +170,7 @@
             registry.record(SECOND, row((crash * 12 + beside) as u64, crash, 1));
         }
     }
-    assert_eq!(registry.rows().count(), 4_096);
+    assert_eq!(registry.records().count(), 4_096);
     assert_eq!(registry.status(SECOND, 11_999), PoisonStatus::Suspect);
     assert_eq!(registry.status(SECOND, 0), PoisonStatus::Clear);
 }
