--- a/crates/node/tests/all/poison.rs
+++ b/crates/node/tests/all/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers, and innocents that ran beside them.
+//! Requests that crash backend servers, and requests that only ran beside them.
 
 use std::time::Duration;
 
@@ -12,95 +12,98 @@
 use crate::support::start;
 
 const POISON: u64 = 1;
-const TERMS: PoisonLimits = PoisonLimits {
+const LIMITS: PoisonLimits = PoisonLimits {
     crashes: 2,
     refusal_time: Duration::from_secs(600),
 };
 const SECOND: Duration = Duration::from_secs(1);
-/// Second from which the crashing request is sent.
+/// Second from which the request that crashes backend servers is sent.
 const FIRST_SENT: u32 = 30;
 
-fn row(fingerprint: u64, instance: usize, announced: u64) -> CrashRecord {
+fn crash_record(fingerprint: u64, instance: usize, announced: u64) -> CrashRecord {
     CrashRecord {
         fingerprint,
         start: start(format!("till-{instance}-{announced}")),
     }
 }
 
-fn refused(status: PoisonStatus) -> bool {
+fn is_refused(status: PoisonStatus) -> bool {
     matches!(status, PoisonStatus::Refused { .. })
 }
 
-/// What a person resending one request a second does to a service of five
-/// servers, each with the ten hottest prices and a rare request in flight, over
-/// ten minutes.
-struct Resends {
+/// Result of resending a request that crashes backend servers once a second for ten minutes.
+///
+/// The service has five backend servers. Each has ten frequent requests and a rare one in
+/// flight when it crashes.
+struct ResendResult {
     crashes: u32,
-    hot_refused: u32,
-    cold_refused: u32,
+    frequent_refused: u32,
+    rare_refused: u32,
 }
 
-fn resend(guarded: bool) -> Resends {
+fn simulate_resends(guarded: bool) -> ResendResult {
     let mut rng = StdRng::seed_from_u64(9);
-    let mut registry = PoisonRegistry::new(TERMS);
-    let hot: Vec<u64> = (100..140).collect();
-    let mut result = Resends {
+    let mut registry = PoisonRegistry::new(LIMITS);
+    let frequent: Vec<u64> = (100..140).collect();
+    let mut result = ResendResult {
         crashes: 0,
-        hot_refused: 0,
-        cold_refused: 0,
+        frequent_refused: 0,
+        rare_refused: 0,
     };
-    let mut cold_beside = Vec::new();
+    let mut rare_beside = Vec::new();
     for second in 0..600u32 {
         let now = SECOND * second;
         for _ in 0..50 {
-            let price = *hot.choose(&mut rng).unwrap();
-            if refused(registry.status(now, price)) {
-                result.hot_refused += 1;
+            let fingerprint = *frequent.choose(&mut rng).unwrap();
+            if is_refused(registry.status(now, fingerprint)) {
+                result.frequent_refused += 1;
             } else {
-                registry.completed(price);
+                registry.completed(fingerprint);
             }
         }
         let sent = second >= FIRST_SENT;
-        if sent && (!guarded || !refused(registry.status(now, POISON))) {
+        if sent && (!guarded || !is_refused(registry.status(now, POISON))) {
             let instance = result.crashes as usize % 5;
             let announced = u64::from(result.crashes);
-            registry.record(now, row(POISON, instance, announced));
-            for &beside in &hot[..10] {
-                registry.record(now, row(beside, instance, announced));
+            registry.record(now, crash_record(POISON, instance, announced));
+            for &beside in &frequent[..10] {
+                registry.record(now, crash_record(beside, instance, announced));
             }
-            let cold = 1_000 + u64::from(result.crashes / 2);
-            registry.record(now, row(cold, instance, announced));
-            cold_beside.push(cold);
+            let rare = 1_000 + u64::from(result.crashes / 2);
+            registry.record(now, crash_record(rare, instance, announced));
+            rare_beside.push(rare);
             result.crashes += 1;
         }
-        let cold = cold_beside.first().copied().unwrap_or_default();
-        result.cold_refused += u32::from(refused(registry.status(now, cold)));
+        let rare = rare_beside.first().copied().unwrap_or_default();
+        result.rare_refused += u32::from(is_refused(registry.status(now, rare)));
     }
     result
 }
 
-/// Guards against a request that crashes server after server, and refusing others long for it.
+/// Guards against a request that crashes one backend server after another, and against
+/// long refusals of requests that only ran beside it.
 #[test]
-fn poison_is_stopped_and_innocents_are_not() {
-    let (guarded, naive) = (resend(true), resend(false));
+fn the_cause_of_crashes_is_refused_and_bystanders_are_not() {
+    let (guarded, unguarded) = (simulate_resends(true), simulate_resends(false));
     println!(
-        "crashes {} / naive {}, hot refused {}, cold refused for {} s of 600",
-        guarded.crashes, naive.crashes, guarded.hot_refused, guarded.cold_refused
+        "crashes {} / unguarded {}, frequent refused {}, rare refused for {} s of 600",
+        guarded.crashes, unguarded.crashes, guarded.frequent_refused, guarded.rare_refused
     );
     assert_eq!(guarded.crashes, 3);
-    assert_eq!(naive.crashes, 600 - FIRST_SENT);
-    assert_eq!(guarded.hot_refused, 0);
-    assert!(guarded.cold_refused <= 60);
+    assert_eq!(unguarded.crashes, 600 - FIRST_SENT);
+    assert_eq!(guarded.frequent_refused, 0);
+    assert!(guarded.rare_refused <= 60);
 }
 
-/// A request that was alone on both servers can't be a bystander: it stays out
-/// for the whole hold. One crash more is proof enough for one in company.
+/// Guards against refusing the cause of crashes too briefly. A request that was the only
+/// one running at a crash is the cause, and stays refused for the whole time. One that ran
+/// beside others stays refused as long after one crash above the limit.
 #[test]
-fn the_guilty_stay_out_for_the_whole_hold() {
+fn the_cause_of_crashes_stays_refused_for_the_whole_time() {
     let refusal_time = Duration::from_secs(600);
-    let mut registry = PoisonRegistry::new(TERMS);
+    let mut registry = PoisonRegistry::new(LIMITS);
     for instance in 0..2 {
-        registry.record(SECOND, row(POISON, instance, 1));
+        registry.record(SECOND, crash_record(POISON, instance, 1));
     }
     let retry_after = refusal_time;
     assert_eq!(
@@ -108,8 +111,8 @@
         PoisonStatus::Refused { retry_after }
     );
     for instance in 10..13 {
-        registry.record(SECOND, row(2, instance, 1));
-        registry.record(SECOND, row(3, instance, 1));
+        registry.record(SECOND, crash_record(2, instance, 1));
+        registry.record(SECOND, crash_record(3, instance, 1));
     }
     assert_eq!(
         registry.status(SECOND, 2),
@@ -121,53 +124,55 @@
     );
 }
 
-/// A price sat beside a crash that another request caused. Sixteen good answers
-/// later it may be retried again like any other.
+/// Guards against holding a request back for good that ran beside the cause of a crash.
+/// Sixteen successful completions offset the crash.
 #[test]
-fn good_answers_clear_a_suspect() {
-    let mut registry = PoisonRegistry::new(TERMS);
-    registry.record(SECOND, row(2, 0, 1));
+fn completions_clear_a_suspect() {
+    let mut registry = PoisonRegistry::new(LIMITS);
+    registry.record(SECOND, crash_record(2, 0, 1));
     (0..15).for_each(|_| registry.completed(2));
     assert_eq!(registry.status(SECOND, 2), PoisonStatus::Suspect);
     registry.completed(2);
     assert_eq!(registry.status(SECOND, 2), PoisonStatus::Clear);
 }
 
-/// A price that was fine all day turns bad with new data and now crashes each
-/// server. Its past buys it one crash, no more.
+/// Guards against credit that grows without bound. A request that completed all day and
+/// then crashes each backend server, as its data changed, is refused after only one crash
+/// more than an unknown one.
 #[test]
-fn a_good_past_buys_one_crash() {
-    let mut registry = PoisonRegistry::new(TERMS);
+fn past_completions_offset_only_one_crash() {
+    let mut registry = PoisonRegistry::new(LIMITS);
     (0..100_000).for_each(|_| registry.completed(POISON));
     let mut crashes = 0;
-    while !refused(registry.status(SECOND, POISON)) {
-        registry.record(SECOND, row(POISON, crashes, 1));
+    while !is_refused(registry.status(SECOND, POISON)) {
+        registry.record(SECOND, crash_record(POISON, crashes, 1));
         crashes += 1;
     }
     assert_eq!(crashes, 3);
 }
 
-/// Guards against refusing a popular lookup for over a minute after servers ended together.
+/// Guards against refusing a frequent lookup for over a minute after several backend
+/// servers crashed together while each ran it.
 #[test]
-fn servers_lost_together_shut_a_popular_lookup_out_for_a_minute() {
-    let mut registry = PoisonRegistry::new(TERMS);
+fn crashes_together_refuse_a_frequent_lookup_for_a_minute_at_most() {
+    let mut registry = PoisonRegistry::new(LIMITS);
     (0..1_000).for_each(|_| registry.completed(7));
     for instance in 0..4 {
-        registry.record(SECOND, row(7, instance, 1));
-        registry.record(SECOND, row(100 + instance as u64, instance, 1));
+        registry.record(SECOND, crash_record(7, instance, 1));
+        registry.record(SECOND, crash_record(100 + instance as u64, instance, 1));
     }
-    let verdicts = [2, 61, 300].map(|at| refused(registry.status(SECOND * at, 7)));
-    assert_eq!(verdicts, [true, false, false]);
+    let refused = [2, 61, 300].map(|at| is_refused(registry.status(SECOND * at, 7)));
+    assert_eq!(refused, [true, false, false]);
 }
 
-/// A bad release crashes hundreds of servers. Memory stays bounded, and the
-/// rows of the latest crashes are the ones kept.
+/// Guards against unbounded memory after a bad release that crashes hundreds of backend
+/// servers. The records of the latest crashes are kept.
 #[test]
 fn memory_is_bounded() {
-    let mut registry = PoisonRegistry::new(TERMS);
+    let mut registry = PoisonRegistry::new(LIMITS);
     for crash in 0..1_000usize {
         for beside in 0..12 {
-            registry.record(SECOND, row((crash * 12 + beside) as u64, crash, 1));
+            registry.record(SECOND, crash_record((crash * 12 + beside) as u64, crash, 1));
         }
     }
     assert_eq!(registry.records().count(), 4_096);
@@ -178,34 +183,36 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Rows reach nodes in any order and more than once; every node must come
-    /// to the same verdict as one that counts distinct crashes in a plain set.
+    /// Guards against nodes that disagree on a request. Records reach nodes in any order and
+    /// more than once, and every node must decide like one that counts distinct crashes in
+    /// a plain set.
     #[test]
-    fn order_and_doubles_change_nothing(
+    fn order_and_duplicates_change_nothing(
         crashes in prop::collection::vec((0..4u64, 0..3usize, 0..2u64), 0..40),
     ) {
-        let mut registry = PoisonRegistry::new(TERMS);
-        let mut plain = std::collections::BTreeSet::new();
+        let mut registry = PoisonRegistry::new(LIMITS);
+        let mut distinct = std::collections::BTreeSet::new();
         for &(fingerprint, instance, announced) in &crashes {
-            let new = registry.record(SECOND, row(fingerprint, instance, announced));
-            prop_assert_eq!(new, plain.insert((fingerprint, instance, announced)));
+            let new = registry.record(SECOND, crash_record(fingerprint, instance, announced));
+            prop_assert_eq!(new, distinct.insert((fingerprint, instance, announced)));
         }
-        let mut twin = PoisonRegistry::new(TERMS);
+        let mut reversed = PoisonRegistry::new(LIMITS);
         for &(fingerprint, instance, announced) in crashes.iter().rev() {
-            twin.record(SECOND, row(fingerprint, instance, announced));
+            reversed.record(SECOND, crash_record(fingerprint, instance, announced));
         }
         for fingerprint in 0..4 {
-            let count = plain.iter().filter(|crash| crash.0 == fingerprint).count();
+            let count = distinct.iter().filter(|crash| crash.0 == fingerprint).count();
             let status = registry.status(SECOND, fingerprint);
-            prop_assert_eq!(status, twin.status(SECOND, fingerprint));
+            prop_assert_eq!(status, reversed.status(SECOND, fingerprint));
             prop_assert_eq!(status == PoisonStatus::Clear, count == 0);
-            prop_assert_eq!(refused(status), count >= 2);
+            prop_assert_eq!(is_refused(status), count >= 2);
         }
     }
 
-    /// Moving bytes from the path to the body must change the hash.
+    /// Guards against equal fingerprints of requests that divide the same bytes differently
+    /// between path and body.
     #[test]
-    fn prints_tell_parts_apart(text in "[a-z]{8}", first in 0..9usize, second in 0..9usize) {
+    fn fingerprints_tell_path_and_body_apart(text in "[a-z]{8}", first in 0..9usize, second in 0..9usize) {
         let cut = |at: usize| {
             let uri: Uri = format!("/{}", &text[..at]).parse().unwrap();
             request_fingerprint(&Method::POST, &uri, &HeaderMap::new(), &text.as_bytes()[at..])
