--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether the node calls the store itself.
-    pub fn is_own(&self) -> bool {
+    pub fn is_direct(&self) -> bool {
         self.core.store_access.borrow().is_open()
     }
 
@@ -67,7 +67,7 @@
     ///
     /// When the store can't be reached or refuses.
     pub async fn grant(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
-        if self.is_own() {
+        if self.is_direct() {
             self.core.metrics.store_call("grant");
             let grant = self.store.grant(ttl).await;
             return self.answered(grant);
@@ -91,7 +91,7 @@
     ///
     /// As [`MetaStore::renew`].
     pub async fn renew(&self, lease: LeaseId) -> Result<(), StoreError> {
-        if self.is_own() {
+        if self.is_direct() {
             self.core.metrics.store_call("renew");
             let renewed = self.store.renew(lease).await;
             return self.answered(renewed);
@@ -116,7 +116,7 @@
         write: StoreWrite<'_>,
         call: &'static str,
     ) -> Result<Revision, StoreError> {
-        if self.is_own() {
+        if self.is_direct() {
             self.core.metrics.store_call(call);
             let written = self.store.commit(&[write]).await;
             return self.answered(written);
--- a/crates/node/src/discovery/announcement_key.rs
+++ b/crates/node/src/discovery/announcement_key.rs
@@ -1,23 +1,24 @@
-//! Keys of announcements in the store.
+//! Keys under which nodes announce themselves in the store.
 
 use std::net::SocketAddr;
 
-/// Prefix of the announcements in the store.
+/// Prefix of the keys of announcements in the store.
 pub const MEMBER_PREFIX: &str = "geranium/member/";
-/// Most characters of a data centre's name in a key; keys are limited to 200 bytes.
-const PLACE_MAX: usize = 64;
+/// Maximum number of characters of a data centre's name in a key. The store limits keys
+/// to 200 bytes.
+const DATA_CENTRE_MAX_CHARS: usize = 64;
 
-/// Key of an announcement.
+/// Key of a node's announcement in the store.
 ///
-/// Announcements are grouped by data centre, so that a node that starts can read those
-/// of its neighbours without those of the whole fleet.
+/// Keys are grouped by data centre, so that a node that starts can read the announcements
+/// of its own data centre without those of the whole fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnnouncementKey {
     text: String,
 }
 
 impl AnnouncementKey {
-    /// Makes the key of the node at `peer_addr`.
+    /// Makes the key of the node at `peer_addr` in a data centre.
     ///
     /// # Examples
     ///
@@ -37,13 +38,14 @@
 
     /// Returns the prefix of all keys of a data centre.
     ///
-    /// Characters that would need quoting in a query are replaced. Two data centres may
-    /// share a prefix by that; announcements name their data centre themselves.
+    /// Characters that would have to be escaped in a query are replaced by `_`, and long
+    /// names are cut. Two data centres may therefore share a prefix, but each announcement
+    /// names its own data centre.
     pub fn prefix(data_centre: &str) -> String {
         let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
-        let place = data_centre.chars().take(PLACE_MAX);
-        let place: String = place.map(|c| if plain(c) { c } else { '_' }).collect();
-        format!("{MEMBER_PREFIX}{place}/")
+        let name = data_centre.chars().take(DATA_CENTRE_MAX_CHARS);
+        let name: String = name.map(|c| if plain(c) { c } else { '_' }).collect();
+        format!("{MEMBER_PREFIX}{name}/")
     }
 
     /// Returns the key as text.
@@ -51,8 +53,9 @@
         &self.text
     }
 
-    /// Returns the address of the node whose announcement stands at `key`; none when it
-    /// is another kind of key.
+    /// Returns the address of the node that announces itself under `key`.
+    ///
+    /// None when it isn't the key of an announcement.
     pub fn peer_addr_in(key: &str) -> Option<SocketAddr> {
         let (_, peer_addr) = key.strip_prefix(MEMBER_PREFIX)?.rsplit_once('/')?;
         peer_addr.parse().ok()
--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -1,4 +1,4 @@
-//! Keeps the own announcement in the store.
+//! Keeps this node's announcement in the store.
 
 use std::{rc::Rc, time::Duration};
 
@@ -17,37 +17,36 @@
     store::{LeaseId, MetaStore, Revision, StoreEra, StoreError, StoreWrite},
 };
 
-/// Time after which an announcement that isn't renewed vanishes. Others learn
-/// sooner from their requests that a node is gone; this is for those that
-/// have sent it none.
+/// Time after which the store removes an announcement that isn't renewed. Nodes that send
+/// requests to a node learn sooner that it is gone; the lease is for those that don't.
 const LEASE_TIME: Duration = Duration::from_secs(6);
-/// Time between renewals: two may fail before the lease ends.
-const RENEW_TIME: Duration = Duration::from_secs(2);
+/// Time between renewals of the lease. Two may fail before the lease ends.
+const RENEW_PERIOD: Duration = Duration::from_secs(2);
 
-/// First pause after a round in which no other node reached the store either.
-const PAUSE_FIRST: Duration = Duration::from_millis(500);
-/// Longest pause: three rounds in the time of a lease. While the store is away for
-/// all, each round costs every node two requests.
-const PAUSE_MAX: Duration = Duration::from_secs(2);
+/// First pause after a round of calls in which no other node reached the store either.
+const RETRY_PAUSE_MIN: Duration = Duration::from_millis(500);
+/// Longest pause between such rounds, so that three fit into the time of a lease. While no
+/// node reaches the store, each round costs every node two requests.
+const RETRY_PAUSE_MAX: Duration = Duration::from_secs(2);
 
-/// What stands in the store, as far as this node knows.
+/// State of this node's announcement in the store, as far as the node knows it.
 #[derive(Debug, Default)]
 struct Announcement {
     lease: Option<LeaseId>,
-    /// Revision of the key, which the next write replaces.
+    /// Revision of the key that the next write replaces; 0 when there is no key.
     revision: Revision,
-    /// Revision of the last news of the key that were taken in. The store's
-    /// own answers are newer than the news that came before them.
-    seen: Revision,
+    /// Latest revision of the key that was applied here. The store's answer to a write is
+    /// newer than whatever the watch delivered before it.
+    seen_revision: Revision,
     record: Option<MemberRecord>,
 }
 
-/// Keeps the own announcement in the store until the node stops.
+/// Keeps this node's announcement in the store until the node stops.
 ///
-/// The lease may lapse while the store is away, the store may drop the key unseen, and a
-/// write may be done without an answer, or seconds later. The node sees its own key in
-/// the watch like any other, and writes again whatever doesn't stand there. Every write
-/// names the revision that it replaces, so that a late one finds another revision and
+/// The lease may lapse while the store is away, the store may lose the key without notice,
+/// and a write may take effect without an answer or seconds later. The node therefore
+/// watches its own key like any other, and writes again what is missing there. Every write
+/// names the revision that it replaces, so a delayed write finds another revision and
 /// fails.
 ///
 /// While the store doesn't answer this node, another one makes its calls ([`DelegatingStore`]).
@@ -55,34 +54,34 @@
     let delegating_store = DelegatingStore::new(Rc::clone(&core), store);
     let mut announcement = Announcement::default();
     let mut renew_at = Instant::now();
-    let mut pause = PAUSE_FIRST;
+    let mut pause = RETRY_PAUSE_MIN;
     loop {
-        let own = delegating_store.is_own();
+        let is_direct = delegating_store.is_direct();
         match announcement
             .step(&core, &delegating_store, &mut renew_at)
             .await
         {
             Ok(()) => {
-                announcement.settle(&core);
-                pause = PAUSE_FIRST;
+                announcement.notify_if_stored(&core);
+                pause = RETRY_PAUSE_MIN;
                 select! {
                     () = core.announcement_changed.notified() => {}
                     () = sleep_until(renew_at) => {}
                 }
             }
-            Err(failure) if own => core.store_failed("announcement", &failure),
+            Err(failure) if is_direct => core.store_failed("announcement", &failure),
             Err(failure) => {
-                info!(core.log.logger(), "announcement not kept";
+                info!(core.log.logger(), "announcement not updated";
                     "cause" => %failure, "again_ms" => pause.as_millis() as u64);
                 let _waited = timeout(pause, core.until_store_back()).await;
-                pause = (pause * 2).min(PAUSE_MAX);
+                pause = (pause * 2).min(RETRY_PAUSE_MAX);
             }
         }
     }
 }
 
 impl Announcement {
-    /// Makes one call that is due, if any.
+    /// Makes the calls that are due, if any.
     async fn step(
         &mut self,
         core: &NodeCore,
@@ -90,11 +89,11 @@
         renew_at: &mut Instant,
     ) -> Result<(), StoreError> {
         let key = own_key(core);
-        let wanted = wanted(core);
-        self.see(core);
+        let desired = desired(core);
+        self.apply_watched(core);
         self.enter_era(core.eras.latest());
-        let Some(wanted) = wanted else {
-            *renew_at = Instant::now() + RENEW_TIME;
+        let Some(desired) = desired else {
+            *renew_at = Instant::now() + RENEW_PERIOD;
             return self.withdraw(core, delegating_store, key.as_str()).await;
         };
         let lease = match self.lease {
@@ -106,19 +105,19 @@
                     lease
                 }
             },
-            None => self.take_over(core, delegating_store).await?,
+            None => self.resume_lease(core, delegating_store).await?,
         };
         if Instant::now() >= *renew_at {
-            *renew_at = Instant::now() + RENEW_TIME;
+            *renew_at = Instant::now() + RENEW_PERIOD;
         }
-        if self.stands_for(&wanted) {
+        if self.stands_for(&desired) {
             return Ok(());
         }
-        self.write(core, delegating_store, key.as_str(), wanted, lease)
+        self.write(core, delegating_store, key.as_str(), desired, lease)
             .await
     }
 
-    /// Gives up a lease of an era that is over, and all that was known to stand in the store.
+    /// Discards a lease of an earlier era, and the announcement known to be under it.
     fn enter_era(&mut self, era: StoreEra) {
         if self.lease.is_some_and(|lease| lease.era < era) {
             self.lease = None;
@@ -126,12 +125,11 @@
         }
     }
 
-    /// Keeps the lease and the announcement that an earlier process of this node left, or
-    /// asks for a new lease.
+    /// Renews the lease that an earlier process of this node left, or asks for a new one.
     ///
-    /// Nodes restart more often than their backend servers do, and many at once; each new
-    /// lease and announcement is a call, and a change that every other node hears of.
-    async fn take_over(
+    /// Nodes restart more often than their backend servers do, and many at once. A new lease
+    /// and a new announcement each cost a call, and every other node gets the change.
+    async fn resume_lease(
         &mut self,
         core: &NodeCore,
         delegating_store: &DelegatingStore<impl MetaStore>,
@@ -148,8 +146,8 @@
         core.own_lease.set(None);
         let fleet = core.fleet.borrow();
         let member = fleet.at(core.settings.peer_addr);
-        let standing = member.filter(|member| !member.has_lapsed());
-        self.record = standing.map(|member| member.record.clone());
+        let present = member.filter(|member| !member.has_lapsed());
+        self.record = present.map(|member| member.record.clone());
         self.lease = Some(lease);
         Ok(lease)
     }
@@ -170,25 +168,25 @@
         core: &NodeCore,
         delegating_store: &DelegatingStore<impl MetaStore>,
         key: &str,
-        wanted: MemberRecord,
+        desired: MemberRecord,
         lease: LeaseId,
     ) -> Result<(), StoreError> {
-        let value = serde_json::to_vec(&wanted).map_err(|error| StoreError::Unexpected {
+        let value = serde_json::to_vec(&desired).map_err(|error| StoreError::Unexpected {
             reason: error.to_string(),
         })?;
         let write = StoreWrite::leased(key, &value, self.revision, lease);
         match delegating_store.commit(write, "announce").await {
             Ok(revision) => {
                 info!(core.log.logger(), "announced";
-                    "instance" => %wanted.start,
-                    "state" => <&'static str>::from(wanted.state),
+                    "instance" => %desired.start,
+                    "state" => <&'static str>::from(desired.state),
                     "revision" => revision.0);
                 self.revision = revision;
-                self.seen = revision;
-                self.record = Some(wanted.clone());
+                self.seen_revision = revision;
+                self.record = Some(desired.clone());
                 core.fleet
                     .borrow_mut()
-                    .announce(core.clock.now(), wanted, revision);
+                    .announce(core.clock.now(), desired, revision);
                 Ok(())
             }
             Err(StoreError::Conflict { current, .. }) => {
@@ -205,16 +203,17 @@
         }
     }
 
-    /// Removes the announcement of a backend server that is gone.
+    /// Removes the announcement when the backend server is gone.
     async fn withdraw(
         &mut self,
         core: &NodeCore,
         delegating_store: &DelegatingStore<impl MetaStore>,
         key: &str,
     ) -> Result<(), StoreError> {
-        // An older copy of the store may have brought back the one of a server that left.
-        let brought_back = self.revision != Revision(0) && has_left(core);
-        if self.record.is_none() && !brought_back {
+        // A store restored from an older copy may hold the announcement of a backend server
+        // that has deregistered since.
+        let restored = self.revision != Revision(0) && has_left(core);
+        if self.record.is_none() && !restored {
             return Ok(());
         }
         let removal = StoreWrite::remove(key, self.revision);
@@ -239,40 +238,40 @@
         }
     }
 
-    /// Tells who waits once the store holds what it should.
-    fn settle(&self, core: &NodeCore) {
-        let settled = match wanted(core) {
-            Some(wanted) => self.stands_for(&wanted),
+    /// Notifies those who wait for the announcement, if the store holds the desired state.
+    fn notify_if_stored(&self, core: &NodeCore) {
+        let stored = match desired(core) {
+            Some(desired) => self.stands_for(&desired),
             None => self.record.is_none(),
         };
-        if settled {
+        if stored {
             core.announcement_outdated.set(false);
             core.announced.notify_waiters();
         }
     }
 
-    /// Whether what stands in the store tells others all that matters of `wanted`.
-    fn stands_for(&self, wanted: &MemberRecord) -> bool {
+    /// Returns whether the announcement in the store says all that other nodes need of
+    /// `desired`.
+    fn stands_for(&self, desired: &MemberRecord) -> bool {
         let record = self.record.as_ref();
-        record.is_some_and(|record| record.stands_for(wanted))
+        record.is_some_and(|record| record.stands_for(desired))
     }
 
-    /// Notices what the watch has brought about the own key since the last
-    /// write.
-    fn see(&mut self, core: &NodeCore) {
+    /// Applies what the watch has delivered about the node's own key since the last write.
+    fn apply_watched(&mut self, core: &NodeCore) {
         let fleet = core.fleet.borrow();
         let Some(member) = fleet.at(core.settings.peer_addr) else {
             return;
         };
-        if member.revision() <= self.seen {
+        if member.revision() <= self.seen_revision {
             return;
         }
-        self.seen = member.revision();
-        let stands = !member.has_lapsed();
-        if !stands || Some(&member.record) != self.record.as_ref() {
+        self.seen_revision = member.revision();
+        let is_present = !member.has_lapsed();
+        if !is_present || Some(&member.record) != self.record.as_ref() {
             self.record = None;
         }
-        self.revision = if stands {
+        self.revision = if is_present {
             member.revision()
         } else {
             Revision(0)
@@ -280,7 +279,7 @@
     }
 }
 
-/// Whether the backend server has said its farewell.
+/// Returns whether the backend server has deregistered.
 fn has_left(core: &NodeCore) -> bool {
     let tracker = core.inbound.tracker().borrow();
     tracker
@@ -288,8 +287,8 @@
         .is_some_and(|current| current.deregistered)
 }
 
-/// Returns what should stand in the store.
-fn wanted(core: &NodeCore) -> Option<MemberRecord> {
+/// Returns the announcement that the store should hold; none when it should hold none.
+fn desired(core: &NodeCore) -> Option<MemberRecord> {
     let tracker = core.inbound.tracker().borrow();
     let current: &LocalEndpoint = tracker.current()?;
     if current.deregistered {
--- a/crates/node/src/discovery/update_intake.rs
+++ b/crates/node/src/discovery/apply_updates.rs
@@ -1,10 +1,10 @@
-//! Taking in what another node told.
+//! Applies updates that another node sent.
 
 use std::{collections::HashSet, net::SocketAddr, rc::Rc};
 
 use slog::{error, info, warn};
 
-use super::member_notes::{MemberNotes, MemberRow};
+use super::member_log::{MemberLog, MemberLogEntry};
 use crate::{
     config::MeshConfig,
     distribution::{ConfigUpdate, UpdateResponse},
@@ -13,50 +13,51 @@
     store::Revision,
 };
 
-/// Takes in what another node told.
-pub(super) fn take_answer(core: &NodeCore, from: SocketAddr, answer: UpdateResponse) {
-    if let Some(updates) = answer.config {
-        take_config(core, from, updates);
+/// Applies the configuration, crashes and members of a response to a request for updates.
+pub(super) fn apply_updates(core: &NodeCore, from: SocketAddr, response: UpdateResponse) {
+    if let Some(updates) = response.config {
+        apply_config(core, from, updates);
     }
-    for (revision, row) in answer.crashes {
-        core.record_crash(row, Revision(revision));
+    for (revision, record) in response.crashes {
+        core.record_crash(record, Revision(revision));
     }
-    take_members(core, answer.members);
+    apply_members(core, response.members);
 }
 
-fn take_config(core: &NodeCore, from: SocketAddr, updates: ConfigUpdate) {
-    let before = core.config.borrow().clone();
-    let input = match updates {
+fn apply_config(core: &NodeCore, from: SocketAddr, update: ConfigUpdate) {
+    let current = core.config.borrow().clone();
+    let input = match update {
         ConfigUpdate::Whole(packed) => match packed.unpack() {
             Ok(input) => Some(Rc::new(input)),
             Err(cause) => {
-                error!(core.log.logger(), "configuration unreadable";
+                error!(core.log.logger(), "configuration not decoded";
                     "from" => %from, "in_force" => core.version().0, "cause" => %cause);
                 None
             }
         },
-        ConfigUpdate::Delta(delta) => before
+        ConfigUpdate::Delta(delta) => current
             .as_ref()
-            .and_then(|before| delta.apply(&before.input))
+            .and_then(|current| delta.apply(&current.input))
             .map(Rc::new),
     };
     let Some(input) = input else {
-        // Another way has brought a later version meanwhile.
+        // The value couldn't be decoded, or a newer version arrived otherwise meanwhile, so
+        // that the difference doesn't apply.
         return;
     };
-    match MeshConfig::checked(input, before.as_deref()) {
+    match MeshConfig::checked(input, current.as_deref()) {
         Ok(config) => drop(core.adopt_config(config, "node")),
         Err(cause) => warn!(core.log.logger(), "configuration refused";
             "from" => %from, "in_force" => core.version().0, "cause" => %cause),
     }
 }
 
-fn take_members(core: &NodeCore, updates: MemberUpdate) {
-    let revision = Revision(updates.revision);
+fn apply_members(core: &NodeCore, update: MemberUpdate) {
+    let revision = Revision(update.revision);
     core.eras.observe(revision.era());
-    if updates.whole {
+    if update.whole {
         let now = core.clock.now();
-        let present: HashSet<SocketAddr> = updates
+        let present: HashSet<SocketAddr> = update
             .written
             .iter()
             .map(|(record, _)| record.peer_addr)
@@ -67,24 +68,24 @@
             core.announcement_changed.notify_one();
         }
     }
-    let mut notes = MemberNotes::default();
-    for (record, revision) in updates.written {
-        take_record(core, record, Revision(revision), &mut notes);
+    let mut member_log = MemberLog::default();
+    for (record, revision) in update.written {
+        apply_record(core, record, Revision(revision), &mut member_log);
     }
-    notes.write(core.log.logger());
-    for (peer_addr, revision) in updates.lapsed {
-        take_lapse(core, peer_addr, Revision(revision));
+    member_log.write(core.log.logger());
+    for (peer_addr, revision) in update.lapsed {
+        apply_lapse(core, peer_addr, Revision(revision));
     }
     core.fleet.borrow_mut().advance(revision);
     core.updates.notify_waiters();
 }
 
-/// Takes in an announcement, and notes it if it changes anything.
-pub(super) fn take_record(
+/// Applies an announcement, and adds it to the log entries if it changes anything.
+pub(super) fn apply_record(
     core: &NodeCore,
     record: MemberRecord,
     revision: Revision,
-    notes: &mut MemberNotes,
+    member_log: &mut MemberLog,
 ) {
     let now = core.clock.now();
     if record.peer_addr == core.settings.peer_addr {
@@ -95,14 +96,14 @@
         }
         core.announcement_changed.notify_one();
     }
-    let row = MemberRow::new(&record, revision);
+    let entry = MemberLogEntry::new(&record, revision);
     if core.fleet.borrow_mut().announce(now, record, revision) {
-        notes.push(row);
+        member_log.push(entry);
     }
 }
 
-/// Takes in that an announcement is missing.
-pub(super) fn take_lapse(core: &NodeCore, peer_addr: SocketAddr, revision: Revision) {
+/// Applies the absence of a node's announcement.
+pub(super) fn apply_lapse(core: &NodeCore, peer_addr: SocketAddr, revision: Revision) {
     let known = core
         .fleet
         .borrow_mut()
--- a/crates/node/src/discovery/config_source.rs
+++ b/crates/node/src/discovery/config_source.rs
@@ -1,12 +1,12 @@
-//! Where the operators' configuration lies.
+//! Location of the operators' configuration in the store.
 
 use crate::config::{ConfigError, ConfigInput};
 
-/// Where the operators' configuration lies in the store, and how it is read.
+/// Key of the operators' configuration in the store, and its parser.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigSource {
-    /// Key.
+    /// Key that holds the configuration.
     pub key: &'static str,
-    /// Reads a value.
+    /// Parses the value of the key.
     pub parse: fn(&[u8]) -> Result<ConfigInput, ConfigError>,
 }
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -15,23 +15,23 @@
     store::{MetaStore, Revision, StoreError, StoreEvent, StoreItem},
 };
 
-/// Longest wait of a watch; the store allows 30 s. A connection gone silent
-/// for good is noticed after this and a second at most.
+/// Longest wait of one watch call; the store allows 30 s. A connection that has gone
+/// silent for good is noticed a second after this time at most.
 const WATCH_WAIT: Duration = Duration::from_secs(6);
-/// Pause after a change, in which further ones gather. Changes come in bursts
-/// of several a second, each watch costs a call, and a change has to be in
-/// force within two seconds.
-const GATHER: Duration = Duration::from_millis(400);
-/// Time between looks at whether this node has to watch.
-const IDLE_LOOK: Duration = Duration::from_millis(500);
+/// Pause after a change in which further ones are collected. Changes come in bursts of
+/// several a second, each watch costs a call, and a change has to be in force within two
+/// seconds.
+const GATHER_TIME: Duration = Duration::from_millis(400);
+/// Time between checks whether this node has to watch the store.
+const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// Watches the configuration in the store while this node has to.
+/// Watches the configuration in the store while this node has that duty.
 pub async fn watch_config(core: Rc<NodeCore>, store: Rc<impl MetaStore>, source: ConfigSource) {
     let mut after: Option<Revision> = None;
     loop {
         if !core.watches_store() {
             after = None;
-            let _idle = timeout(IDLE_LOOK, core.watch_duty_changed.notified()).await;
+            let _idle = timeout(IDLE_CHECK_PERIOD, core.watch_duty_changed.notified()).await;
             continue;
         }
         core.until_store_back().await;
@@ -45,7 +45,7 @@
             Ok(revision) => {
                 core.store_answered();
                 after = Some(revision);
-                sleep(GATHER).await;
+                sleep(GATHER_TIME).await;
             }
             Err(StoreError::HistoryGone) => after = None,
             Err(failure) => core.store_failed("configuration", &failure),
@@ -63,12 +63,12 @@
         .read(source.key, core.first_read_consistency())
         .await?;
     if let Some(item) = &read.item {
-        take(core, source, item);
+        adopt(core, source, item);
     }
     Ok(read.revision)
 }
 
-/// Waits for a change, or until this node needn't watch any more.
+/// Waits for a change, or until this node doesn't have to watch any more.
 async fn watch_step(
     core: &NodeCore,
     store: &impl MetaStore,
@@ -80,19 +80,19 @@
         batch = store.watch(source.key, after, WATCH_WAIT) => batch?,
         () = core.until_watch_ends() => return Ok(after),
     };
-    // Only the last counts: earlier ones were replaced meanwhile.
+    // Only the last version counts, as it replaced the earlier ones.
     let written = batch.events.iter().rev().find_map(|event| match event {
         StoreEvent::Written(item) if item.key == source.key => Some(item),
         _ => None,
     });
     if let Some(item) = written {
-        take(core, source, item);
+        adopt(core, source, item);
     }
     Ok(batch.revision.max(after))
 }
 
-/// Puts a document in force; one that is bad leaves the old in force.
-fn take(core: &NodeCore, source: ConfigSource, item: &StoreItem) {
+/// Puts a configuration in force; an invalid one leaves the present one in force.
+fn adopt(core: &NodeCore, source: ConfigSource, item: &StoreItem) {
     let before = core.config.borrow().clone();
     let input = (source.parse)(&item.value);
     let checked = input.and_then(|input| MeshConfig::checked(input.into(), before.as_deref()));
--- a/crates/node/src/discovery/era_watch.rs
+++ b/crates/node/src/discovery/era_watch.rs
@@ -1,4 +1,4 @@
-//! What a node does when the store has come back from an older copy.
+//! Reaction of a node to a store that was restored from an older copy.
 
 use std::rc::Rc;
 
@@ -6,16 +6,15 @@
 
 use crate::node_core::NodeCore;
 
-/// Watches for eras of the store until the node ends, and has the node write again what it
-/// wants to stand there.
+/// Writes this node's data again after each new era of the store, until the node ends.
 ///
-/// Watches and leases of the era before are given up where they are used. The members are
-/// listed anew by those who watch them, and others hear of them from these.
+/// Whoever uses a watch or a lease of the earlier era discards it. Nodes that watch the
+/// members list them again, and other nodes get them from these.
 pub async fn watch_eras(core: Rc<NodeCore>) {
     let mut known = core.eras.latest();
     loop {
         let era = core.eras.after(known).await;
-        // A node that starts meets the present one first.
+        // A node that starts first learns the present era, which is no change.
         if core.fleet.borrow().revision().number() > 0 {
             warn!(core.log.logger(), "store era changed";
                 "before" => known.0, "era" => era.0);
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -1,4 +1,4 @@
-//! Watches the announcements in the store.
+//! Watches the announcements and crashes in the store.
 
 use std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -11,9 +11,9 @@
 
 use super::{
     AnnouncementKey, NODE_PREFIX,
-    member_notes::MemberNotes,
+    apply_updates::{apply_lapse, apply_record},
+    member_log::MemberLog,
     own_key,
-    update_intake::{take_lapse, take_record},
 };
 use crate::{
     crash::CRASH_PREFIX,
@@ -22,31 +22,34 @@
     store::{MetaStore, ReadConsistency, Revision, StoreError, StoreEvent, StoreItem},
 };
 
-/// Longest wait of a watch; the store allows 30 s. A connection gone silent
-/// for good is noticed after this and a second at most.
+/// Longest wait of one watch call; the store allows 30 s. A connection that has gone
+/// silent for good is noticed a second after this time at most.
 const WATCH_WAIT: Duration = Duration::from_secs(6);
-/// Pause after a change, in which further ones gather: each watch costs a
-/// call, and until the news is here the inbound proxies refuse what comes too late.
-const GATHER: Duration = Duration::from_millis(250);
-/// Time between lists while a new fleet announces itself: heartbeats come each
-/// second and a half.
-const SETTLE_LOOK: Duration = Duration::from_millis(500);
-/// Time between looks at whether this node has to watch.
-const IDLE_LOOK: Duration = Duration::from_millis(500);
+/// Pause after a change in which further ones are collected, as each watch costs a call.
+/// Until the change arrives here, the inbound proxies refuse requests that come too late.
+const GATHER_TIME: Duration = Duration::from_millis(250);
+/// Time between listings while a new fleet announces itself. Heartbeats come every second
+/// and a half.
+const SETTLE_LIST_PERIOD: Duration = Duration::from_millis(500);
+/// Time between checks whether this node has to watch the store.
+const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// Watches the announcements in the store while this node has to.
+/// Watches the announcements and crashes in the store while this node has that duty.
+///
+/// First lists the members of its data centre, unless the whole fleet starts for the first
+/// time.
 pub async fn watch_members(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
         if !core.knows_local_members() {
             core.until_store_back().await;
-            match list_home(&core, &*store).await {
+            match list_local_members(&core, &*store).await {
                 Ok(()) => core.local_members_listed(),
                 Err(failure) => core.store_failed("members", &failure),
             }
             continue;
         }
         if !core.watches_store() {
-            let _idle = timeout(IDLE_LOOK, core.watch_duty_changed.notified()).await;
+            let _idle = timeout(IDLE_CHECK_PERIOD, core.watch_duty_changed.notified()).await;
             continue;
         }
         core.until_store_back().await;
@@ -61,20 +64,25 @@
             Ok(()) => {
                 core.store_answered();
                 core.updates.notify_waiters();
-                sleep(if settling { SETTLE_LOOK } else { GATHER }).await;
+                sleep(if settling {
+                    SETTLE_LIST_PERIOD
+                } else {
+                    GATHER_TIME
+                })
+                .await;
             }
             Err(failure) => core.store_failed("members", &failure),
         }
     }
 }
 
-/// Reads the announcements of this data centre, among which is the node that is to be
-/// asked for all else.
-async fn list_home(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
+/// Reads the announcements of this data centre, which include that of the node to ask for
+/// all others.
+async fn list_local_members(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
     core.metrics.store_call("list-home");
     let prefix = AnnouncementKey::prefix(&core.settings.data_centre);
     let list = store.list(&prefix, ReadConsistency::Linearizable).await?;
-    let present: Vec<SocketAddr> = take_items(core, &list.items);
+    let present: Vec<SocketAddr> = apply_items(core, &list.items);
     let key = own_key(core);
     let own = list.items.iter().find(|item| item.key == key.as_str());
     core.own_lease.set(own.and_then(|item| item.lease));
@@ -90,7 +98,7 @@
     let list = store
         .list(NODE_PREFIX, core.first_read_consistency())
         .await?;
-    let present: HashSet<SocketAddr> = take_items(core, &list.items).into_iter().collect();
+    let present: HashSet<SocketAddr> = apply_items(core, &list.items).into_iter().collect();
     let now = core.clock.now();
     let mut fleet = core.fleet.borrow_mut();
     fleet.listed(now, list.revision, |peer_addr| present.contains(peer_addr));
@@ -101,8 +109,8 @@
     Ok(())
 }
 
-/// Waits for a change, or until this node needn't watch any more. A history
-/// that is gone is made up for by a list.
+/// Waits for a change, or until this node doesn't have to watch any more. Lists the members
+/// when the store no longer has the history after `after`.
 async fn watch_step(
     core: &NodeCore,
     store: &impl MetaStore,
@@ -117,58 +125,58 @@
         Err(StoreError::HistoryGone) => return list_members(core, store).await,
         batch => batch?,
     };
-    let mut notes = MemberNotes::default();
+    let mut member_log = MemberLog::default();
     for event in &batch.events {
         match event {
-            StoreEvent::Written(item) => drop(take_item(core, item, &mut notes)),
-            StoreEvent::Deleted { key, revision } => take_removal(core, key, *revision),
+            StoreEvent::Written(item) => drop(apply_item(core, item, &mut member_log)),
+            StoreEvent::Deleted { key, revision } => apply_removal(core, key, *revision),
         }
     }
-    notes.write(core.log.logger());
+    member_log.write(core.log.logger());
     core.fleet.borrow_mut().advance(batch.revision);
     Ok(())
 }
 
-/// Takes in items, and returns whose announcements are among them.
-fn take_items(core: &NodeCore, items: &[StoreItem]) -> Vec<SocketAddr> {
-    let mut notes = MemberNotes::default();
+/// Applies items, and returns the addresses of the nodes whose announcements they hold.
+fn apply_items(core: &NodeCore, items: &[StoreItem]) -> Vec<SocketAddr> {
+    let mut member_log = MemberLog::default();
     let taken = items
         .iter()
-        .filter_map(|item| take_item(core, item, &mut notes));
+        .filter_map(|item| apply_item(core, item, &mut member_log));
     let peer_addrs = taken.collect();
-    notes.write(core.log.logger());
+    member_log.write(core.log.logger());
     peer_addrs
 }
 
-/// Takes in an item, and returns whose announcement it is.
+/// Applies an item, and returns the address of the node if it is an announcement.
 ///
-/// Another writer may have put something else there: fields are missing or of another
-/// type, it is no announcement at all, or it stands where a member's was. It names
-/// nobody. A member whose place it took has no announcement any more, as if that had been
-/// removed, and its own node writes it again. The other items are taken in all the same.
-fn take_item(core: &NodeCore, item: &StoreItem, notes: &mut MemberNotes) -> Option<SocketAddr> {
+/// Another program may have written the key: fields are missing or have another type, the
+/// value isn't an announcement, or it replaced that of a member. Such an item gives no
+/// address. The member whose announcement it replaced is treated as if that was removed,
+/// and its own node writes it again. The other items are still applied.
+fn apply_item(core: &NodeCore, item: &StoreItem, member_log: &mut MemberLog) -> Option<SocketAddr> {
     if item.key.starts_with(CRASH_PREFIX) {
-        take_crashes(core, item);
+        apply_crashes(core, item);
         return None;
     }
     let cause = match parse_record(item) {
         Ok(record) if key_of(&record).as_str() == item.key => {
             let peer_addr = record.peer_addr;
-            take_record(core, record, item.revision, notes);
+            apply_record(core, record, item.revision, member_log);
             return Some(peer_addr);
         }
-        Ok(record) => format!("it is of {}", record.peer_addr),
+        Ok(record) => format!("the value announces the node at {}", record.peer_addr),
         Err(cause) => cause.to_string(),
     };
     error!(core.log.logger(), "announcement unreadable";
         "key" => &*item.key, "revision" => item.revision.0, "cause" => cause);
-    take_removal(core, &item.key, item.revision);
+    apply_removal(core, &item.key, item.revision);
     None
 }
 
-/// Takes in that there is no announcement at a key. A key at which its node wouldn't
-/// announce itself says nothing of a member.
-fn take_removal(core: &NodeCore, key: &str, revision: Revision) {
+/// Applies the absence of an announcement at a key. A key under which the node wouldn't
+/// announce itself has no effect on a member.
+fn apply_removal(core: &NodeCore, key: &str, revision: Revision) {
     let Some(peer_addr) = AnnouncementKey::peer_addr_in(key) else {
         return;
     };
@@ -177,7 +185,7 @@
         fleet.at(peer_addr).map(|member| key_of(&member.record))
     };
     if known.is_none_or(|known| known.as_str() == key) {
-        take_lapse(core, peer_addr, revision);
+        apply_lapse(core, peer_addr, revision);
     }
 }
 
@@ -189,14 +197,14 @@
     serde_json::from_slice(&item.value)
 }
 
-fn take_crashes(core: &NodeCore, item: &StoreItem) {
+fn apply_crashes(core: &NodeCore, item: &StoreItem) {
     match serde_json::from_slice::<Vec<CrashRecord>>(&item.value) {
-        Ok(rows) => {
-            for row in rows {
-                core.record_crash(row, item.revision);
+        Ok(records) => {
+            for record in records {
+                core.record_crash(record, item.revision);
             }
         }
-        Err(cause) => error!(core.log.logger(), "crash unreadable";
+        Err(cause) => error!(core.log.logger(), "crash records not decoded";
             "key" => &*item.key, "cause" => %cause),
     }
 }
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,27 +1,27 @@
-//! Following what the store holds, and announcing there.
+//! Discovery of the configuration and the members, and this node's announcement.
 //!
-//! Every call to the store is paid for, and its rates grow more slowly than
-//! the fleet. So only one node of each data centre watches it, as [`RelaySelector`]
-//! chooses; [`watch_config`] and [`watch_members`] run there. The others ask
-//! that node, which holds each question until it has news ([`follow_relay`],
-//! [`UpdateHandler`]). Whoever hears on the way of a request that another node
-//! holds a later configuration, asks that one ([`catch_up`]).
-//! [`keep_announced`] keeps the own announcement under a lease. While the
-//! store is away everyone keeps what they have, and only [`probe_store`]
-//! calls it ([`StoreAccess`]): often at the nodes that others follow, which tell
-//! them when it is back.
+//! Every call to the store is paid for, and the rate of calls must grow more slowly than
+//! the fleet. Therefore only one node of each data centre, the relay that
+//! [`RelaySelector`] chooses, watches the store by [`watch_config`] and [`watch_members`].
+//! The other nodes send their requests to the relay, which holds each one until it has an
+//! update ([`follow_relay`], [`UpdateHandler`]). A node that learns from a request or a
+//! response that another node holds a newer configuration asks that node ([`catch_up`]).
+//! [`keep_announced`] keeps this node's announcement under a lease. While the store is
+//! away, every node keeps the data that it has, and only [`probe_store`] calls the store
+//! ([`StoreAccess`]). Relays do so often, and tell the nodes that follow them when it is
+//! back.
 
 mod announcement_key;
 mod announcer;
+mod apply_updates;
 mod config_source;
 mod config_watcher;
 mod era_watch;
-mod fleet_follower;
-mod member_notes;
+mod member_log;
 mod member_watcher;
 mod store_probe;
+mod update_client;
 mod update_handler;
-mod update_intake;
 
 #[cfg(doc)]
 use crate::distribution::{RelaySelector, StoreAccess};
@@ -32,15 +32,15 @@
 pub use config_source::ConfigSource;
 pub use config_watcher::watch_config;
 pub use era_watch::watch_eras;
-pub use fleet_follower::{catch_up, follow_relay};
 pub use member_watcher::watch_members;
 pub use store_probe::probe_store;
+pub use update_client::{catch_up, follow_relay};
 pub use update_handler::{UPDATE_PATH, UpdateHandler};
 
-/// Returns the key of a node's own announcement.
+/// Returns the key of this node's announcement.
 pub(crate) fn own_key(core: &NodeCore) -> AnnouncementKey {
     AnnouncementKey::new(&core.settings.data_centre, core.settings.peer_addr)
 }
 
-/// Prefix of all that nodes keep in the store.
+/// Prefix of all keys that nodes write to the store.
 pub const NODE_PREFIX: &str = "geranium/";
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -1,4 +1,4 @@
-//! Looks whether the store is back.
+//! Probes a lost store until it answers again.
 
 use std::rc::Rc;
 
@@ -11,22 +11,21 @@
     store::{MetaStore, ReadConsistency},
 };
 
-/// Looks whether the store answers again, whenever a call to it failed, until
-/// the node ends.
+/// Probes the store after each failed call until it answers, as long as the node runs.
 pub async fn probe_store(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     let key = own_key(&core);
     loop {
         core.store_lost.notified().await;
-        while until_look_due(&core).await {
+        while until_probe_due(&core).await {
             core.metrics.store_call("look");
-            let looked = store
+            let probed = store
                 .read(key.as_str(), ReadConsistency::Serializable)
                 .await;
             let mut access = core.store_access.borrow_mut();
-            if looked.is_ok() {
+            if probed.is_ok() {
                 access.probe_succeeded();
             } else {
-                // It was logged as lost when the first call failed.
+                // The loss was logged when the first call failed.
                 access.failed();
                 drop(access);
                 core.tell_store_lost();
@@ -36,12 +35,12 @@
     }
 }
 
-/// Waits until the next look is due; false when the store is back meanwhile.
+/// Waits until the next probe is due, and returns false when the store is back before.
 ///
-/// The pause is chosen anew whenever the node's duty changes: a follower that loses its
-/// relay must look by itself soon.
-async fn until_look_due(core: &NodeCore) -> bool {
-    let since = Instant::now();
+/// The pause is computed again whenever the node's duty changes, since a node that loses
+/// its relay must probe the store itself soon.
+async fn until_probe_due(core: &NodeCore) -> bool {
+    let started = Instant::now();
     let share: f64 = rand::rng().random();
     loop {
         if core.store_access.borrow().is_open() {
@@ -51,7 +50,7 @@
             .store_access
             .borrow()
             .pause(core.store_probe_duty(), share);
-        let due = since + pause;
+        let due = started + pause;
         if timeout_at(due, core.watch_duty_changed.notified())
             .await
             .is_err()
--- /dev/null
+++ b/crates/node/src/discovery/update_client.rs
@@ -0,0 +1,182 @@
+//! Requests updates of the configuration and the members from other nodes.
+
+use std::{net::SocketAddr, rc::Rc, time::Duration};
+
+use bytes::Bytes;
+use http::Method;
+use slog::warn;
+use snafu::Snafu;
+use tokio::time::{sleep, timeout};
+
+use super::{UPDATE_PATH, apply_updates::apply_updates};
+use crate::{
+    distribution::{StoreReachability, UpdateRequest, UpdateResponse, UpdateSource},
+    node_core::NodeCore,
+    transport::{CallError, NodeCall},
+};
+
+/// Longest time that a relay holds a request until it has an update. Its response also
+/// says how long ago the store answered it, so a relay that is cut off from the store is
+/// skipped a second or two after that shows.
+const UPDATE_WAIT: Duration = Duration::from_secs(2);
+/// Longest wait of a node without a configuration. Its callers are refused until another
+/// node is asked.
+const FIRST_UPDATE_WAIT: Duration = Duration::from_millis(400);
+/// Time beyond the wait in which the response has to arrive, also over the slowest links.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(1_200);
+/// Pause between requests in which further updates are collected.
+const UPDATE_PAUSE: Duration = Duration::from_millis(100);
+/// Time between checks for a relay while this node watches the store itself.
+const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
+/// Time that the relay has to send a newer configuration before another node that holds it
+/// is asked.
+const RELAY_HEAD_START: Duration = Duration::from_millis(700);
+
+/// Failure of a request for updates.
+#[derive(Debug, Snafu)]
+enum UpdateError {
+    /// The call to the node failed.
+    #[snafu(display("{source}"), context(false))]
+    Call {
+        /// Failure of the call.
+        source: CallError,
+    },
+    /// The response can't be decoded.
+    #[snafu(display("{source}"), context(false))]
+    Malformed {
+        /// Failure of the decoder.
+        source: serde_json::Error,
+    },
+}
+
+/// Polls the relay for updates while there is one.
+///
+/// A relay that dies, hangs or is cut off from the store shows by a request that fails, or
+/// by the age of its last contact with the store. It is skipped for some seconds, and the
+/// next one is asked, or the store itself when none is left. A relay that the store refuses
+/// says so at once, so that a change is in force in time even where the store refuses
+/// every relay at the same moment.
+pub async fn follow_relay(core: Rc<NodeCore>) {
+    let mut lost_relay: Option<SocketAddr> = None;
+    loop {
+        match core.update_source() {
+            UpdateSource::Store => {
+                let _idle = timeout(IDLE_CHECK_PERIOD, core.watch_duty_changed.notified()).await;
+            }
+            UpdateSource::Node(peer_addr) => {
+                let relay_lost_store =
+                    request_from_relay(&core, peer_addr, lost_relay == Some(peer_addr)).await;
+                lost_relay = relay_lost_store.then_some(peer_addr);
+                sleep(UPDATE_PAUSE).await;
+            }
+        }
+    }
+}
+
+/// Requests updates from the relay once, and returns whether it has lost the store.
+async fn request_from_relay(core: &NodeCore, peer_addr: SocketAddr, lost_known: bool) -> bool {
+    let wait = if core.version().0 == 0 {
+        FIRST_UPDATE_WAIT
+    } else {
+        UPDATE_WAIT
+    };
+    let request = update_request(core, wait, lost_known);
+    let response = request_updates(core, peer_addr, request).await;
+    let now = core.clock.now();
+    let relay_lost_store = match response {
+        Ok(response) => {
+            let contact = StoreReachability {
+                age: Duration::from_millis(response.store_age_ms),
+                lost: response.store_lost,
+            };
+            if contact.lost && !lost_known {
+                warn!(core.log.logger(), "relay has lost the store";
+                    "at" => %peer_addr, "version" => core.version().0,
+                    "answered_ms_ago" => response.store_age_ms);
+            }
+            if lost_known && !contact.lost {
+                core.record_store_reached(peer_addr);
+            }
+            if core
+                .relay_selector
+                .borrow_mut()
+                .record_contact(now, peer_addr, contact)
+            {
+                core.recheck_store();
+            }
+            apply_updates(core, peer_addr, response);
+            contact.lost
+        }
+        Err(cause) => {
+            warn!(core.log.logger(), "request to the relay failed";
+                "at" => %peer_addr, "version" => core.version().0, "cause" => %cause);
+            core.relay_selector.borrow_mut().failed(now, peer_addr);
+            false
+        }
+    };
+    core.watch_duty_changed.notify_waiters();
+    relay_lost_store
+}
+
+/// Requests a newer configuration from a node that holds one.
+///
+/// When the relay hangs, or the store refuses this node while it has no relay, the rest of
+/// the fleet adopts a change and this node still serves its callers by the older
+/// configuration. Nodes name the version that they hold with every request and response.
+/// When this node learns of a newer one and its relay doesn't send it soon, the node that
+/// named it is asked.
+pub async fn catch_up(core: Rc<NodeCore>) {
+    loop {
+        core.newer_config_known.notified().await;
+        if core.version().0 > 0 {
+            sleep(RELAY_HEAD_START).await;
+        }
+        let Some((version, peer_addr)) = core.newer_config_at.borrow_mut().take() else {
+            continue;
+        };
+        if version <= core.version() {
+            continue;
+        }
+        match request_updates(
+            &core,
+            peer_addr,
+            update_request(&core, Duration::ZERO, true),
+        )
+        .await
+        {
+            Ok(response) => apply_updates(&core, peer_addr, response),
+            Err(cause) => warn!(core.log.logger(), "newer configuration not fetched";
+                "at" => %peer_addr, "version" => version.0, "cause" => %cause),
+        }
+    }
+}
+
+fn update_request(core: &NodeCore, wait: Duration, lost_known: bool) -> UpdateRequest {
+    UpdateRequest {
+        version: core.version(),
+        members: core.fleet.borrow().revision(),
+        wait,
+        lost_known,
+    }
+}
+
+async fn request_updates(
+    core: &NodeCore,
+    peer_addr: SocketAddr,
+    request: UpdateRequest,
+) -> Result<UpdateResponse, UpdateError> {
+    let call = NodeCall {
+        method: Method::GET,
+        path: format!("{UPDATE_PATH}?{request}"),
+        body: Bytes::new(),
+        time: request.wait + RESPONSE_MARGIN,
+    };
+    let response_body = call
+        .send(
+            &core.peer_connections,
+            peer_addr,
+            core.settings.peer_idle_timeout,
+        )
+        .await?;
+    Ok(serde_json::from_slice(&response_body)?)
+}
--- a/crates/node/src/discovery/update_handler.rs
+++ b/crates/node/src/discovery/update_handler.rs
@@ -1,4 +1,4 @@
-//! Tells other nodes what they ask.
+//! HTTP handler for other nodes' requests for updates.
 
 use std::rc::Rc;
 
@@ -12,73 +12,74 @@
     response_body::{ResponseBody, empty_response, json_response},
 };
 
-/// Path at which a node tells others what they ask.
+/// Path at which a node answers requests for updates.
 pub const UPDATE_PATH: &str = "/.geranium/follow";
 
-/// Tells other nodes what they ask, as soon as there are news.
+/// Answers requests for updates of the configuration, the members and the crashes.
 #[derive(Debug, Clone)]
 pub struct UpdateHandler {
     core: Rc<NodeCore>,
 }
 
 impl UpdateHandler {
-    /// Makes the port of a node.
+    /// Makes the handler of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
-    /// Answers a question.
+    /// Answers as soon as there is an update, or when the request's wait ends.
+    ///
+    /// A query that can't be parsed gets status 400.
     pub async fn answer(&self, uri: &Uri) -> Response<ResponseBody> {
-        let question = uri.query().unwrap_or_default().parse::<UpdateRequest>();
-        let Ok(question) = question else {
+        let request = uri.query().unwrap_or_default().parse::<UpdateRequest>();
+        let Ok(request) = request else {
             return empty_response(StatusCode::BAD_REQUEST);
         };
-        // Whoever waits follows this node; who doesn't asks in passing.
-        if !question.wait.is_zero() {
+        // A node that waits uses this one as its relay. One that doesn't asks only once.
+        if !request.wait.is_zero() {
             self.core.asked();
         }
-        let answer = self.wait_for_news(question).await;
-        json_response(&answer).unwrap_or_else(|cause| {
-            slog::error!(self.core.log.logger(), "news not written"; "cause" => %cause);
+        let response = self.wait_for_update(request).await;
+        json_response(&response).unwrap_or_else(|cause| {
+            slog::error!(self.core.log.logger(), "update not encoded"; "cause" => %cause);
             empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         })
     }
 
-    async fn wait_for_news(&self, question: UpdateRequest) -> UpdateResponse {
-        let until = Instant::now() + question.wait;
+    async fn wait_for_update(&self, request: UpdateRequest) -> UpdateResponse {
+        let until = Instant::now() + request.wait;
         loop {
-            let heard = self.core.updates.notified();
-            let answer = self.update_for(question);
-            // A node that starts knows its own data centre at first.
-            let members = &answer.members;
+            let notified = self.core.updates.notified();
+            let response = self.update_for(request);
+            // At revision 0 a starting node knows only the members of its own data centre.
+            let members = &response.members;
             let no_members = members.is_empty() || members.revision == 0;
-            let empty = answer.config.is_none() && no_members && answer.crashes.is_empty();
-            let changed = answer.store_lost != question.lost_known;
+            let empty = response.config.is_none() && no_members && response.crashes.is_empty();
+            let changed = response.store_lost != request.lost_known;
             if !empty || changed || Instant::now() >= until {
-                return answer;
+                return response;
             }
-            // The end of the wait is answered, too: it tells how old the
-            // contact with the store is.
-            let _ended = timeout_at(until, heard).await;
+            // The response at the end of the wait says how old the contact with the store is.
+            let _ended = timeout_at(until, notified).await;
         }
     }
 
-    fn update_for(&self, question: UpdateRequest) -> UpdateResponse {
+    fn update_for(&self, request: UpdateRequest) -> UpdateResponse {
         let now = self.core.clock.now();
         let relay_selector = self.core.relay_selector.borrow();
         UpdateResponse {
             store_age_ms: relay_selector.store_age(now).as_millis() as u64,
             store_lost: relay_selector.has_lost_store(),
-            config: self.config_news(question.version),
-            crashes: self.core.crashes.borrow().records_since(question.members),
-            members: self.core.fleet.borrow().update_since(question.members),
+            config: self.config_update(request.version),
+            crashes: self.core.crashes.borrow().records_since(request.members),
+            members: self.core.fleet.borrow().update_since(request.members),
         }
     }
 
-    fn config_news(&self, version: ConfigVersion) -> Option<ConfigUpdate> {
+    fn config_update(&self, version: ConfigVersion) -> Option<ConfigUpdate> {
         let updates = self.core.history.borrow().update_for(version);
         updates.unwrap_or_else(|cause| {
-            slog::error!(self.core.log.logger(), "configuration not packed";
+            slog::error!(self.core.log.logger(), "configuration not encoded";
                 "version" => self.core.version().0, "cause" => %cause);
             None
         })
