--- a/crates/node/src/delegation/delegated_call.rs
+++ b/crates/node/src/delegation/delegated_call.rs
@@ -1,4 +1,4 @@
-//! One call to the store, made for another node.
+//! Calls to the store that one node makes for another.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
     store::{LeaseId, MetaStore, Revision, StoreChange, StoreEra, StoreError, StoreWrite},
 };
 
-/// Longest lease that is asked for on behalf of another node: announcements live
-/// for some seconds.
+/// Longest lease that a node acquires for another one. Leases of announcements last some
+/// seconds.
 const LEASE_MAX: Duration = Duration::from_secs(30);
 
-/// One call to the store, made for another node.
+/// Call to the store that a node makes for another one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DelegatedCall {
-    /// Ask for a lease.
+    /// Grants a lease.
     Grant {
-        /// Milliseconds for which it lasts.
+        /// Time in milliseconds for which the lease lasts without a renewal.
         ttl_ms: u64,
     },
-    /// Renew a lease.
+    /// Renews a lease.
     Renew {
         /// Number of the lease.
         lease: u64,
@@ -30,13 +30,13 @@
         #[serde(default)]
         era: StoreEra,
     },
-    /// Write a key, or remove it.
+    /// Writes or removes a key.
     Write {
-        /// Key.
+        /// Key to write.
         key: String,
-        /// Revision that it must have; 0 when it must not exist.
+        /// Revision that the key must have; 0 when it must not exist.
         expected: u64,
-        /// Value with its lease; none to remove the key.
+        /// Value with the number of its lease; none to remove the key.
         value: Option<(String, u64)>,
         /// Era of the value's lease.
         #[serde(default)]
@@ -44,23 +44,23 @@
     },
 }
 
-/// What became of a delegated call.
+/// Outcome of a delegated call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DelegatedOutcome {
-    /// The lease is granted.
+    /// The lease was granted.
     Granted {
         /// Number of the lease.
         lease: u64,
         /// Era of the lease.
         #[serde(default)]
         era: StoreEra,
-        /// Milliseconds for which it lasts.
+        /// Time in milliseconds for which the lease lasts without a renewal.
         ttl_ms: u64,
     },
-    /// The lease is renewed.
+    /// The lease was renewed.
     Renewed,
-    /// The key is written.
+    /// The key was written or removed.
     Written {
         /// Revision of the change.
         revision: u64,
@@ -72,13 +72,15 @@
     },
     /// The lease has ended.
     NoLease,
-    /// The store didn't answer; a write may have been done.
+    /// The call failed, or wasn't made. A write may have taken effect all the same.
     Failed,
 }
 
 impl DelegatedCall {
-    /// Makes the delegated call of a write; none when its value is no text.
-    pub fn of_write(write: &StoreWrite<'_>) -> Option<Self> {
+    /// Makes the delegated call for a write.
+    ///
+    /// None when the value isn't UTF-8 or has no lease.
+    pub fn from_write(write: &StoreWrite<'_>) -> Option<Self> {
         let value = match write.change {
             StoreChange::Put { value, lease } => {
                 let text = String::from_utf8(value.to_vec()).ok()?;
@@ -96,8 +98,9 @@
         })
     }
 
-    /// Whether it is one that nodes do for one another: it concerns announcements
-    /// and short leases only.
+    /// Returns whether a node makes this call for another one.
+    ///
+    /// Only announcements and short leases are allowed.
     ///
     /// # Examples
     ///
@@ -121,13 +124,14 @@
         }
     }
 
-    /// Makes the call.
+    /// Makes the call to the store.
     ///
     /// # Errors
     ///
-    /// When the store can't be reached or refuses.
+    /// When the store can't be reached or refuses the call. A conflict and an ended lease are
+    /// outcomes.
     pub async fn run(&self, store: &impl MetaStore) -> Result<DelegatedOutcome, StoreError> {
-        let done = match self {
+        let result = match self {
             Self::Grant { ttl_ms } => {
                 let grant = store.grant(Duration::from_millis(*ttl_ms)).await;
                 grant.map(|grant| DelegatedOutcome::Granted {
@@ -137,7 +141,7 @@
                 })
             }
             Self::Renew { lease, era } => {
-                let renewed = store.renew(lease_of(*era, *lease)).await;
+                let renewed = store.renew(lease_id(*era, *lease)).await;
                 renewed.map(|()| DelegatedOutcome::Renewed)
             }
             Self::Write {
@@ -149,7 +153,7 @@
                 let expected = Revision(*expected);
                 let write = match value {
                     Some((text, lease)) => {
-                        let lease = lease_of(*era, *lease);
+                        let lease = lease_id(*era, *lease);
                         StoreWrite::leased(key, text.as_bytes(), expected, lease)
                     }
                     None => StoreWrite::remove(key, expected),
@@ -160,16 +164,16 @@
                 })
             }
         };
-        match done {
+        match result {
             Err(StoreError::Conflict { current, .. }) => {
                 Ok(DelegatedOutcome::Conflict { current: current.0 })
             }
             Err(StoreError::NoLease) => Ok(DelegatedOutcome::NoLease),
-            done => done,
+            result => result,
         }
     }
 }
 
-const fn lease_of(era: StoreEra, number: u64) -> LeaseId {
+const fn lease_id(era: StoreEra, number: u64) -> LeaseId {
     LeaseId { era, number }
 }
--- a/crates/node/src/delegation/delegated_call_handler.rs
+++ b/crates/node/src/delegation/delegated_call_handler.rs
@@ -1,4 +1,4 @@
-//! Takes delegated calls of other nodes.
+//! HTTP handler for delegated calls from other nodes.
 
 use std::rc::Rc;
 
@@ -13,31 +13,35 @@
     response_body::{ResponseBody, empty_response, json_response},
 };
 
-/// Path at which a node takes delegated calls of others.
+/// Path to which other nodes post delegated calls.
 pub const DELEGATED_CALL_PATH: &str = "/.geranium/errand";
-/// Longest delegated call: an announcement is some 300 bytes.
-const BODY_MAX: usize = 16 * 1024;
+/// Maximum size of a delegated call. An announcement takes some 300 bytes.
+const BODY_MAX_BYTES: usize = 16 * 1024;
 
-/// Takes delegated calls of other nodes.
+/// Handles delegated calls from other nodes.
 #[derive(Debug, Clone)]
 pub struct DelegatedCallHandler {
     core: Rc<NodeCore>,
 }
 
 impl DelegatedCallHandler {
-    /// Makes the port of a node.
+    /// Makes the handler of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
-    /// Answers a delegated call with what became of it.
+    /// Queues a delegated call and answers with its outcome.
+    ///
+    /// A body that can't be decoded and a call that isn't allowed get status 400.
     pub async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
-        let body = Limited::new(request.into_body(), BODY_MAX).collect().await;
+        let body = Limited::new(request.into_body(), BODY_MAX_BYTES)
+            .collect()
+            .await;
         let call = body
             .ok()
             .and_then(|body| serde_json::from_slice::<DelegatedCall>(&body.to_bytes()).ok());
         let Some(call) = call.filter(DelegatedCall::is_allowed) else {
-            warn!(self.core.log.logger(), "errand refused"; "cause" => "not one of a node");
+            warn!(self.core.log.logger(), "delegated call refused"; "cause" => "not one of a node");
             return empty_response(StatusCode::BAD_REQUEST);
         };
         let outcome = match self.core.delegated_calls.submit(call) {
@@ -45,7 +49,7 @@
             None => DelegatedOutcome::Failed,
         };
         json_response(&outcome).unwrap_or_else(|cause| {
-            error!(self.core.log.logger(), "outcome not written"; "cause" => %cause);
+            error!(self.core.log.logger(), "outcome not encoded"; "cause" => %cause);
             empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         })
     }
--- a/crates/node/src/delegation/delegated_call_queue.rs
+++ b/crates/node/src/delegation/delegated_call_queue.rs
@@ -1,4 +1,4 @@
-//! Delegated calls that wait to be run.
+//! Queue of delegated calls from other nodes.
 
 use std::{cell::RefCell, collections::VecDeque, rc::Rc, time::Duration};
 
@@ -8,36 +8,41 @@
 use super::{DelegatedCall, DelegatedOutcome};
 use crate::{node_core::NodeCore, store::MetaStore};
 
-/// Delegated calls that may wait. Nodes that have lost the store send one in two seconds
-/// each; a call takes milliseconds.
-const WAITING_MAX: usize = 64;
-/// Time since the store's last answer after which a delegated call that failed is taken
-/// for a sign that this node has lost the store too.
-const ANSWER_RECENT: Duration = Duration::from_millis(500);
+/// Maximum number of delegated calls that wait. Each node that has lost the store sends one
+/// every two seconds, and a call takes milliseconds.
+const WAITING_CALLS_MAX: usize = 64;
+/// Time since the store's last answer after which a failed delegated call means that this
+/// node has lost the store, too.
+const RECENT_ANSWER_TIME: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct WaitingCall {
     call: DelegatedCall,
-    done: oneshot::Sender<DelegatedOutcome>,
+    outcome_sender: oneshot::Sender<DelegatedOutcome>,
 }
 
-/// Delegated calls that wait to be run.
+/// Queue of delegated calls that wait to be made.
 #[derive(Debug, Default)]
 pub struct DelegatedCallQueue {
     waiting: RefCell<VecDeque<WaitingCall>>,
-    heard: Notify,
+    call_added: Notify,
 }
 
 impl DelegatedCallQueue {
-    /// Takes a delegated call in; nothing when too many wait.
+    /// Queues a delegated call and returns the receiver of its outcome.
+    ///
+    /// None when too many calls wait.
     pub fn submit(&self, call: DelegatedCall) -> Option<oneshot::Receiver<DelegatedOutcome>> {
         let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() >= WAITING_MAX {
+        if waiting.len() >= WAITING_CALLS_MAX {
             return None;
         }
-        let (done, outcome) = oneshot::channel();
-        waiting.push_back(WaitingCall { call, done });
-        self.heard.notify_one();
+        let (outcome_sender, outcome) = oneshot::channel();
+        waiting.push_back(WaitingCall {
+            call,
+            outcome_sender,
+        });
+        self.call_added.notify_one();
         Some(outcome)
     }
 
@@ -46,15 +51,19 @@
     }
 }
 
-/// Runs the delegated calls of other nodes until this one ends.
+/// Makes the delegated calls of other nodes one after another, until this node ends.
 pub async fn run_delegated_calls(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
-        while let Some(WaitingCall { call, done }) = core.delegated_calls.take() {
+        while let Some(WaitingCall {
+            call,
+            outcome_sender,
+        }) = core.delegated_calls.take()
+        {
             let outcome = run(&core, &*store, &call).await;
-            // Whoever asked may have given up meanwhile.
-            let _heard = done.send(outcome);
+            // The node that sent the call may have given up meanwhile.
+            let _delivered = outcome_sender.send(outcome);
         }
-        core.delegated_calls.heard.notified().await;
+        core.delegated_calls.call_added.notified().await;
     }
 }
 
@@ -70,10 +79,10 @@
         }
         Err(cause) => {
             let age = core.relay_selector.borrow().store_age(core.clock.now());
-            if age > ANSWER_RECENT {
+            if age > RECENT_ANSWER_TIME {
                 core.store_failed("errand", &cause);
             } else {
-                warn!(core.log.logger(), "errand failed"; "cause" => %cause);
+                warn!(core.log.logger(), "delegated call failed"; "cause" => %cause);
             }
             DelegatedOutcome::Failed
         }
--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -1,4 +1,4 @@
-//! The way by which a node's announcement comes to the store.
+//! Access to the store that falls back to calls by other nodes.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -14,63 +14,65 @@
     transport::{CallError, NodeCall},
 };
 
-/// Longest time for a delegated call: the store's call takes one at most.
-const DELEGATED_CALL_TIME: Duration = Duration::from_millis(1_300);
-/// Nodes asked in one round.
-const ASKED_MAX: usize = 2;
+/// Timeout of a delegated call. The call to the store itself takes one second at most.
+const DELEGATED_CALL_TIMEOUT: Duration = Duration::from_millis(1_300);
+/// Maximum number of nodes that are asked to make one call.
+const DELEGATES_MAX: usize = 2;
 
 /// Failure of a delegated call.
 #[derive(Debug, Snafu)]
 enum DelegationError {
-    /// The node can't be asked.
+    /// The call to the other node failed.
     #[snafu(display("{source}"), context(false))]
     Call {
-        /// What was met.
+        /// Failure of the call.
         source: CallError,
     },
-    /// The delegated call or its outcome can't be written as text, or read.
+    /// The delegated call can't be encoded, or its outcome can't be decoded.
     #[snafu(display("{source}"), context(false))]
-    Text {
-        /// What was met.
+    Json {
+        /// Failure of the JSON encoder or decoder.
         source: serde_json::Error,
     },
 }
 
-/// The way by which a node's announcement comes to the store: its own calls, or
-/// those of another node while the store doesn't answer this one.
+/// Store access for this node's announcement.
+///
+/// The node calls the store itself, or has another node make the calls while the store
+/// doesn't answer this one.
 #[derive(Debug)]
 pub struct DelegatingStore<S> {
     core: Rc<NodeCore>,
     store: Rc<S>,
     /// Node that made the last delegated call.
-    helper: Cell<Option<SocketAddr>>,
+    delegate: Cell<Option<SocketAddr>>,
 }
 
 impl<S: MetaStore> DelegatingStore<S> {
-    /// Makes the way of a node.
+    /// Makes the access of a node to `store`.
     pub const fn new(core: Rc<NodeCore>, store: Rc<S>) -> Self {
         Self {
             core,
             store,
-            helper: Cell::new(None),
+            delegate: Cell::new(None),
         }
     }
 
-    /// Whether the node calls the store itself.
+    /// Returns whether the node now calls the store itself.
     pub fn is_direct(&self) -> bool {
         self.core.store_access.borrow().is_open()
     }
 
-    /// Asks for a lease.
+    /// Acquires a lease.
     ///
     /// # Errors
     ///
-    /// When the store can't be reached or refuses.
+    /// When the store can't be reached or refuses the call.
     pub async fn grant(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
         if self.is_direct() {
             self.core.metrics.store_call("grant");
             let grant = self.store.grant(ttl).await;
-            return self.answered(grant);
+            return self.record_result(grant);
         }
         let ttl_ms = ttl.as_millis() as u64;
         match self.send(&DelegatedCall::Grant { ttl_ms }).await? {
@@ -81,7 +83,7 @@
                     ttl: Duration::from_millis(ttl_ms),
                 })
             }
-            outcome => Err(unexpected(outcome)),
+            outcome => Err(outcome_error(outcome)),
         }
     }
 
@@ -94,7 +96,7 @@
         if self.is_direct() {
             self.core.metrics.store_call("renew");
             let renewed = self.store.renew(lease).await;
-            return self.answered(renewed);
+            return self.record_result(renewed);
         }
         let delegated_call = DelegatedCall::Renew {
             lease: lease.number,
@@ -102,11 +104,11 @@
         };
         match self.send(&delegated_call).await? {
             DelegatedOutcome::Renewed => Ok(()),
-            outcome => Err(unexpected(outcome)),
+            outcome => Err(outcome_error(outcome)),
         }
     }
 
-    /// Makes a change; `call` names it in the metrics.
+    /// Writes or removes a key; `call` names the store call in the metrics.
     ///
     /// # Errors
     ///
@@ -119,11 +121,11 @@
         if self.is_direct() {
             self.core.metrics.store_call(call);
             let written = self.store.commit(&[write]).await;
-            return self.answered(written);
+            return self.record_result(written);
         }
         let delegated_call =
-            DelegatedCall::of_write(&write).ok_or_else(|| StoreError::Unexpected {
-                reason: "the value is no text".to_owned(),
+            DelegatedCall::from_write(&write).ok_or_else(|| StoreError::Unexpected {
+                reason: "the value isn't UTF-8 text".to_owned(),
             })?;
         match self.send(&delegated_call).await? {
             DelegatedOutcome::Written { revision } => {
@@ -135,50 +137,53 @@
                 key: write.key.to_owned(),
                 current: Revision(current),
             }),
-            outcome => Err(unexpected(outcome)),
+            outcome => Err(outcome_error(outcome)),
         }
     }
 
-    fn answered<T>(&self, done: Result<T, StoreError>) -> Result<T, StoreError> {
-        if done.is_ok() {
+    fn record_result<T>(&self, result: Result<T, StoreError>) -> Result<T, StoreError> {
+        if result.is_ok() {
             self.core.store_answered();
         }
-        done
+        result
     }
 
-    /// Sends a delegated call to a few nodes in turn, first to the one that made the last.
+    /// Sends a delegated call to a few nodes in turn, starting with the last one that made one.
     async fn send(&self, delegated_call: &DelegatedCall) -> Result<DelegatedOutcome, StoreError> {
-        for peer_addr in self.helpers() {
-            match self.ask(peer_addr, delegated_call).await {
+        for peer_addr in self.delegates() {
+            match self.send_to(peer_addr, delegated_call).await {
                 Ok(DelegatedOutcome::Failed) => {}
                 Ok(outcome) => {
-                    if self.helper.replace(Some(peer_addr)) != Some(peer_addr) {
+                    if self.delegate.replace(Some(peer_addr)) != Some(peer_addr) {
                         info!(self.core.log.logger(), "store reached through another node";
                             "at" => %peer_addr);
                     }
                     return Ok(outcome);
                 }
-                Err(cause) => info!(self.core.log.logger(), "errand not taken";
+                Err(cause) => info!(self.core.log.logger(), "delegated call not answered";
                     "at" => %peer_addr, "cause" => %cause),
             }
         }
-        self.helper.set(None);
+        self.delegate.set(None);
         Err(StoreError::NoAnswer {
             reason: "no other node reaches the store".to_owned(),
         })
     }
 
-    fn helpers(&self) -> Vec<SocketAddr> {
-        let last = self.helper.get();
+    fn delegates(&self) -> Vec<SocketAddr> {
+        let last = self.delegate.get();
         let fleet = self.core.fleet.borrow();
         let own = self.core.settings.peer_addr;
         let others = fleet.reachable(self.core.clock.now());
         let others = others.filter(|peer_addr| *peer_addr != own && Some(*peer_addr) != last);
-        let drawn = others.sample(&mut rand::rng(), ASKED_MAX);
-        last.into_iter().chain(drawn).take(ASKED_MAX).collect()
+        let sampled = others.sample(&mut rand::rng(), DELEGATES_MAX);
+        last.into_iter()
+            .chain(sampled)
+            .take(DELEGATES_MAX)
+            .collect()
     }
 
-    async fn ask(
+    async fn send_to(
         &self,
         peer_addr: SocketAddr,
         delegated_call: &DelegatedCall,
@@ -187,22 +192,22 @@
             method: Method::POST,
             path: DELEGATED_CALL_PATH,
             body: serde_json::to_vec(delegated_call)?.into(),
-            time: DELEGATED_CALL_TIME,
+            time: DELEGATED_CALL_TIMEOUT,
         };
         let idle_time = self.core.settings.peer_idle_timeout;
-        let whole = call
+        let response_body = call
             .send(&self.core.peer_connections, peer_addr, idle_time)
             .await?;
-        Ok(serde_json::from_slice(&whole)?)
+        Ok(serde_json::from_slice(&response_body)?)
     }
 }
 
-/// Returns the error that an outcome is which doesn't answer its delegated call.
-fn unexpected(outcome: DelegatedOutcome) -> StoreError {
+/// Converts an outcome that the call to the store doesn't return on success to an error.
+fn outcome_error(outcome: DelegatedOutcome) -> StoreError {
     match outcome {
         DelegatedOutcome::NoLease => StoreError::NoLease,
         outcome => StoreError::Unexpected {
-            reason: format!("errand: {outcome:?}"),
+            reason: format!("unexpected outcome of a delegated call: {outcome:?}"),
         },
     }
 }
--- a/crates/node/src/delegation/mod.rs
+++ b/crates/node/src/delegation/mod.rs
@@ -1,15 +1,15 @@
 //! Calls to the store that one node makes for another.
 //!
-//! The store may turn single nodes away, or the way to it may be cut for them, while they
-//! go on serving callers and reach the other nodes. Without help their announcements
-//! lapse, and their backend servers stand idle. A node that has lost the store asks
-//! another one to keep its announcement ([`DelegatingStore`]): a [`DelegatedCall`] is one call,
-//! made with the lease and the revision of the node that asks, so that what holds of its
-//! own calls holds of these.
+//! The store may refuse single nodes, or the network between them and the store may fail,
+//! while they still serve callers and reach the other nodes. Without help their
+//! announcements would lapse and their backend servers would stay idle. A node that has
+//! lost the store therefore sends its calls to another node ([`DelegatingStore`]). A
+//! [`DelegatedCall`] uses the lease and the revision of the node that sends it, so it gives
+//! the same guarantees as a call by that node itself.
 //!
-//! A node that is cut off from the others as well can't ask, and its announcement lapses
-//! as it should. While the store is away for all, whoever is asked says so at once, and
-//! pauses between rounds grow.
+//! A node that doesn't reach the other nodes either can't delegate, and its announcement
+//! lapses as it should. While no node reaches the store, the nodes that are asked say so at
+//! once, and the pauses between rounds grow.
 
 mod delegated_call;
 mod delegated_call_handler;
