--- a/crates/node/src/crash/broken_runs.rs
+++ b/crates/node/src/crash/broken_runs.rs
@@ -188,7 +188,7 @@
     }
 
     /// Waits until other nodes were notified of the crashes found by [`Self::replaced`].
-    pub async fn until_late_told(&self) {
+    pub async fn until_peers_notified(&self) {
         while self.late_batches_open.get() > 0 || !self.late_crashes.borrow().is_empty() {
             self.late_batch_notified.notified().await;
         }
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -5,7 +5,7 @@
 //! [`RelaySelector`] chooses, watches the store by [`watch_config`] and [`watch_members`].
 //! The other nodes send their requests to the relay, which holds each one until it has an
 //! update ([`follow_relay`], [`UpdateHandler`]). A node that learns from a request or a
-//! response that another node holds a newer configuration asks that node ([`catch_up`]).
+//! response that another node holds a newer configuration asks that node ([`fetch_newer_config`]).
 //! [`keep_announced`] keeps this node's announcement under a lease. While the store is
 //! away, every node keeps the data that it has, and only [`probe_store`] calls the store
 //! ([`StoreAccess`]). Relays do so often, and tell the nodes that follow them when it is
@@ -34,7 +34,7 @@
 pub use era_watch::watch_eras;
 pub use member_watcher::watch_members;
 pub use store_probe::probe_store;
-pub use update_client::{catch_up, follow_relay};
+pub use update_client::{fetch_newer_config, follow_relay};
 pub use update_handler::{UPDATE_PATH, UpdateHandler};
 
 /// Returns the key of this node's announcement.
--- a/crates/node/src/discovery/update_client.rs
+++ b/crates/node/src/discovery/update_client.rs
@@ -125,7 +125,7 @@
 /// configuration. Nodes name the version that they hold with every request and response.
 /// When this node learns of a newer one and its relay doesn't send it soon, the node that
 /// named it is asked.
-pub async fn catch_up(core: Rc<NodeCore>) {
+pub async fn fetch_newer_config(core: Rc<NodeCore>) {
     loop {
         core.newer_config_known.notified().await;
         if core.version().0 > 0 {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -16,7 +16,7 @@
     crash::watch_crashes,
     delegation::run_delegated_calls,
     discovery::{
-        ConfigSource, catch_up, follow_relay, keep_announced, probe_store, watch_config,
+        ConfigSource, fetch_newer_config, follow_relay, keep_announced, probe_store, watch_config,
         watch_eras, watch_members,
     },
     http_listener::{BindError, ConnectionLimits, bind_listener, serve_listener},
@@ -139,7 +139,7 @@
     spawn_local(watch_crashes(Rc::clone(core), Rc::clone(&store)));
     spawn_local(run_delegated_calls(Rc::clone(core), Rc::clone(&store)));
     spawn_local(keep_announced(Rc::clone(core), store));
-    spawn_local(catch_up(Rc::clone(core)));
+    spawn_local(fetch_newer_config(Rc::clone(core)));
     spawn_local(sweep(Rc::clone(core)));
 }
 
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -78,7 +78,7 @@
             while self.announcement_outdated.get() {
                 self.announced.notified().await;
             }
-            self.inbound.broken_runs().until_late_told().await;
+            self.inbound.broken_runs().until_peers_notified().await;
         };
         let _written = timeout(ACK_WAIT, wait).await;
     }
