--- a/crates/node/src/crash/break_diagnosis.rs
+++ b/crates/node/src/crash/break_diagnosis.rs
@@ -13,7 +13,7 @@
     /// The backend server has crashed: its address refuses connections, or another start
     /// of it listens there.
     Crashed,
-    /// The same start of the backend server still runs, and only the answer was lost.
+    /// The backend server still runs, and only the answer was lost.
     AnswerLost,
     /// The probe couldn't tell whether the backend server still runs.
     Unclear,
--- a/crates/node/src/crash/broken_runs.rs
+++ b/crates/node/src/crash/broken_runs.rs
@@ -13,11 +13,11 @@
 /// Time for which a broken run is kept. If another start replaces its backend server in
 /// that time, the run counts as a crash. The platform restarts a server within seconds.
 const RECENT_TIME: Duration = Duration::from_secs(10);
-/// Longest time between a crash and the first heartbeat of the restarted backend server,
-/// where the restart comes before the probe.
+/// Longest time from a crash to the first heartbeat after it. It applies to a backend
+/// server that is restarted before a probe reaches it.
 const RESTART_TIME: Duration = Duration::from_secs(2);
-/// Maximum number of recent broken runs that are kept, enough for a backend server that
-/// breaks every run for some seconds.
+/// Maximum number of recent broken runs that are kept. It is enough for a backend server
+/// that breaks every run for some seconds.
 const RECENT_MAX: usize = 1_024;
 
 /// Run whose connection broke before an answer, and whose sender waits for the cause.
@@ -45,8 +45,8 @@
 #[derive(Debug, Default)]
 pub struct BrokenRuns {
     waiting: RefCell<Vec<BrokenRun>>,
-    /// Start whose runs broke last, and the time at which the first of them broke. Cleared
-    /// when a probe doesn't find the start crashed.
+    /// Start whose runs broke last, and when the first of them broke. Cleared when a probe
+    /// doesn't find the start crashed.
     first_break: RefCell<Option<(EndpointStart, Duration)>>,
     recent: RefCell<Vec<RecentRun>>,
     /// Records of crashes that showed only after the runs were diagnosed otherwise.
@@ -90,7 +90,7 @@
         diagnosis
     }
 
-    /// Drops the runs that were sent after the start crashed, as they weren't running then.
+    /// Drops the runs that were sent after the start crashed. They weren't running then.
     pub(super) fn drop_sent_after_crash(&self, start: &EndpointStart, runs: &mut Vec<BrokenRun>) {
         let first = self.first_break.borrow();
         let crash = first.as_ref().filter(|(crashed, _)| crashed == start);
--- a/crates/node/src/crash/crash_broadcast.rs
+++ b/crates/node/src/crash/crash_broadcast.rs
@@ -34,7 +34,7 @@
     Duration::from_secs(5),
 ];
 
-/// Sends crashes to the nodes whose backend servers get the same requests as this one's.
+/// Sends crashes to the nodes whose backend servers get the same requests.
 ///
 /// Returns once each has answered or missed the timeout; the latter are tried again later.
 pub(super) async fn notify_peers(core: &Rc<NodeCore>, records: &[CrashRecord]) {
@@ -69,7 +69,7 @@
     warn!(core.log.logger(), "peers not notified of a crash"; "nodes" => missed.len());
 }
 
-/// Sends crashes to all the nodes at once, and returns those that couldn't be reached.
+/// Sends crashes to nodes, all at once, and returns those not reached.
 async fn send_to_peers(
     core: &Rc<NodeCore>,
     peers: Vec<SocketAddr>,
--- a/crates/node/src/crash/crash_watch.rs
+++ b/crates/node/src/crash/crash_watch.rs
@@ -71,7 +71,7 @@
     starts
 }
 
-/// Finds out why runs at one start broke, and sends the diagnosis to their senders.
+/// Diagnoses broken runs of one start, and answers their senders.
 async fn diagnose_runs(
     core: Rc<NodeCore>,
     store: Rc<impl MetaStore>,
--- a/crates/node/src/crash/poison_limits.rs
+++ b/crates/node/src/crash/poison_limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Limits from which a request that crashes backend servers is refused, and for how long.
+/// Limits from which requests that crash backend servers are refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoisonLimits {
     /// Number of crashes of backend servers after which a request is refused.
--- a/crates/node/src/crash/poison_registry.rs
+++ b/crates/node/src/crash/poison_registry.rs
@@ -11,12 +11,12 @@
 };
 use crate::member::EndpointStart;
 
-/// Maximum number of records in memory, enough for a release that crashes every backend
-/// server of a data centre with a dozen requests each.
+/// Maximum number of records in memory. It is enough for a release that crashes every
+/// backend server of a data centre with a dozen requests each.
 const RECORDS_MAX: usize = 4_096;
-/// Divisor of the refusal time for requests that weren't the only one running at any of
-/// their crashes and have just reached the limit. Of a dozen such requests one is the
-/// cause, and a wrong guess costs one more crash a minute later.
+/// Divisor of the refusal time for requests that always ran beside others. It applies while
+/// they have no more crashes than the limit. Of a dozen such requests one is the cause, and
+/// a wrong guess costs one more crash a minute later.
 const SHARED_CRASH_DIVISOR: u32 = 10;
 
 /// Counts crashes per request and decides which requests are refused.
--- a/crates/node/src/delegation/delegated_call_queue.rs
+++ b/crates/node/src/delegation/delegated_call_queue.rs
@@ -11,8 +11,8 @@
 /// Maximum number of delegated calls that wait. Each node that has lost the store sends one
 /// every two seconds, and a call takes milliseconds.
 const WAITING_CALLS_MAX: usize = 64;
-/// Time since the store's last answer after which a failed delegated call means that this
-/// node has lost the store, too.
+/// Maximum time since the store's last answer that counts as recent. A delegated call that
+/// fails later than that means that this node has lost the store, too.
 const RECENT_ANSWER_TIME: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -148,7 +148,8 @@
         result
     }
 
-    /// Sends a delegated call to a few nodes in turn, starting with the last one that made one.
+    /// Sends a delegated call to a few nodes in turn. The node that made the last one comes
+    /// first.
     async fn send(&self, delegated_call: &DelegatedCall) -> Result<DelegatedOutcome, StoreError> {
         for peer_addr in self.delegates() {
             match self.send_to(peer_addr, delegated_call).await {
@@ -202,7 +203,7 @@
     }
 }
 
-/// Converts an outcome that the call to the store doesn't return on success to an error.
+/// Converts an outcome that isn't a success of its call to an error.
 fn outcome_error(outcome: DelegatedOutcome) -> StoreError {
     match outcome {
         DelegatedOutcome::NoLease => StoreError::NoLease,
--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -23,13 +23,13 @@
 /// Time between renewals of the lease. Two may fail before the lease ends.
 const RENEW_PERIOD: Duration = Duration::from_secs(2);
 
-/// First pause after a round of calls in which no other node reached the store either.
+/// First pause after a round in which no other node reached the store.
 const RETRY_PAUSE_MIN: Duration = Duration::from_millis(500);
-/// Longest pause between such rounds, so that three fit into the time of a lease. While no
-/// node reaches the store, each round costs every node two requests.
+/// Longest pause between such rounds. Three fit into the time of a lease. While no node
+/// reaches the store, each round costs every node two requests.
 const RETRY_PAUSE_MAX: Duration = Duration::from_secs(2);
 
-/// State of this node's announcement in the store, as far as the node knows it.
+/// What this node knows of its announcement in the store.
 #[derive(Debug, Default)]
 struct Announcement {
     lease: Option<LeaseId>,
@@ -117,7 +117,7 @@
             .await
     }
 
-    /// Discards a lease of an earlier era, and the announcement known to be under it.
+    /// Discards the lease of an earlier era, with the announcement under it.
     fn enter_era(&mut self, era: StoreEra) {
         if self.lease.is_some_and(|lease| lease.era < era) {
             self.lease = None;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Renews the lease that an earlier process of this node left, or asks for a new one.
+    /// Renews the lease of this node's earlier process, or asks for a new one.
     ///
     /// Nodes restart more often than their backend servers do, and many at once. A new lease
     /// and a new announcement each cost a call, and every other node gets the change.
@@ -250,14 +250,13 @@
         }
     }
 
-    /// Returns whether the announcement in the store says all that other nodes need of
-    /// `desired`.
+    /// Returns whether the stored announcement says what other nodes need of `desired`.
     fn stands_for(&self, desired: &MemberRecord) -> bool {
         let record = self.record.as_ref();
         record.is_some_and(|record| record.stands_for(desired))
     }
 
-    /// Applies what the watch has delivered about the node's own key since the last write.
+    /// Applies what the watch has delivered about the node's own key.
     fn apply_watched(&mut self, core: &NodeCore) {
         let fleet = core.fleet.borrow();
         let Some(member) = fleet.at(core.settings.peer_addr) else {
--- a/crates/node/src/discovery/era_watch.rs
+++ b/crates/node/src/discovery/era_watch.rs
@@ -6,7 +6,9 @@
 
 use crate::node_core::NodeCore;
 
-/// Writes this node's data again after each new era of the store, until the node ends.
+/// Writes this node's data again after each new era of the store.
+///
+/// The task runs until the node ends.
 ///
 /// Whoever uses a watch or a lease of the earlier era discards it. Nodes that watch the
 /// members list them again, and other nodes get them from these.
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -25,8 +25,8 @@
 /// Longest wait of one watch call; the store allows 30 s. A connection that has gone
 /// silent for good is noticed a second after this time at most.
 const WATCH_WAIT: Duration = Duration::from_secs(6);
-/// Pause after a change in which further ones are collected, as each watch costs a call.
-/// Until the change arrives here, the inbound proxies refuse requests that come too late.
+/// Pause after a change in which further ones are collected. Each watch costs a call. Until
+/// the change arrives here, the inbound proxies refuse requests that come too late.
 const GATHER_TIME: Duration = Duration::from_millis(250);
 /// Time between listings while a new fleet announces itself. Heartbeats come every second
 /// and a half.
@@ -76,7 +76,7 @@
     }
 }
 
-/// Reads the announcements of this data centre, which include that of the node to ask for
+/// Reads the announcements of this data centre. One of them is that of the node to ask for
 /// all others.
 async fn list_local_members(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
     core.metrics.store_call("list-home");
@@ -148,7 +148,7 @@
     peer_addrs
 }
 
-/// Applies an item, and returns the address of the node if it is an announcement.
+/// Applies an item, and returns the address in a valid announcement.
 ///
 /// Another program may have written the key: fields are missing or have another type, the
 /// value isn't an announcement, or it replaced that of a member. Such an item gives no
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -11,7 +11,9 @@
     store::{MetaStore, ReadConsistency},
 };
 
-/// Probes the store after each failed call until it answers, as long as the node runs.
+/// Probes the store after each failed call until it answers.
+///
+/// The task runs until the node ends.
 pub async fn probe_store(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     let key = own_key(&core);
     loop {
@@ -35,7 +37,7 @@
     }
 }
 
-/// Waits until the next probe is due, and returns false when the store is back before.
+/// Waits until a probe is due; returns false if the store is back.
 ///
 /// The pause is computed again whenever the node's duty changes, since a node that loses
 /// its relay must probe the store itself soon.
--- a/crates/node/src/discovery/update_client.rs
+++ b/crates/node/src/discovery/update_client.rs
@@ -22,14 +22,15 @@
 /// Longest wait of a node without a configuration. Its callers are refused until another
 /// node is asked.
 const FIRST_UPDATE_WAIT: Duration = Duration::from_millis(400);
-/// Time beyond the wait in which the response has to arrive, also over the slowest links.
+/// Time beyond the wait in which the response has to arrive. It allows for the slowest
+/// links.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(1_200);
 /// Pause between requests in which further updates are collected.
 const UPDATE_PAUSE: Duration = Duration::from_millis(100);
 /// Time between checks for a relay while this node watches the store itself.
 const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
-/// Time that the relay has to send a newer configuration before another node that holds it
-/// is asked.
+/// Time that the relay has to send a newer configuration. After it, the node known to hold
+/// that configuration is asked.
 const RELAY_HEAD_START: Duration = Duration::from_millis(700);
 
 /// Failure of a request for updates.
--- a/crates/node/tests/all/poison.rs
+++ b/crates/node/tests/all/poison.rs
@@ -31,7 +31,8 @@
     matches!(status, PoisonStatus::Refused { .. })
 }
 
-/// Result of resending a request that crashes backend servers once a second for ten minutes.
+/// Result of resending one request every second for ten minutes. The request crashes each
+/// backend server that runs it.
 ///
 /// The service has five backend servers. Each has ten frequent requests and a rare one in
 /// flight when it crashes.
@@ -80,8 +81,8 @@
     result
 }
 
-/// Guards against a request that crashes one backend server after another, and against
-/// long refusals of requests that only ran beside it.
+/// Guards against a request that crashes one backend server after another. Requests that
+/// only ran beside it must not be refused for long.
 #[test]
 fn the_cause_of_crashes_is_refused_and_bystanders_are_not() {
     let (guarded, unguarded) = (simulate_resends(true), simulate_resends(false));
@@ -124,8 +125,8 @@
     );
 }
 
-/// Guards against holding a request back for good that ran beside the cause of a crash.
-/// Sixteen successful completions offset the crash.
+/// Guards against suspecting a request for good that only ran beside the cause. Sixteen
+/// successful completions offset the crash.
 #[test]
 fn completions_clear_a_suspect() {
     let mut registry = PoisonRegistry::new(LIMITS);
@@ -151,8 +152,8 @@
     assert_eq!(crashes, 3);
 }
 
-/// Guards against refusing a frequent lookup for over a minute after several backend
-/// servers crashed together while each ran it.
+/// Guards against refusing a frequent lookup for over a minute. Several backend servers
+/// crashed together while each ran it.
 #[test]
 fn crashes_together_refuse_a_frequent_lookup_for_a_minute_at_most() {
     let mut registry = PoisonRegistry::new(LIMITS);
@@ -209,8 +210,8 @@
         }
     }
 
-    /// Guards against equal fingerprints of requests that divide the same bytes differently
-    /// between path and body.
+    /// Guards against equal fingerprints of different requests. The same bytes may be
+    /// divided differently between path and body.
     #[test]
     fn fingerprints_tell_path_and_body_apart(text in "[a-z]{8}", first in 0..9usize, second in 0..9usize) {
         let cut = |at: usize| {
