--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -310,6 +310,6 @@
         },
         link_mbps: core.settings.link_mbps as u32,
         cold_ms: u32::try_from(current.cold.as_millis()).unwrap_or(u32::MAX),
-        sequence: current.changed_by,
+        sequence: current.announced_sequence,
     })
 }
--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -135,13 +135,13 @@
     }
 
     /// Returns the mean time of a run; zero while unknown.
-    pub fn service(&self) -> Duration {
-        self.books.service()
+    pub fn mean_run_time(&self) -> Duration {
+        self.books.mean_run_time()
     }
 
     /// Returns the mean time of a run of one class.
-    pub fn service_of(&self, route_hash: u64) -> Duration {
-        self.books.service_of(ClassId {
+    pub fn mean_run_time_of(&self, route_hash: u64) -> Duration {
+        self.books.mean_run_time_of(ClassId {
             rank: 0,
             route_hash,
         })
@@ -160,12 +160,12 @@
     /// let ends_at = Duration::from_millis(1_000);
     /// let offer =
     ///     AdmissionRequest { rank: 1, route_hash: 7, nested: false, may_wait: true, useful_until, ends_at };
-    /// assert_eq!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Run);
-    /// assert!(matches!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Wait { .. }));
+    /// assert_eq!(queue.admit(Duration::ZERO, offer), AdmissionDecision::Run);
+    /// assert!(matches!(queue.admit(Duration::ZERO, offer), AdmissionDecision::Wait { .. }));
     /// let freed = queue.finish(Duration::from_millis(100), 7, Some(Duration::from_millis(100)));
     /// assert_eq!(freed.len(), 1);
     /// ```
-    pub fn offer(&mut self, now: Duration, offer: AdmissionRequest) -> AdmissionDecision {
+    pub fn admit(&mut self, now: Duration, offer: AdmissionRequest) -> AdmissionDecision {
         let class_id = ClassId {
             rank: offer.rank,
             route_hash: offer.route_hash,
@@ -174,7 +174,7 @@
             return AdmissionDecision::Busy;
         }
         self.books.offered(now, class_id);
-        let service = self.books.service_of(class_id);
+        let service = self.books.mean_run_time_of(class_id);
         let late = !offer.nested && now + service > offer.useful_until;
         if self.running < self.slots {
             self.running += 1;
@@ -220,7 +220,7 @@
     /// Returns how long a job of this mean run may wait that hasn't begun. After a
     /// start no run has ended yet, and nothing but its target bounds it.
     fn longest_wait(&self, service: Duration) -> Option<Duration> {
-        let turn = self.service().div_f64(self.slots.into());
+        let turn = self.mean_run_time().div_f64(self.slots.into());
         let longest = service.mul_f64(FRESH_WAIT).max(turn.mul_f64(PLACES_MIN));
         (longest > Duration::ZERO).then_some(longest)
     }
@@ -292,7 +292,7 @@
 
     fn wait_behind(&self, ahead: u32) -> Duration {
         let excess = (self.running + ahead + 1).saturating_sub(self.slots);
-        self.service()
+        self.mean_run_time()
             .mul_f64(f64::from(excess) / f64::from(self.slots))
     }
 
--- a/crates/node/src/inbound/class_books.rs
+++ b/crates/node/src/inbound/class_books.rs
@@ -131,17 +131,17 @@
     }
 
     /// Returns the mean time of a run; zero while unknown.
-    pub(super) fn service(&self) -> Duration {
+    pub(super) fn mean_run_time(&self) -> Duration {
         Duration::from_secs_f64(self.overall.get().unwrap_or(0.0))
     }
 
     /// Returns the mean time of a run of one class.
-    pub(super) fn service_of(&self, id: ClassId) -> Duration {
+    pub(super) fn mean_run_time_of(&self, id: ClassId) -> Duration {
         let known = self
             .books
             .get(&id.route_hash)
             .and_then(|book| book.service.get());
-        known.map_or_else(|| self.service(), Duration::from_secs_f64)
+        known.map_or_else(|| self.mean_run_time(), Duration::from_secs_f64)
     }
 
     /// Whether a class is served clearly more often than another of its rank
--- a/crates/node/src/inbound/endpoint_tracker.rs
+++ b/crates/node/src/inbound/endpoint_tracker.rs
@@ -30,7 +30,7 @@
     /// Its last report.
     pub report: EndpointReport,
     /// Sequence of the report that last changed what is announced.
-    pub changed_by: u64,
+    pub announced_sequence: u64,
     /// Time for which it was to stay slow when it was first heard of.
     pub cold: Duration,
     /// Since when it has been leaving.
@@ -172,7 +172,7 @@
     fn adopt(&mut self, now: Duration, report: EndpointReport) {
         let leaving = report.state == ReportState::Leaving;
         let next = LocalEndpoint {
-            changed_by: report.sequence,
+            announced_sequence: report.sequence,
             cold: report.cold,
             report,
             leaving_since: leaving.then_some(now),
@@ -217,7 +217,7 @@
     current.was_ready |= current.leaving_since.is_none();
     current.report = report;
     if changed {
-        current.changed_by = current.report.sequence;
+        current.announced_sequence = current.report.sequence;
         ReportOutcome::Changed
     } else {
         ReportOutcome::Unchanged
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -208,8 +208,8 @@
         LoadReport {
             running: queue.running(),
             waiting: queue.waiting(),
-            service: queue.service(),
-            run: queue.service_of(route_hash),
+            service: queue.mean_run_time(),
+            run: queue.mean_run_time_of(route_hash),
             link: self.inner.link.schedule().backlog(self.inner.clock.now()),
         }
     }
@@ -217,7 +217,7 @@
     /// Closes the idle connections to the backend server, which belong to a
     /// start that has ended: what is sent on one is lost, and what must not
     /// repeat can't be sent again.
-    pub fn forget_connections(&self) {
+    pub fn close_idle_connections(&self) {
         // Breaks of the start that has ended say nothing of the next.
         self.breaker.borrow_mut().answered();
         self.inner.endpoints.forget(self.settings.endpoint);
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -35,7 +35,11 @@
         let (clock, link) = (self.inner.clock, &self.inner.link);
         let offer = LinkRequest {
             bytes,
-            made_in: self.inner.queue.borrow().service_of(request.route_hash),
+            made_in: self
+                .inner
+                .queue
+                .borrow()
+                .mean_run_time_of(request.route_hash),
             useful_until: clock.at(request.useful_until),
             ends_at: clock.at(request.ends_at),
         };
--- a/crates/node/src/inbound/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -52,7 +52,7 @@
             ends_at: self.inner.clock.at(request.ends_at),
         };
         let now = self.inner.clock.now();
-        let decision = self.inner.queue.borrow_mut().offer(now, offer);
+        let decision = self.inner.queue.borrow_mut().admit(now, offer);
         let (key, latest) = match decision {
             AdmissionDecision::Run => return Ok(RunSlot::new(Rc::clone(&self.inner), route_hash)),
             AdmissionDecision::Busy => return refused(RefusalReason::Busy, RETRY_ELSEWHERE),
--- a/crates/node/src/link/link_reservation.rs
+++ b/crates/node/src/link/link_reservation.rs
@@ -39,8 +39,8 @@
     }
 
     /// Takes in that the answer is made, and its bytes if its head told them.
-    pub fn made(&mut self, bytes: Option<u64>) {
-        self.transfer.made(self.clock.now(), bytes);
+    pub fn response_ready(&mut self, bytes: Option<u64>) {
+        self.transfer.response_ready(self.clock.now(), bytes);
         if let Some(bytes) = bytes {
             self.scheduler.schedule().resize(self.key, bytes);
         }
@@ -86,10 +86,10 @@
 
     /// Notes bytes of the answer that were handed over, and lets the next one
     /// have its turn.
-    pub fn sent(&mut self, bytes: u64) {
+    pub fn record_sent(&mut self, bytes: u64) {
         let now = self.clock.now();
-        self.transfer.sent(now, bytes);
-        self.scheduler.sent_of(now, self.key, bytes);
+        self.transfer.record_sent(now, bytes);
+        self.scheduler.record_sent_of(now, self.key, bytes);
         self.scheduler.wake_next();
     }
 }
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -237,17 +237,17 @@
     }
 
     /// Notes bytes of any answer that were handed over.
-    pub fn sent(&mut self, now: Duration, bytes: u64) {
+    pub fn record_sent(&mut self, now: Duration, bytes: u64) {
         self.level = self.level_at(now) + bytes as f64;
         self.at = self.at.max(now);
     }
 
     /// Notes bytes of a promised answer that were handed over.
-    pub fn sent_of(&mut self, now: Duration, key: TransferKey, bytes: u64) {
+    pub fn record_sent_of(&mut self, now: Duration, key: TransferKey, bytes: u64) {
         if let Some(load) = self.loads.get_mut(&key) {
             load.bytes = (load.bytes - bytes as f64).max(0.0);
         }
-        self.sent(now, bytes);
+        self.record_sent(now, bytes);
     }
 
     /// Takes back a promise, kept or not.
--- a/crates/node/src/link/link_scheduler.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -85,15 +85,17 @@
     }
 
     /// Notes bytes that were handed over at once.
-    pub fn sent(&self, now: Duration, purpose: LinkTraffic, bytes: u64) {
-        self.schedule().sent(now, bytes);
-        self.load.borrow_mut().sent(purpose, bytes);
+    pub fn record_sent(&self, now: Duration, purpose: LinkTraffic, bytes: u64) {
+        self.schedule().record_sent(now, bytes);
+        self.load.borrow_mut().record_sent(purpose, bytes);
     }
 
     /// Notes bytes of a promised answer that were handed over.
-    pub(super) fn sent_of(&self, now: Duration, key: TransferKey, bytes: u64) {
-        self.schedule().sent_of(now, key, bytes);
-        self.load.borrow_mut().sent(LinkTraffic::LongAway, bytes);
+    pub(super) fn record_sent_of(&self, now: Duration, key: TransferKey, bytes: u64) {
+        self.schedule().record_sent_of(now, key, bytes);
+        self.load
+            .borrow_mut()
+            .record_sent(LinkTraffic::LongAway, bytes);
     }
 
     /// Notes what became of a promised answer.
--- a/crates/node/src/link/link_usage.rs
+++ b/crates/node/src/link/link_usage.rs
@@ -20,7 +20,7 @@
 
 impl LinkUsage {
     /// Counts bytes that were handed over.
-    pub fn sent(&mut self, purpose: LinkTraffic, bytes: u64) {
+    pub fn record_sent(&mut self, purpose: LinkTraffic, bytes: u64) {
         self.bytes[purpose as usize] += bytes;
     }
 
@@ -56,7 +56,7 @@
     /// use geranium_node::link::{LinkUsage, LinkTraffic};
     ///
     /// let mut load = LinkUsage::default();
-    /// load.sent(LinkTraffic::Short, 500);
+    /// load.record_sent(LinkTraffic::Short, 500);
     /// let second = Duration::from_secs(1);
     /// assert!(load.take_after(Duration::from_millis(900), second).is_none());
     /// let (taken, time) = load.take_after(Duration::from_millis(1_100), second).unwrap();
--- a/crates/node/src/link/transfer_record.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -66,13 +66,13 @@
     }
 
     /// Takes in that the answer was made, and its bytes if its head told them.
-    pub fn made(&mut self, now: Duration, bytes: Option<u64>) {
+    pub fn response_ready(&mut self, now: Duration, bytes: Option<u64>) {
         self.made_at = Some(now);
         self.bytes = bytes;
     }
 
     /// Takes in that bytes were handed over.
-    pub fn sent(&mut self, now: Duration, bytes: u64) {
+    pub fn record_sent(&mut self, now: Duration, bytes: u64) {
         self.begun_at.get_or_insert(now);
         self.sent_at = Some(now);
         self.sent += bytes;
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -33,7 +33,7 @@
         let before = self.inbound.tracker().borrow().unannounced_end();
         let outcome = self.inbound.tracker().borrow_mut().report(now, report);
         if outcome == ReportOutcome::Adopted {
-            self.inbound.forget_connections();
+            self.inbound.close_idle_connections();
             if let Some(ended) = before {
                 let broken = self.inbound.broken_runs();
                 broken.replaced(now, &ended, start.instance());
--- a/crates/node/src/node_core/open_request_guard.rs
+++ b/crates/node/src/node_core/open_request_guard.rs
@@ -43,7 +43,7 @@
             return;
         }
         let core = &self.core;
-        core.link.sent(core.clock.now(), purpose, bytes);
+        core.link.record_sent(core.clock.now(), purpose, bytes);
     }
 }
 
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -113,7 +113,7 @@
         let outgoing = self.outgoing(record);
         let bytes = head_bytes(outgoing.headers()) + self.request.body.len() as u64;
         let link = &self.core.link;
-        link.sent(self.core.clock.now(), LinkTraffic::Request, bytes);
+        link.record_sent(self.core.clock.now(), LinkTraffic::Request, bytes);
         let idle_time = self.core.settings.peer_idle_timeout;
         let exchange = self
             .core
--- a/crates/node/src/response_body.rs
+++ b/crates/node/src/response_body.rs
@@ -122,7 +122,7 @@
         self.reservation = reservation;
         let bytes = self.size_hint().exact();
         if let Some(reservation) = &mut self.reservation {
-            reservation.made(bytes);
+            reservation.response_ready(bytes);
         }
         self
     }
@@ -147,7 +147,7 @@
     /// Counts bytes that go out.
     fn count(&mut self, bytes: usize) {
         match (&mut self.reservation, &self.open) {
-            (Some(reservation), _) => reservation.sent(bytes as u64),
+            (Some(reservation), _) => reservation.record_sent(bytes as u64),
             (None, Some(open)) => open.sent_short_body(bytes as u64),
             (None, None) => {}
         }
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -91,8 +91,8 @@
         LoadReport {
             running: self.queue.running(),
             waiting: self.queue.waiting(),
-            service: self.queue.service(),
-            run: self.queue.service_of(CLASS),
+            service: self.queue.mean_run_time(),
+            run: self.queue.mean_run_time_of(CLASS),
             link: Duration::ZERO,
         }
     }
@@ -357,7 +357,7 @@
             useful_until: request.target_at,
             ends_at: request.target_at + TARGET,
         };
-        self.receivers[request.receiver].queue.offer(now, offer)
+        self.receivers[request.receiver].queue.admit(now, offer)
     }
 
     fn pick(
--- a/crates/node/tests/all/link.rs
+++ b/crates/node/tests/all/link.rs
@@ -60,9 +60,9 @@
     assert_eq!(link.backlog(at(1_000)), at(200));
     link.withdraw(left);
     assert_eq!(link.backlog(at(1_000)), at(100));
-    link.sent_of(at(1_000), sent, FILE / 2);
+    link.record_sent_of(at(1_000), sent, FILE / 2);
     assert_eq!(link.backlog(at(1_050)), at(50));
-    link.sent_of(at(1_050), sent, FILE);
+    link.record_sent_of(at(1_050), sent, FILE);
     link.withdraw(sent);
     assert!(link.backlog(at(1_200)) < at(1));
 }
@@ -90,7 +90,7 @@
     while handed < FILE {
         let piece = link.piece() as u64;
         handed += piece;
-        link.sent_of(now, first, piece);
+        link.record_sent_of(now, first, piece);
         assert!(link.backlog(now) >= at(100));
         let turn = link.turn(now, first);
         if let LinkTurn::After(time) = turn {
@@ -136,7 +136,7 @@
             let now = link.turn(at(0), key) == LinkTurn::Now;
             if now {
                 let piece = link.piece() as u64;
-                link.sent_of(at(0), key, piece);
+                link.record_sent_of(at(0), key, piece);
             }
             now
         })
@@ -156,7 +156,7 @@
     };
     for (now, key) in [(at(390), second), (at(490), third)] {
         assert_eq!(link.turn(now, key), LinkTurn::Now);
-        link.sent_of(now, key, FILE);
+        link.record_sent_of(now, key, FILE);
         link.withdraw(key);
     }
     assert_eq!(link.turn(at(600), postponed), LinkTurn::Now);
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -163,7 +163,7 @@
         }
         let length = self.length();
         if !self.sight.excludes_local {
-            self.link.sent(now, length);
+            self.link.record_sent(now, length);
         }
     }
 
@@ -228,7 +228,7 @@
     fn send_head(&mut self, now: Duration) {
         self.queue += HEAD_BYTES as f64 * PACKET_FACTOR;
         if self.sight.heads {
-            self.link.sent(now, HEAD_BYTES);
+            self.link.record_sent(now, HEAD_BYTES);
         }
     }
 
@@ -263,7 +263,7 @@
                 match self.link.turn(now, file.key) {
                     LinkTurn::Now => {
                         let piece = file.left.min(self.link.piece() as u64);
-                        self.link.sent_of(now, file.key, piece);
+                        self.link.record_sent_of(now, file.key, piece);
                         self.queue += piece as f64 * PACKET_FACTOR;
                         file.left -= piece;
                         handed_on = true;
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -200,7 +200,7 @@
         let file = &mut files[index];
         let capacity = (schedule.bytes_per_s() * STEP.as_secs_f64()) as u64;
         let bytes = capacity.min(file.remaining);
-        schedule.sent_of(now, file.key, bytes);
+        schedule.record_sent_of(now, file.key, bytes);
         file.remaining -= bytes;
         if file.remaining == 0 {
             schedule.withdraw(file.key);
--- a/crates/node/tests/all/queue.rs
+++ b/crates/node/tests/all/queue.rs
@@ -24,7 +24,7 @@
     let mut queue = AdmissionQueue::new(slots);
     for _ in 0..200 {
         assert_eq!(
-            queue.offer(at(0), offer(1, 1, 1_000)),
+            queue.admit(at(0), offer(1, 1, 1_000)),
             AdmissionDecision::Run
         );
         queue.finish(at(0), 1, Some(at(100)));
@@ -42,9 +42,9 @@
 #[test]
 fn the_more_urgent_rank_goes_first() {
     let mut queue = trained(1);
-    queue.offer(at(0), offer(1, 1, 1_000));
-    let later = waits(queue.offer(at(0), offer(2, 2, 900)));
-    let urgent = waits(queue.offer(at(1), offer(1, 1, 2_000)));
+    queue.admit(at(0), offer(1, 1, 1_000));
+    let later = waits(queue.admit(at(0), offer(2, 2, 900)));
+    let urgent = waits(queue.admit(at(1), offer(1, 1, 2_000)));
     assert_eq!(queue.finish(at(100), 1, Some(at(100))), [urgent]);
     assert_eq!(queue.finish(at(200), 1, Some(at(100))), [later]);
 }
@@ -52,9 +52,9 @@
 #[test]
 fn within_a_rank_the_shorter_target_goes_first() {
     let mut queue = trained(1);
-    queue.offer(at(0), offer(1, 1, 1_000));
-    let long = waits(queue.offer(at(0), offer(1, 1, 2_000)));
-    let short = waits(queue.offer(at(1), offer(1, 2, 900)));
+    queue.admit(at(0), offer(1, 1, 1_000));
+    let long = waits(queue.admit(at(0), offer(1, 1, 2_000)));
+    let short = waits(queue.admit(at(1), offer(1, 2, 900)));
     assert_eq!(queue.finish(at(100), 1, Some(at(100))), [short]);
     assert_eq!(queue.finish(at(200), 1, Some(at(100))), [long]);
 }
@@ -64,9 +64,9 @@
 #[test]
 fn what_cannot_be_in_time_is_refused_at_once() {
     let mut queue = trained(1);
-    queue.offer(at(0), offer(1, 1, 350));
-    waits(queue.offer(at(0), offer(1, 1, 350)));
-    let decision = queue.offer(at(0), offer(1, 1, 350));
+    queue.admit(at(0), offer(1, 1, 350));
+    waits(queue.admit(at(0), offer(1, 1, 350)));
+    let decision = queue.admit(at(0), offer(1, 1, 350));
     let AdmissionDecision::Refuse { retry_after } = decision else {
         panic!("it isn't refused: {decision:?}");
     };
@@ -78,9 +78,9 @@
 #[test]
 fn withdrawn_and_expired_jobs_hold_nothing() {
     let mut queue = trained(1);
-    queue.offer(at(0), offer(1, 1, 1_000));
-    let left = waits(queue.offer(at(0), offer(1, 1, 1_000)));
-    let expired = waits(queue.offer(at(0), offer(1, 1, 1_000)));
+    queue.admit(at(0), offer(1, 1, 1_000));
+    let left = waits(queue.admit(at(0), offer(1, 1, 1_000)));
+    let expired = waits(queue.admit(at(0), offer(1, 1, 1_000)));
     assert!(queue.withdraw(left));
     assert!(queue.expire(expired));
     assert!(!queue.expire(expired));
@@ -94,14 +94,14 @@
 fn slots_may_change_while_jobs_run() {
     let mut queue = trained(3);
     for _ in 0..3 {
-        queue.offer(at(0), offer(1, 1, 1_000));
+        queue.admit(at(0), offer(1, 1, 1_000));
     }
     assert!(queue.set_slots(at(0), 1).is_empty());
-    waits(queue.offer(at(0), offer(1, 1, 5_000)));
+    waits(queue.admit(at(0), offer(1, 1, 5_000)));
     assert!(queue.finish(at(100), 1, None).is_empty());
     assert!(queue.finish(at(100), 1, None).is_empty());
     assert_eq!(queue.finish(at(100), 1, None).len(), 1);
-    waits(queue.offer(at(100), offer(1, 1, 5_000)));
+    waits(queue.admit(at(100), offer(1, 1, 5_000)));
     assert_eq!(queue.set_slots(at(100), 2).len(), 1);
 }
 
@@ -114,24 +114,24 @@
         may_wait: false,
         ..offer(1, 1, 1_000)
     };
-    assert_eq!(queue.offer(at(0), probe), AdmissionDecision::Run);
-    assert_eq!(queue.offer(at(0), probe), AdmissionDecision::Busy);
+    assert_eq!(queue.admit(at(0), probe), AdmissionDecision::Run);
+    assert_eq!(queue.admit(at(0), probe), AdmissionDecision::Busy);
     assert_eq!((queue.running(), queue.waiting()), (1, 0));
     queue.finish(at(100), 1, Some(at(100)));
-    assert_eq!(queue.offer(at(100), probe), AdmissionDecision::Run);
+    assert_eq!(queue.admit(at(100), probe), AdmissionDecision::Run);
 }
 
 /// Guards against runs that are wasted because their calls wait behind new requests.
 #[test]
 fn calls_of_runs_that_have_begun_go_first() {
     let mut queue = trained(1);
-    queue.offer(at(0), offer(1, 1, 1_000));
-    let order = waits(queue.offer(at(0), offer(1, 1, 1_000)));
+    queue.admit(at(0), offer(1, 1, 1_000));
+    let order = waits(queue.admit(at(0), offer(1, 1, 1_000)));
     let call = AdmissionRequest {
         nested: true,
         ..offer(1, 2, 50)
     };
-    let call = waits(queue.offer(at(1), call));
+    let call = waits(queue.admit(at(1), call));
     assert_eq!(queue.finish(at(100), 1, Some(at(100))), [call]);
     assert_eq!(queue.finish(at(140), 2, Some(at(40))), [order]);
 }
@@ -140,14 +140,14 @@
 #[test]
 fn what_is_late_already_goes_behind_the_others() {
     let mut queue = trained(2);
-    queue.offer(at(500), offer(1, 1, 1_000));
-    queue.offer(at(500), offer(1, 1, 1_000));
-    let late = waits(queue.offer(at(500), offer(1, 1, 520)));
-    let due = waits(queue.offer(at(501), offer(1, 1, 901)));
+    queue.admit(at(500), offer(1, 1, 1_000));
+    queue.admit(at(500), offer(1, 1, 1_000));
+    let late = waits(queue.admit(at(500), offer(1, 1, 520)));
+    let due = waits(queue.admit(at(501), offer(1, 1, 901)));
     assert_eq!(queue.finish(at(540), 1, None), [due]);
     assert!(queue.expire(late));
     queue.finish(at(600), 1, Some(at(100)));
-    let again = queue.offer(at(600), offer(1, 1, 520));
+    let again = queue.admit(at(600), offer(1, 1, 520));
     assert_eq!(again, AdmissionDecision::Run);
 }
 
@@ -155,11 +155,11 @@
 #[test]
 fn a_queue_that_is_overtaken_is_known_to_be_slow() {
     let mut queue = trained(1);
-    queue.offer(at(0), offer(1, 1, 1_000));
+    queue.admit(at(0), offer(1, 1, 1_000));
     let mut now = 0;
     let mut refused_at_once = false;
     for _ in 0..20 {
-        let decision = queue.offer(at(now), offer(1, 1, now + 400));
+        let decision = queue.admit(at(now), offer(1, 1, now + 400));
         let AdmissionDecision::Wait { key, latest } = decision else {
             refused_at_once = true;
             break;
@@ -169,7 +169,7 @@
                 nested: true,
                 ..offer(1, 2, now + 50)
             };
-            waits(queue.offer(at(now), call));
+            waits(queue.admit(at(now), call));
             now += 100;
             queue.finish(at(now), 2, Some(at(100)));
         }
@@ -183,19 +183,19 @@
 #[test]
 fn a_route_is_not_ahead_by_a_single_verdict() {
     let mut queue = trained(1);
-    queue.offer(at(0), offer(0, 10, 1_000));
+    queue.admit(at(0), offer(0, 10, 1_000));
     queue.finish(at(100), 10, Some(at(100)));
-    queue.offer(at(100), offer(2, 2, 2_000));
-    let hopeless = queue.offer(at(100), offer(0, 11, 250));
+    queue.admit(at(100), offer(2, 2, 2_000));
+    let hopeless = queue.admit(at(100), offer(0, 11, 250));
     assert!(matches!(hopeless, AdmissionDecision::Refuse { .. }));
-    waits(queue.offer(at(101), offer(0, 10, 1_500)));
+    waits(queue.admit(at(101), offer(0, 10, 1_500)));
 }
 
 /// Guards against refusing requests that find no free slot before any run time is known.
 #[test]
 fn jobs_wait_before_any_run_has_ended() {
     let mut queue = AdmissionQueue::new(1);
-    queue.offer(at(0), offer(1, 1, 1_000));
-    let next = waits(queue.offer(at(0), offer(1, 1, 1_000)));
+    queue.admit(at(0), offer(1, 1, 1_000));
+    let next = waits(queue.admit(at(0), offer(1, 1, 1_000)));
     assert_eq!(queue.finish(at(100), 1, Some(at(100))), [next]);
 }
--- a/crates/node/tests/all/queue_load.rs
+++ b/crates/node/tests/all/queue_load.rs
@@ -113,7 +113,7 @@
                 useful_until: target_at,
                 ends_at: target_at + millis(500),
             };
-            match queue.offer(now, offer) {
+            match queue.admit(now, offer) {
                 AdmissionDecision::Run => begun.push((number, target_at)),
                 AdmissionDecision::Wait { key, latest } => {
                     waiting.insert(key, (number, target_at, latest));
