--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -2,20 +2,20 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use super::class_books::{ClassBooks, ClassId};
+use super::route_statistics::{RankedRoute, RouteStatistics};
 
 /// Service time reserved when a job is admitted, as a multiple of the class mean. Covers
 /// all but the slowest few runs.
 const RUN_MARGIN: f64 = 1.6;
 /// Longest wait, in mean runs, of what hasn't begun. In a shortage the queue is always as
 /// long as it may be; it need only keep every slot busy, and more makes answers late.
-const FRESH_WAIT: f64 = 0.5;
+const NEW_REQUEST_WAIT: f64 = 0.5;
 /// Jobs that may wait in any case: of fewer none is left when some come later than
 /// usual, and a slot stands idle.
-const PLACES_MIN: f64 = 4.0;
+const WAITING_MIN: f64 = 4.0;
 /// Wait of a job that was given up, in the time for which it did wait: how much
 /// longer it would have been isn't known, only that it would.
-const EXPIRED_WAIT: f64 = 1.5;
+const EXPIRED_WAIT_FACTOR: f64 = 1.5;
 /// Least advice on when to come back: below it a caller only meets the same
 /// queue again.
 const RETRY_MIN: Duration = Duration::from_millis(20);
@@ -52,7 +52,7 @@
     pub ends_at: Duration,
 }
 
-/// What becomes of an offer.
+/// What becomes of an request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
     /// It runs now.
@@ -84,7 +84,7 @@
 /// turned away wastes the run that made it. The rest waits for a short time at most, by
 /// rank, then by the time until which its answer is of use. A job that is late already
 /// goes behind its rank. A class that is served clearly more often than one of its rank
-/// or above is refused until that has caught up (`ClassBooks`). The pace is taken from
+/// or above is refused until that has caught up (`RouteStatistics`). The pace is taken from
 /// how long places in the queue really took, as jobs are overtaken. A job that waits is
 /// refused as soon as starting it is of no use.
 #[derive(Debug)]
@@ -92,16 +92,16 @@
     slots: u32,
     running: u32,
     order: u64,
-    waiting: BTreeMap<QueueKey, WaitingJob>,
-    books: ClassBooks,
+    waiting: BTreeMap<QueueKey, QueuedRequest>,
+    statistics: RouteStatistics,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct WaitingJob {
-    class_id: ClassId,
+struct QueuedRequest {
+    route: RankedRoute,
     late: bool,
     latest: Duration,
-    asked_at: Duration,
+    requested_at: Duration,
     /// Wait as it would be if nothing overtook it.
     planned: Duration,
 }
@@ -114,7 +114,7 @@
             running: 0,
             order: 0,
             waiting: BTreeMap::new(),
-            books: ClassBooks::default(),
+            statistics: RouteStatistics::default(),
         }
     }
 
@@ -136,12 +136,12 @@
 
     /// Returns the mean time of a run; zero while unknown.
     pub fn mean_run_time(&self) -> Duration {
-        self.books.mean_run_time()
+        self.statistics.mean_run_time()
     }
 
     /// Returns the mean time of a run of one class.
     pub fn mean_run_time_of(&self, route_hash: u64) -> Duration {
-        self.books.mean_run_time_of(ClassId {
+        self.statistics.mean_run_time_of(RankedRoute {
             rank: 0,
             route_hash,
         })
@@ -158,84 +158,86 @@
     /// let mut queue = AdmissionQueue::new(1);
     /// let useful_until = Duration::from_millis(400);
     /// let ends_at = Duration::from_millis(1_000);
-    /// let offer =
+    /// let request =
     ///     AdmissionRequest { rank: 1, route_hash: 7, nested: false, may_wait: true, useful_until, ends_at };
-    /// assert_eq!(queue.admit(Duration::ZERO, offer), AdmissionDecision::Run);
-    /// assert!(matches!(queue.admit(Duration::ZERO, offer), AdmissionDecision::Wait { .. }));
+    /// assert_eq!(queue.admit(Duration::ZERO, request), AdmissionDecision::Run);
+    /// assert!(matches!(queue.admit(Duration::ZERO, request), AdmissionDecision::Wait { .. }));
     /// let freed = queue.finish(Duration::from_millis(100), 7, Some(Duration::from_millis(100)));
     /// assert_eq!(freed.len(), 1);
     /// ```
-    pub fn admit(&mut self, now: Duration, offer: AdmissionRequest) -> AdmissionDecision {
-        let class_id = ClassId {
-            rank: offer.rank,
-            route_hash: offer.route_hash,
+    pub fn admit(&mut self, now: Duration, request: AdmissionRequest) -> AdmissionDecision {
+        let route = RankedRoute {
+            rank: request.rank,
+            route_hash: request.route_hash,
         };
-        if self.running >= self.slots && !offer.may_wait {
+        if self.running >= self.slots && !request.may_wait {
             return AdmissionDecision::Busy;
         }
-        self.books.offered(now, class_id);
-        let service = self.books.mean_run_time_of(class_id);
-        let late = !offer.nested && now + service > offer.useful_until;
+        self.statistics.record_request(now, route);
+        let run_time = self.statistics.mean_run_time_of(route);
+        let late = !request.nested && now + run_time > request.useful_until;
         if self.running < self.slots {
             self.running += 1;
-            self.judge(class_id, late, true);
+            self.record_decision(route, late, true);
             return AdmissionDecision::Run;
         }
-        if !offer.nested && self.books.is_ahead(now, class_id) {
-            return self.refuse(class_id, late, self.wait());
+        if !request.nested && self.statistics.is_ahead(now, route) {
+            return self.refuse(route, late, self.wait());
         }
         self.order += 1;
         let key = QueueKey {
-            fresh: !offer.nested,
-            rank: offer.rank,
+            fresh: !request.nested,
+            rank: request.rank,
             late,
-            useful_until: offer.useful_until,
+            useful_until: request.useful_until,
             order: self.order,
         };
-        let end = if offer.nested || late {
-            offer.ends_at
+        let end = if request.nested || late {
+            request.ends_at
         } else {
-            offer.useful_until
+            request.useful_until
         };
-        let mut latest = end.saturating_sub(service.mul_f64(RUN_MARGIN));
-        if let Some(longest) = self.longest_wait(service).filter(|_| !offer.nested) {
+        let mut latest = end.saturating_sub(run_time.mul_f64(RUN_MARGIN));
+        if let Some(longest) = self.longest_wait(run_time).filter(|_| !request.nested) {
             latest = latest.min(now + longest);
         }
         let planned = self.wait_before(key);
-        let start = now + self.books.real_wait(class_id, late, planned);
+        let start = now + self.statistics.expected_wait(route, late, planned);
         if start > latest {
-            return self.refuse(class_id, late, start.saturating_sub(latest));
+            return self.refuse(route, late, start.saturating_sub(latest));
         }
-        let job = WaitingJob {
-            class_id,
+        let queued = QueuedRequest {
+            route,
             late,
             latest,
-            asked_at: now,
+            requested_at: now,
             planned,
         };
-        self.waiting.insert(key, job);
+        self.waiting.insert(key, queued);
         AdmissionDecision::Wait { key, latest }
     }
 
     /// Returns how long a job of this mean run may wait that hasn't begun. After a
     /// start no run has ended yet, and nothing but its target bounds it.
-    fn longest_wait(&self, service: Duration) -> Option<Duration> {
-        let turn = self.mean_run_time().div_f64(self.slots.into());
-        let longest = service.mul_f64(FRESH_WAIT).max(turn.mul_f64(PLACES_MIN));
+    fn longest_wait(&self, run_time: Duration) -> Option<Duration> {
+        let wait_per_position = self.mean_run_time().div_f64(self.slots.into());
+        let longest = run_time
+            .mul_f64(NEW_REQUEST_WAIT)
+            .max(wait_per_position.mul_f64(WAITING_MIN));
         (longest > Duration::ZERO).then_some(longest)
     }
 
     /// Notes whether a job that can be in time got a slot. What comes again
     /// after a refusal was noted then.
-    fn judge(&mut self, class_id: ClassId, late: bool, served: bool) {
+    fn record_decision(&mut self, route: RankedRoute, late: bool, served: bool) {
         if !late {
-            self.books.judged(class_id, served);
+            self.statistics.record_decision(route, served);
         }
     }
 
-    fn refuse(&mut self, class_id: ClassId, late: bool, wait: Duration) -> AdmissionDecision {
-        self.judge(class_id, late, false);
-        self.books.passed_over(class_id, late);
+    fn refuse(&mut self, route: RankedRoute, late: bool, wait: Duration) -> AdmissionDecision {
+        self.record_decision(route, late, false);
+        self.statistics.record_refusal(route, late);
         let retry_after = wait.clamp(RETRY_MIN, RETRY_MAX);
         AdmissionDecision::Refuse { retry_after }
     }
@@ -243,13 +245,13 @@
     /// Refuses a waiting job whose latest start has passed; `false` if it
     /// doesn't wait any more.
     pub fn expire(&mut self, key: QueueKey) -> bool {
-        let job = self.waiting.remove(&key);
-        if let Some(job) = job {
-            self.judge(job.class_id, job.late, false);
-            let waited = job.latest.saturating_sub(job.asked_at);
-            self.note_wait(job, waited.mul_f64(EXPIRED_WAIT));
+        let queued = self.waiting.remove(&key);
+        if let Some(queued) = queued {
+            self.record_decision(queued.route, queued.late, false);
+            let waited = queued.latest.saturating_sub(queued.requested_at);
+            self.record_wait(queued, waited.mul_f64(EXPIRED_WAIT_FACTOR));
         }
-        job.is_some()
+        queued.is_some()
     }
 
     /// Withdraws a waiting job whose caller left; `false` if it doesn't wait
@@ -270,14 +272,14 @@
     ) -> Vec<QueueKey> {
         self.running = self.running.saturating_sub(1);
         if let Some(took) = took {
-            self.books.ran(route_hash, took);
+            self.statistics.record_run(route_hash, took);
         }
         self.grant(now)
     }
 
-    fn note_wait(&mut self, job: WaitingJob, waited: Duration) {
-        self.books
-            .waited(job.class_id, job.late, job.planned, waited);
+    fn record_wait(&mut self, queued: QueuedRequest, waited: Duration) {
+        self.statistics
+            .record_wait(queued.route, queued.late, queued.planned, waited);
     }
 
     /// Returns how soon room is expected for a job at `key`'s place.
@@ -301,12 +303,12 @@
     fn grant(&mut self, now: Duration) -> Vec<QueueKey> {
         let mut granted = Vec::new();
         while self.running < self.slots {
-            let next = self.waiting.iter().find(|(_, job)| job.latest >= now);
-            let Some((&key, &job)) = next else {
+            let next = self.waiting.iter().find(|(_, queued)| queued.latest >= now);
+            let Some((&key, &queued)) = next else {
                 break;
             };
-            self.judge(job.class_id, job.late, true);
-            self.note_wait(job, now.saturating_sub(job.asked_at));
+            self.record_decision(queued.route, queued.late, true);
+            self.record_wait(queued, now.saturating_sub(queued.requested_at));
             self.waiting.remove(&key);
             self.running += 1;
             granted.push(key);
--- a/crates/node/src/inbound/crash_admission.rs
+++ b/crates/node/src/inbound/crash_admission.rs
@@ -6,7 +6,7 @@
 
 use super::{
     InboundError, InboundProxy, InboundRequest, RefusalReason,
-    inbound_proxy::{RETRY_ELSEWHERE, refused},
+    inbound_proxy::{RETRY_OTHER_NODE_AFTER, refused},
 };
 
 impl InboundProxy {
@@ -29,18 +29,18 @@
         if !self.crashes.borrow().is_suspect(now, request.fingerprint) {
             return Ok(None);
         }
-        let turn = if request.may_wait {
-            let turn = timeout_at(request.ends_at, self.suspect_turn.acquire()).await;
-            turn.ok().and_then(Result::ok)
+        let permit = if request.may_wait {
+            let permit = timeout_at(request.ends_at, self.suspect_semaphore.acquire()).await;
+            permit.ok().and_then(Result::ok)
         } else {
-            self.suspect_turn.try_acquire().ok()
+            self.suspect_semaphore.try_acquire().ok()
         };
-        if turn.is_none() {
-            return refused(RefusalReason::Busy, RETRY_ELSEWHERE);
+        if permit.is_none() {
+            return refused(RefusalReason::Busy, RETRY_OTHER_NODE_AFTER);
         }
         // The one before may have been this very request, sent twice.
         self.refuse_poisoned(request.fingerprint)?;
-        Ok(turn)
+        Ok(permit)
     }
 
     fn refuse_poisoned(&self, fingerprint: u64) -> Result<(), InboundError> {
--- a/crates/node/src/inbound/endpoint_breaker.rs
+++ b/crates/node/src/inbound/endpoint_breaker.rs
@@ -6,9 +6,9 @@
 /// which breaks every second run rarely opens it.
 const BREAKS_MAX: u32 = 8;
 /// First time for which it is open: a process is restarted within about a second.
-const PAUSE_FIRST: Duration = Duration::from_millis(250);
+const OPEN_TIME_FIRST: Duration = Duration::from_millis(250);
 /// Longest time for which it is open; one trial in it costs hardly anything.
-const PAUSE_MAX: Duration = Duration::from_secs(2);
+const OPEN_TIME_MAX: Duration = Duration::from_secs(2);
 
 /// A circuit breaker in front of a backend server that breaks every run.
 ///
@@ -20,9 +20,9 @@
 /// any answer closes the breaker.
 #[derive(Debug, Default)]
 pub struct EndpointBreaker {
-    breaks: u32,
+    consecutive_breaks: u32,
     open_until: Duration,
-    pause: Duration,
+    open_time: Duration,
     /// Whether a trial is under way.
     trial: bool,
 }
@@ -44,12 +44,12 @@
     /// let now = Duration::from_secs(1);
     /// for _ in 0..8 {
     ///     assert_eq!(breaker.admit(now), Ok(()));
-    ///     breaker.broke(now);
+    ///     breaker.record_break(now);
     /// }
     /// let wait = breaker.admit(now).unwrap_err();
     /// assert_eq!(breaker.admit(now + wait), Ok(()));
     /// assert!(breaker.admit(now + wait).is_err(), "one trial at a time");
-    /// breaker.answered();
+    /// breaker.record_response();
     /// assert_eq!(breaker.admit(now + wait), Ok(()));
     /// ```
     pub fn admit(&mut self, now: Duration) -> Result<(), Duration> {
@@ -62,29 +62,29 @@
         // A trial that ends without a result, as when its caller leaves, is followed by
         // another after the same pause.
         self.trial = true;
-        self.open_until = now + self.pause;
+        self.open_until = now + self.open_time;
         Ok(())
     }
 
     /// Whether nothing but trials passes.
     pub const fn is_open(&self) -> bool {
-        self.breaks >= BREAKS_MAX
+        self.consecutive_breaks >= BREAKS_MAX
     }
 
     /// Takes in that a run ended with an answer.
-    pub fn answered(&mut self) {
+    pub fn record_response(&mut self) {
         *self = Self::default();
     }
 
     /// Takes in that a run broke.
-    pub fn broke(&mut self, now: Duration) {
-        self.breaks = self.breaks.saturating_add(1);
-        if self.breaks == BREAKS_MAX {
-            self.pause = PAUSE_FIRST;
-            self.open_until = now + self.pause;
+    pub fn record_break(&mut self, now: Duration) {
+        self.consecutive_breaks = self.consecutive_breaks.saturating_add(1);
+        if self.consecutive_breaks == BREAKS_MAX {
+            self.open_time = OPEN_TIME_FIRST;
+            self.open_until = now + self.open_time;
         } else if std::mem::take(&mut self.trial) {
-            self.pause = (self.pause * 2).min(PAUSE_MAX);
-            self.open_until = now + self.pause;
+            self.open_time = (self.open_time * 2).min(OPEN_TIME_MAX);
+            self.open_until = now + self.open_time;
         }
     }
 }
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -8,7 +8,9 @@
 
 use super::{
     InboundError, InboundProxy, InboundRequest, RefusalReason, RunSlot,
-    inbound_proxy::{IDLE_ONCE, IDLE_REPEATABLE, RETRY_ELSEWHERE, broke, refused},
+    inbound_proxy::{
+        IDLE_TIME_IDEMPOTENT, IDLE_TIME_NON_IDEMPOTENT, RETRY_OTHER_NODE_AFTER, broke, refused,
+    },
 };
 use crate::{
     crash::CrashRecord,
@@ -30,32 +32,32 @@
         let fingerprint = request.fingerprint;
         let outgoing = self.outgoing(request, start.instance());
         let idle_time = if idempotent {
-            IDLE_REPEATABLE
+            IDLE_TIME_IDEMPOTENT
         } else {
-            IDLE_ONCE
+            IDLE_TIME_NON_IDEMPOTENT
         };
         let addr = self.settings.endpoint;
         let began = self.inner.clock.now();
         let exchange = self
             .inner
-            .endpoints
+            .endpoint_pool
             .exchange(addr, outgoing, idle_time)
             .await;
         let (response, sender) = match exchange {
-            Ok(answer) => answer,
+            Ok(received) => received,
             Err(ExchangeError::NotSent { .. } | ExchangeError::Refused { .. }) => {
-                return refused(RefusalReason::EndpointDown, RETRY_ELSEWHERE);
+                return refused(RefusalReason::EndpointDown, RETRY_OTHER_NODE_AFTER);
             }
             Err(ExchangeError::Broke { reason }) => {
                 // The backend server's place is free, whatever is found.
                 drop(slot);
-                let row = CrashRecord { fingerprint, start };
+                let record = CrashRecord { fingerprint, start };
                 let now = self.inner.clock.now();
-                let diagnosis = self.broken.push(now, began, row).await.ok();
+                let diagnosis = self.broken.push(now, began, record).await.ok();
                 return Err(InboundError::Broke { reason, diagnosis });
             }
         };
-        self.check(&response, id.as_ref())?;
+        self.check_response(&response, id.as_ref())?;
         if response.status().is_server_error() {
             let now = self.inner.clock.now();
             self.nested_calls.borrow_mut().run_failed(now);
@@ -66,10 +68,10 @@
     fn outgoing(&self, request: InboundRequest, instance: &str) -> Request<Full<Bytes>> {
         let mut headers = request.headers;
         strip_peer_headers(&mut headers);
-        let left = request.ends_at.saturating_duration_since(Instant::now());
+        let remaining = request.ends_at.saturating_duration_since(Instant::now());
         headers.insert(
             &self.headers.deadline_ms,
-            HeaderValue::from(left.as_millis() as u64),
+            HeaderValue::from(remaining.as_millis() as u64),
         );
         set_header(&mut headers, &self.headers.expected_instance, instance);
         let mut outgoing = Request::new(Full::new(request.body));
@@ -81,7 +83,7 @@
 
     /// Tells answers of the backend server to this request from refusals and
     /// from bytes that belong to no request or to another.
-    fn check(
+    fn check_response(
         &self,
         response: &Response<Incoming>,
         id: Option<&HeaderValue>,
@@ -95,14 +97,14 @@
                     self.broken.replaced(now, &ended, actual);
                 }
             }
-            return refused(RefusalReason::OtherInstance, RETRY_ELSEWHERE);
+            return refused(RefusalReason::OtherInstance, RETRY_OTHER_NODE_AFTER);
         }
         if id.is_some() && headers.get(&self.headers.request_id) != id {
             // An answer that came late, or twice, to an earlier request.
             return broke("the answer names another request");
         }
         if headers.contains_key(&self.headers.not_executed) {
-            return refused(RefusalReason::EndpointRefused, RETRY_ELSEWHERE);
+            return refused(RefusalReason::EndpointRefused, RETRY_OTHER_NODE_AFTER);
         }
         if status.is_success() && !headers.contains_key(&self.headers.signature) {
             return broke("the answer has no signature");
@@ -124,9 +126,9 @@
     let (mut head, body) = response.into_parts();
     strip_connection(&mut head.headers);
     strip_peer_headers(&mut head.headers);
-    slot.hold(sender);
+    slot.hold_connection(sender);
     if !is_short(&body) {
-        slot.made();
+        slot.release();
         return Ok(Response::from_parts(
             head,
             ResponseBody::stream(body).with_slot(slot),
--- a/crates/node/src/inbound/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -10,7 +10,7 @@
 
 /// Time between looks for the first configuration, which names the path of the
 /// health check.
-const CONFIG_LOOK: Duration = Duration::from_millis(500);
+const CONFIG_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Opens the inbound proxy to a backend server that was announced before this process began, once
 /// it confirms that it lives.
@@ -35,7 +35,7 @@
     let Some(path) = config.health_path(&record.service) else {
         return;
     };
-    let healthy = core.inbound.health(path).await;
+    let healthy = core.inbound.healthy_instance(path).await;
     let same = healthy.as_deref() == Some(record.start.instance());
     info!(core.log.logger(), "backend server asked";
         "instance" => %record.start, "healthy" => healthy, "opened" => same);
@@ -59,6 +59,6 @@
         if let Some(config) = config {
             return config;
         }
-        let _looked = timeout(CONFIG_LOOK, heard).await;
+        let _woken = timeout(CONFIG_CHECK_INTERVAL, heard).await;
     }
 }
--- a/crates/node/src/inbound/endpoint_health.rs
+++ b/crates/node/src/inbound/endpoint_health.rs
@@ -7,12 +7,12 @@
 use http_body_util::{BodyExt, Full};
 use tokio::time::timeout;
 
-use super::{InboundProxy, inbound_proxy::IDLE_ONCE};
+use super::{InboundProxy, inbound_proxy::IDLE_TIME_NON_IDEMPOTENT};
 use crate::{header_names::header_text, transport::ExchangeError};
 
 /// Longest time for a health check; it takes a millisecond when a slot is
 /// free. The next heartbeat comes within a second and a half.
-const HEALTH_TIME: Duration = Duration::from_secs(1);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 /// What the backend server said when its health was checked.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HealthCheckResponse {
@@ -25,10 +25,10 @@
 impl InboundProxy {
     /// Asks the backend server whether it is healthy and not leaving, and
     /// returns the start that says so.
-    pub async fn health(&self, path: &str) -> Option<String> {
-        let asked = timeout(HEALTH_TIME, self.check_health(path)).await;
-        let answer = asked.ok()?.ok()?;
-        answer.instance.filter(|_| answer.healthy)
+    pub async fn healthy_instance(&self, path: &str) -> Option<String> {
+        let asked = timeout(HEALTH_CHECK_TIMEOUT, self.check_health(path)).await;
+        let health_response = asked.ok()?.ok()?;
+        health_response.instance.filter(|_| health_response.healthy)
     }
 
     /// Sends a health check to the backend server.
@@ -42,18 +42,19 @@
         if let Ok(host) = HeaderValue::from_str(&self.settings.endpoint.to_string()) {
             request.headers_mut().insert(header::HOST, host);
         }
-        let endpoints = &self.inner.endpoints;
-        let exchange = endpoints.exchange(self.settings.endpoint, request, IDLE_ONCE);
+        let endpoint_pool = &self.inner.endpoint_pool;
+        let exchange =
+            endpoint_pool.exchange(self.settings.endpoint, request, IDLE_TIME_NON_IDEMPOTENT);
         let (response, sender) = exchange.await?;
-        let answer = HealthCheckResponse {
+        let health_response = HealthCheckResponse {
             healthy: response.status() == StatusCode::OK,
             instance: header_text(response.headers(), &self.headers.instance)
                 .map(ToOwned::to_owned),
         };
         if response.into_body().collect().await.is_ok() {
-            endpoints.give_back(sender);
+            endpoint_pool.give_back(sender);
         }
-        Ok(answer)
+        Ok(health_response)
     }
 
     /// Whether the backend server runs nothing for this node.
--- a/crates/node/src/inbound/endpoint_tracker.rs
+++ b/crates/node/src/inbound/endpoint_tracker.rs
@@ -207,8 +207,8 @@
     if report.sequence <= current.report.sequence {
         return ReportOutcome::Stale;
     }
-    let told = |report: &EndpointReport| (report.state, report.slots);
-    let changed = told(&report) != told(&current.report);
+    let announced = |report: &EndpointReport| (report.state, report.slots);
+    let changed = announced(&report) != announced(&current.report);
     current.leaving_since = match report.state {
         ReportState::Leaving => current.leaving_since.or(Some(now)),
         ReportState::Ready if current.deregistered => current.leaving_since,
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -32,19 +32,19 @@
 
 /// Longest time to open a connection to the backend server on this machine;
 /// it takes a millisecond unless the server is overloaded or dark.
-const CONNECT_TIME: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Longest use of an idle connection for what may run twice. Backend servers
 /// close idle connections after about ten seconds, some without notice.
-pub(super) const IDLE_REPEATABLE: Duration = Duration::from_secs(4);
+pub(super) const IDLE_TIME_IDEMPOTENT: Duration = Duration::from_secs(4);
 /// Longest use of an idle connection for what must not run twice: a request
 /// that crosses a close can't be sent again, and a new connection costs only a
 /// millisecond.
-pub(super) const IDLE_ONCE: Duration = Duration::from_secs(1);
+pub(super) const IDLE_TIME_NON_IDEMPOTENT: Duration = Duration::from_secs(1);
 /// Time beyond the caller's after which the backend server is given up on;
 /// usually the sender's cancel comes first.
-const OVERTIME: Duration = Duration::from_millis(100);
+const RESPONSE_GRACE_TIME: Duration = Duration::from_millis(100);
 /// Advice after a refusal that isn't about load: another node is asked at once.
-pub(super) const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
+pub(super) const RETRY_OTHER_NODE_AFTER: Duration = Duration::from_millis(50);
 
 /// Settings of an inbound proxy.
 #[derive(Debug, Clone)]
@@ -80,7 +80,7 @@
 /// State of the inbound proxy.
 #[derive(Debug)]
 pub(super) struct InboundState {
-    pub(super) endpoints: ConnectionPool,
+    pub(super) endpoint_pool: ConnectionPool,
     pub(super) clock: NodeClock,
     pub(super) link: Rc<LinkScheduler>,
     pub(super) response_sizes: RefCell<ResponseSizes>,
@@ -119,7 +119,7 @@
     pub(super) broken: BrokenRuns,
     pub(super) crashes: Rc<RefCell<CrashHistory>>,
     /// Held while a request runs that was running when a backend server crashed.
-    pub(super) suspect_turn: Semaphore,
+    pub(super) suspect_semaphore: Semaphore,
     pub(super) breaker: RefCell<EndpointBreaker>,
     pub(super) nested_calls: RefCell<NestedCallDetector>,
     stopping_since: Cell<Option<Duration>>,
@@ -134,12 +134,12 @@
         link: Rc<LinkScheduler>,
         crashes: Rc<RefCell<CrashHistory>>,
     ) -> Self {
-        let endpoints = ConnectionPool::new(PoolSettings {
-            connect_time: CONNECT_TIME,
-            idle_time: IDLE_REPEATABLE,
+        let endpoint_pool = ConnectionPool::new(PoolSettings {
+            connect_time: CONNECT_TIMEOUT,
+            idle_time: IDLE_TIME_IDEMPOTENT,
         });
         let inner = InboundState {
-            endpoints,
+            endpoint_pool,
             clock,
             link,
             response_sizes: RefCell::default(),
@@ -153,7 +153,7 @@
             tracker: RefCell::default(),
             broken: BrokenRuns::default(),
             crashes,
-            suspect_turn: Semaphore::new(1),
+            suspect_semaphore: Semaphore::new(1),
             breaker: RefCell::default(),
             nested_calls: RefCell::default(),
             stopping_since: Cell::new(None),
@@ -219,13 +219,13 @@
     /// repeat can't be sent again.
     pub fn close_idle_connections(&self) {
         // Breaks of the start that has ended say nothing of the next.
-        self.breaker.borrow_mut().answered();
-        self.inner.endpoints.forget(self.settings.endpoint);
+        self.breaker.borrow_mut().record_response();
+        self.inner.endpoint_pool.forget(self.settings.endpoint);
     }
 
     /// Closes connections that were idle for too long.
     pub fn sweep(&self) {
-        self.inner.endpoints.sweep();
+        self.inner.endpoint_pool.sweep();
     }
 
     /// Runs a request at the backend server.
@@ -241,29 +241,29 @@
         request: InboundRequest,
         idempotent: bool,
     ) -> Result<Response<ResponseBody>, InboundError> {
-        let turn = self.admit_fingerprint(&request).await?;
+        let permit = self.admit_fingerprint(&request).await?;
         let start = self.admit(&request)?;
         let reservation = self.reserve_link(&request)?;
         let slot = self.wait_for_slot(&request).await?;
         // A backend server may have crashed meanwhile, or this one begun to leave.
-        let _turn = match turn {
-            Some(turn) => Some(turn),
+        let _permit = match permit {
+            Some(permit) => Some(permit),
             None => self.admit_fingerprint(&request).await?,
         };
         self.admit(&request)?;
         self.admit_by_breaker()?;
-        let ends_at = request.ends_at + OVERTIME;
+        let ends_at = request.ends_at + RESPONSE_GRACE_TIME;
         let (route_hash, fingerprint) = (request.route_hash, request.fingerprint);
-        let unscheduled = self.unscheduled_answer(&request);
-        let answer = timeout_at(ends_at, self.call(request, idempotent, slot, start)).await;
-        if let Ok(result) = &answer {
-            self.note_run(result);
+        let unscheduled = self.unscheduled_response(&request);
+        let response = timeout_at(ends_at, self.call(request, idempotent, slot, start)).await;
+        if let Ok(result) = &response {
+            self.record_run(result);
         }
-        let answer = answer.unwrap_or_else(|_elapsed| broke("no answer in time"))?;
-        if answer.status().is_success() {
+        let response = response.unwrap_or_else(|_elapsed| broke("no answer in time"))?;
+        if response.status().is_success() {
             self.crashes.borrow_mut().completed(fingerprint);
         }
-        let bytes = answer.body().size_hint().exact();
+        let bytes = response.body().size_hint().exact();
         if let Some(bytes) = bytes {
             self.inner
                 .response_sizes
@@ -271,7 +271,7 @@
                 .observe(route_hash, bytes);
         }
         let reservation = reservation.or_else(|| self.schedule_long_response(unscheduled?, bytes?));
-        Ok(answer.map(|body| body.with_reservation(reservation)))
+        Ok(response.map(|body| body.with_reservation(reservation)))
     }
 
     fn admit_by_breaker(&self) -> Result<(), InboundError> {
@@ -280,11 +280,11 @@
     }
 
     /// Tells the breaker how a run ended. A refusal says nothing.
-    fn note_run(&self, result: &Result<Response<ResponseBody>, InboundError>) {
+    fn record_run(&self, result: &Result<Response<ResponseBody>, InboundError>) {
         let mut breaker = self.breaker.borrow_mut();
         match result {
-            Ok(_) => breaker.answered(),
-            Err(InboundError::Broke { .. }) => breaker.broke(self.inner.clock.now()),
+            Ok(_) => breaker.record_response(),
+            Err(InboundError::Broke { .. }) => breaker.record_break(self.inner.clock.now()),
             Err(InboundError::Refused { .. }) => {}
         }
     }
@@ -295,7 +295,7 @@
         let now = self.inner.clock.now();
         match tracker.admits(now, request.instance.as_deref(), grace) {
             Ok(current) => Ok(current.report.start.clone()),
-            Err(reason) => refused(reason, RETRY_ELSEWHERE),
+            Err(reason) => refused(reason, RETRY_OTHER_NODE_AFTER),
         }
     }
 }
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -14,7 +14,7 @@
 
 /// Data kept from a request to schedule its answer if that turns out long.
 #[derive(Debug)]
-pub(super) struct UnscheduledAnswer {
+pub(super) struct UnscheduledResponse {
     /// Identifier of the request, for the log.
     id: Option<HeaderValue>,
     useful_until: Instant,
@@ -33,9 +33,9 @@
             return Ok(None);
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
-        let offer = LinkRequest {
+        let link_request = LinkRequest {
             bytes,
-            made_in: self
+            ready_in: self
                 .inner
                 .queue
                 .borrow()
@@ -43,7 +43,7 @@
             useful_until: clock.at(request.useful_until),
             ends_at: clock.at(request.ends_at),
         };
-        match link.offer(clock, self.id_of(request), offer) {
+        match link.reserve(clock, self.request_id_of(request), link_request) {
             Ok(reservation) => Ok(Some(reservation)),
             Err(retry_after) => refused(RefusalReason::LinkFull, retry_after),
         }
@@ -55,33 +55,36 @@
     /// ones fill the link for so long that the node seems dead to the others.
     pub(super) fn schedule_long_response(
         &self,
-        answer: UnscheduledAnswer,
+        response: UnscheduledResponse,
         bytes: u64,
     ) -> Option<LinkReservation> {
         if bytes <= SHORT_RESPONSE_MAX_BYTES {
             return None;
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
-        let offer = LinkRequest {
+        let link_request = LinkRequest {
             bytes,
-            made_in: Duration::ZERO,
-            useful_until: clock.at(answer.useful_until),
-            ends_at: clock.at(answer.ends_at),
+            ready_in: Duration::ZERO,
+            useful_until: clock.at(response.useful_until),
+            ends_at: clock.at(response.ends_at),
         };
-        Some(link.take(clock, answer.id, offer))
+        Some(link.reserve_unchecked(clock, response.id, link_request))
     }
 
     /// Returns what [`InboundProxy::schedule_long_response`] needs, if another node sent the request.
-    pub(super) fn unscheduled_answer(&self, request: &InboundRequest) -> Option<UnscheduledAnswer> {
-        (request.origin == RequestOrigin::Node).then(|| UnscheduledAnswer {
-            id: self.id_of(request),
+    pub(super) fn unscheduled_response(
+        &self,
+        request: &InboundRequest,
+    ) -> Option<UnscheduledResponse> {
+        (request.origin == RequestOrigin::Node).then(|| UnscheduledResponse {
+            id: self.request_id_of(request),
             useful_until: request.useful_until,
             ends_at: request.ends_at,
         })
     }
 
     /// Returns the identifier of a request, for the log.
-    fn id_of(&self, request: &InboundRequest) -> Option<HeaderValue> {
+    fn request_id_of(&self, request: &InboundRequest) -> Option<HeaderValue> {
         request.headers.get(&self.headers.request_id).cloned()
     }
 }
--- a/crates/node/src/inbound/mod.rs
+++ b/crates/node/src/inbound/mod.rs
@@ -7,7 +7,6 @@
 //! them to the connections.
 
 mod admission_queue;
-mod class_books;
 mod crash_admission;
 mod endpoint_breaker;
 mod endpoint_call;
@@ -20,6 +19,7 @@
 mod inbound_request;
 mod link_admission;
 mod nested_call_detector;
+mod route_statistics;
 mod run_slot;
 mod slot_wait;
 
--- a/crates/node/src/inbound/nested_call_detector.rs
+++ b/crates/node/src/inbound/nested_call_detector.rs
@@ -8,36 +8,36 @@
 use crate::member::MovingMean;
 
 /// Time within which a run fails after a call of its own was turned away.
-const FOLLOWS_TIME: Duration = Duration::from_millis(3);
+const FAILURE_WINDOW: Duration = Duration::from_millis(3);
 /// Weight of one request turned away in the share of those that a failed run
 /// followed: five or six tell.
 const SHARE_WEIGHT: f64 = 0.2;
 /// Share from which on a class counts as calls. Some requests of callers are followed by
 /// a failed run by chance.
-const CALL_SHARE: f64 = 0.5;
+const NESTED_SHARE_MIN: f64 = 0.5;
 /// Requests turned away before a class is believed to be calls.
-const SEEN_MIN: u32 = 3;
+const REJECTIONS_MIN: u32 = 3;
 /// Requests turned away that are looked at together: far more than come within
 /// the time.
 const PENDING_MAX: usize = 64;
 
 /// A request turned away a moment ago.
 #[derive(Debug, Clone, Copy)]
-struct TurnedAway {
+struct RejectedRequest {
     at: Duration,
     route_hash: u64,
     followed: bool,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct CallShare {
+struct FailureShare {
     share: MovingMean,
-    seen: u32,
+    rejections: u32,
 }
 
-impl CallShare {
+impl FailureShare {
     fn is_nested_call(&self) -> bool {
-        self.seen >= SEEN_MIN && self.share.get().unwrap_or(0.0) >= CALL_SHARE
+        self.rejections >= REJECTIONS_MIN && self.share.get().unwrap_or(0.0) >= NESTED_SHARE_MIN
     }
 }
 
@@ -50,32 +50,36 @@
 /// away are followed by a failed run is one of calls.
 #[derive(Debug, Default)]
 pub struct NestedCallDetector {
-    pending: VecDeque<TurnedAway>,
-    shares: HashMap<u64, CallShare>,
-    learned: Option<u64>,
+    pending: VecDeque<RejectedRequest>,
+    shares: HashMap<u64, FailureShare>,
+    newly_detected: Option<u64>,
 }
 
 impl NestedCallDetector {
     /// Notes that a request of `route_hash`, sent on this machine, got no answer, and
     /// returns a class that has been found to be calls since.
     pub fn request_failed(&mut self, now: Duration, route_hash: u64) -> Option<u64> {
-        self.settle(now);
+        self.evaluate_pending(now);
         if self.pending.len() < PENDING_MAX {
-            self.pending.push_back(TurnedAway {
+            self.pending.push_back(RejectedRequest {
                 at: now,
                 route_hash,
                 followed: false,
             });
         }
-        self.learned.take()
+        self.newly_detected.take()
     }
 
     /// Notes that a run of the backend server failed.
     pub fn run_failed(&mut self, now: Duration) {
-        self.settle(now);
-        let last = self.pending.iter_mut().rev().find(|away| !away.followed);
-        if let Some(away) = last {
-            away.followed = true;
+        self.evaluate_pending(now);
+        let last = self
+            .pending
+            .iter_mut()
+            .rev()
+            .find(|rejected| !rejected.followed);
+        if let Some(rejected) = last {
+            rejected.followed = true;
         }
     }
 
@@ -88,34 +92,34 @@
     /// use std::time::Duration;
     /// use geranium_node::inbound::NestedCallDetector;
     ///
-    /// let mut book = NestedCallDetector::default();
+    /// let mut detector = NestedCallDetector::default();
     /// for second in 1..5 {
-    ///     book.request_failed(Duration::from_secs(second), 7);
-    ///     book.run_failed(Duration::from_millis(second * 1_000 + 1));
+    ///     detector.request_failed(Duration::from_secs(second), 7);
+    ///     detector.run_failed(Duration::from_millis(second * 1_000 + 1));
     /// }
-    /// assert!(book.is_nested_call(7));
-    /// assert!(!book.is_nested_call(8));
+    /// assert!(detector.is_nested_call(7));
+    /// assert!(!detector.is_nested_call(8));
     /// ```
     pub fn is_nested_call(&self, route_hash: u64) -> bool {
         self.shares
             .get(&route_hash)
-            .is_some_and(CallShare::is_nested_call)
+            .is_some_and(FailureShare::is_nested_call)
     }
 
     /// Judges what was turned away long enough ago.
-    fn settle(&mut self, now: Duration) {
-        while let Some(away) = self.pending.front().copied() {
-            if now <= away.at + FOLLOWS_TIME {
+    fn evaluate_pending(&mut self, now: Duration) {
+        while let Some(rejected) = self.pending.front().copied() {
+            if now <= rejected.at + FAILURE_WINDOW {
                 break;
             }
             self.pending.pop_front();
-            let known = self.shares.entry(away.route_hash).or_default();
+            let known = self.shares.entry(rejected.route_hash).or_default();
             let before = known.is_nested_call();
-            let followed = f64::from(u8::from(away.followed));
+            let followed = f64::from(u8::from(rejected.followed));
             known.share.observe(followed, SHARE_WEIGHT);
-            known.seen = known.seen.saturating_add(1);
+            known.rejections = known.rejections.saturating_add(1);
             if known.is_nested_call() && !before {
-                self.learned = Some(away.route_hash);
+                self.newly_detected = Some(rejected.route_hash);
             }
         }
     }
--- a/crates/node/src/inbound/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -19,7 +19,7 @@
     route_hash: u64,
     started: Instant,
     sender: Option<PooledSender>,
-    made: bool,
+    released: bool,
 }
 
 impl RunSlot {
@@ -29,17 +29,17 @@
             route_hash,
             started: Instant::now(),
             sender: None,
-            made: false,
+            released: false,
         }
     }
 
-    pub(super) fn hold(&mut self, sender: PooledSender) {
+    pub(super) fn hold_connection(&mut self, sender: PooledSender) {
         self.sender = Some(sender);
     }
 
     /// Gives the slot back: the answer is made.
-    pub fn made(&mut self) {
-        if !std::mem::replace(&mut self.made, true) {
+    pub fn release(&mut self) {
+        if !std::mem::replace(&mut self.released, true) {
             self.inner
                 .finish(self.route_hash, Some(self.started.elapsed()));
         }
@@ -48,15 +48,15 @@
     /// Gives slot and connection back after a whole answer.
     pub fn complete(mut self) {
         if let Some(sender) = self.sender.take() {
-            self.inner.endpoints.give_back(sender);
+            self.inner.endpoint_pool.give_back(sender);
         }
-        self.made();
+        self.release();
     }
 }
 
 impl Drop for RunSlot {
     fn drop(&mut self) {
-        if !self.made {
+        if !self.released {
             self.inner.finish(self.route_hash, None);
         }
     }
--- a/crates/node/src/inbound/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -7,7 +7,7 @@
 use super::{
     AdmissionDecision, AdmissionRequest, InboundError, InboundProxy, InboundRequest, QueueKey,
     RefusalReason, RunSlot,
-    inbound_proxy::{InboundState, RETRY_ELSEWHERE, refused},
+    inbound_proxy::{InboundState, RETRY_OTHER_NODE_AFTER, refused},
 };
 
 /// A place in the queue; dropped early, it is given up.
@@ -15,13 +15,13 @@
     inner: &'a Rc<InboundState>,
     key: QueueKey,
     route_hash: u64,
-    taken: bool,
+    settled: bool,
 }
 
 impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
         self.inner.waiters.borrow_mut().remove(&self.key);
-        if self.taken {
+        if self.settled {
             return;
         }
         let waited = self.inner.queue.borrow_mut().withdraw(self.key);
@@ -43,7 +43,7 @@
         request: &InboundRequest,
     ) -> Result<RunSlot, InboundError> {
         let route_hash = request.route_hash;
-        let offer = AdmissionRequest {
+        let admission_request = AdmissionRequest {
             rank: request.rank,
             route_hash,
             nested: request.nested,
@@ -52,10 +52,10 @@
             ends_at: self.inner.clock.at(request.ends_at),
         };
         let now = self.inner.clock.now();
-        let decision = self.inner.queue.borrow_mut().admit(now, offer);
+        let decision = self.inner.queue.borrow_mut().admit(now, admission_request);
         let (key, latest) = match decision {
             AdmissionDecision::Run => return Ok(RunSlot::new(Rc::clone(&self.inner), route_hash)),
-            AdmissionDecision::Busy => return refused(RefusalReason::Busy, RETRY_ELSEWHERE),
+            AdmissionDecision::Busy => return refused(RefusalReason::Busy, RETRY_OTHER_NODE_AFTER),
             AdmissionDecision::Refuse { retry_after } => {
                 return refused(RefusalReason::Full, retry_after);
             }
@@ -67,17 +67,17 @@
             inner: &self.inner,
             key,
             route_hash,
-            taken: false,
+            settled: false,
         };
         let latest = self.inner.clock.instant(latest);
         if timeout_at(latest, granted).await.is_ok() {
-            place.taken = true;
+            place.settled = true;
             return Ok(RunSlot::new(Rc::clone(&self.inner), route_hash));
         }
         // When it was granted in this very moment, the place frees the slot.
-        place.taken = self.inner.queue.borrow_mut().expire(key);
+        place.settled = self.inner.queue.borrow_mut().expire(key);
         drop(place);
         let retry_after = self.inner.queue.borrow().wait();
-        refused(RefusalReason::Full, retry_after.max(RETRY_ELSEWHERE))
+        refused(RefusalReason::Full, retry_after.max(RETRY_OTHER_NODE_AFTER))
     }
 }
--- a/crates/node/src/link/link_reporter.rs
+++ b/crates/node/src/link/link_reporter.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone)]
 pub struct LinkCounters {
     bytes: Counter<u64>,
-    answers: Counter<u64>,
+    long_responses: Counter<u64>,
 }
 
 impl LinkCounters {
@@ -24,12 +24,13 @@
     pub fn new(meter: &Meter) -> Self {
         Self {
             bytes: meter.u64_counter("geranium_link_bytes").build(),
-            answers: meter.u64_counter("geranium_long_answers").build(),
+            long_responses: meter.u64_counter("geranium_long_answers").build(),
         }
     }
 
-    fn answer(&self, end: &'static str, count: u32) {
-        self.answers.add(count.into(), &[KeyValue::new("end", end)]);
+    fn count_long_responses(&self, outcome: &'static str, count: u32) {
+        self.long_responses
+            .add(count.into(), &[KeyValue::new("end", outcome)]);
     }
 }
 
@@ -47,53 +48,54 @@
     }
 
     /// Records what became of a long answer.
-    pub fn ended(&self, now: Duration, transfer: &TransferRecord) {
-        let end = transfer.end();
+    pub fn record_transfer_end(&self, now: Duration, transfer: &TransferRecord) {
+        let outcome = transfer.outcome();
         if let Some(log) = self.log.for_request(now, "long answer") {
             info!(log, "long answer ended";
-                "request" => transfer.request.as_ref().and_then(|id| id.to_str().ok()),
-                "end" => <&'static str>::from(end),
+                "request" => transfer.request_id.as_ref().and_then(|id| id.to_str().ok()),
+                "end" => <&'static str>::from(outcome),
                 "bytes" => transfer.bytes,
-                "bytes_promised" => transfer.offer.bytes,
+                "bytes_promised" => transfer.link_request.bytes,
                 "sent" => transfer.sent,
-                "target_ms" => transfer.millis(Some(transfer.offer.useful_until)),
-                "deadline_ms" => transfer.millis(Some(transfer.offer.ends_at)),
-                "made_ms" => transfer.millis(transfer.made_at),
-                "postponed_ms" => transfer.millis(transfer.postponed_at),
-                "begun_ms" => transfer.millis(transfer.begun_at),
-                "sent_ms" => transfer.millis(transfer.sent_at),
-                "took_ms" => transfer.millis(Some(now)));
+                "target_ms" => transfer.millis_since_request(Some(transfer.link_request.useful_until)),
+                "deadline_ms" => transfer.millis_since_request(Some(transfer.link_request.ends_at)),
+                "made_ms" => transfer.millis_since_request(transfer.response_ready_at),
+                "postponed_ms" => transfer.millis_since_request(transfer.postponed_at),
+                "begun_ms" => transfer.millis_since_request(transfer.started_at),
+                "sent_ms" => transfer.millis_since_request(transfer.sent_at),
+                "took_ms" => transfer.millis_since_request(Some(now)));
         }
     }
 
     /// Counts what the link carried, and logs it when it was asked for long answers.
-    pub fn carried(&self, load: &LinkUsage, time: Duration, rate: f64, backlog: Duration) {
-        for &purpose in LinkTraffic::VARIANTS {
-            let label = KeyValue::new("use", <&'static str>::from(purpose));
-            self.counters.bytes.add(load.bytes(purpose), &[label]);
+    pub fn record_usage(&self, usage: &LinkUsage, time: Duration, rate: f64, backlog: Duration) {
+        for &traffic in LinkTraffic::VARIANTS {
+            let label = KeyValue::new("use", <&'static str>::from(traffic));
+            self.counters.bytes.add(usage.bytes(traffic), &[label]);
         }
-        for &end in TransferOutcome::VARIANTS {
-            self.counters.answer(end.into(), load.ends(end));
+        for &outcome in TransferOutcome::VARIANTS {
+            self.counters
+                .count_long_responses(outcome.into(), usage.outcomes(outcome));
         }
-        self.counters.answer("refused", load.refused);
-        if load.promised + load.refused == 0 {
+        self.counters.count_long_responses("refused", usage.refused);
+        if usage.reserved + usage.refused == 0 {
             return;
         }
         let full = rate * time.as_secs_f64();
         info!(self.log.logger(), "link carried";
             "time_ms" => time.as_millis() as u64,
-            "used_percent" => (load.all_bytes() as f64 / full * 100.0).round() as u64,
-            "long_away" => load.bytes(LinkTraffic::LongAway),
-            "short" => load.bytes(LinkTraffic::Short),
-            "overhead" => load.bytes(LinkTraffic::Overhead),
-            "refusals" => load.bytes(LinkTraffic::Refusal),
-            "requests" => load.bytes(LinkTraffic::Request),
-            "promised" => load.promised,
-            "refused" => load.refused,
-            "in_time" => load.ends(TransferOutcome::InTime),
-            "late" => load.ends(TransferOutcome::Late),
-            "cut" => load.ends(TransferOutcome::Cut),
-            "unmade" => load.ends(TransferOutcome::Unmade),
+            "used_percent" => (usage.total_bytes() as f64 / full * 100.0).round() as u64,
+            "long_away" => usage.bytes(LinkTraffic::LongAway),
+            "short" => usage.bytes(LinkTraffic::Short),
+            "overhead" => usage.bytes(LinkTraffic::Overhead),
+            "refusals" => usage.bytes(LinkTraffic::Refusal),
+            "requests" => usage.bytes(LinkTraffic::Request),
+            "promised" => usage.reserved,
+            "refused" => usage.refused,
+            "in_time" => usage.outcomes(TransferOutcome::InTime),
+            "late" => usage.outcomes(TransferOutcome::Late),
+            "cut" => usage.outcomes(TransferOutcome::Cut),
+            "unmade" => usage.outcomes(TransferOutcome::Unmade),
             "backlog_ms" => backlog.as_millis() as u64);
     }
 }
--- a/crates/node/src/link/link_reservation.rs
+++ b/crates/node/src/link/link_reservation.rs
@@ -48,7 +48,7 @@
 
     /// Ends the promise after the last byte.
     pub fn complete(mut self) {
-        self.transfer.is_whole = true;
+        self.transfer.is_complete = true;
     }
 
     /// Waits for the next turn and returns how many bytes it has.
@@ -58,11 +58,11 @@
             match turn {
                 LinkTurn::Now => {
                     self.timer = None;
-                    self.scheduler.leave(self.key);
-                    return Poll::Ready(self.scheduler.schedule().piece());
+                    self.scheduler.remove_waker(self.key);
+                    return Poll::Ready(self.scheduler.schedule().chunk_bytes());
                 }
                 LinkTurn::Postponed(key) => {
-                    self.scheduler.leave(self.key);
+                    self.scheduler.remove_waker(self.key);
                     self.key = key;
                     self.transfer.postponed_at = Some(self.clock.now());
                     // Whoever waited behind it may be first now.
@@ -70,11 +70,11 @@
                 }
                 LinkTurn::Later => {
                     self.timer = None;
-                    self.scheduler.wait(self.key, cx.waker());
+                    self.scheduler.register_waker(self.key, cx.waker());
                     return Poll::Pending;
                 }
                 LinkTurn::After(time) => {
-                    self.scheduler.wait(self.key, cx.waker());
+                    self.scheduler.register_waker(self.key, cx.waker());
                     let timer = self.timer.insert(Box::pin(sleep(time)));
                     if timer.as_mut().poll(cx).is_pending() {
                         return Poll::Pending;
@@ -97,8 +97,9 @@
 impl Drop for LinkReservation {
     fn drop(&mut self) {
         self.scheduler.schedule().withdraw(self.key);
-        self.scheduler.leave(self.key);
-        self.scheduler.ended(self.clock.now(), &self.transfer);
+        self.scheduler.remove_waker(self.key);
+        self.scheduler
+            .record_transfer_end(self.clock.now(), &self.transfer);
         self.scheduler.wake_next();
     }
 }
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -7,23 +7,23 @@
 
 /// Fraction of the link rate that carries payload: a full TCP segment has 1,448 bytes of
 /// payload in 1,538 bytes on Ethernet.
-const PLANNED_PART: f64 = 0.94;
+const PAYLOAD_FRACTION: f64 = 0.94;
 /// Bytes a second in a megabit a second.
 const BYTES_PER_MBIT: f64 = 125_000.0;
 /// Time that long answers may fill the link ahead. A short answer waits behind it, and a
 /// timer may fire some milliseconds late.
-const AHEAD: Duration = Duration::from_millis(12);
+const SEND_AHEAD_TIME: Duration = Duration::from_millis(12);
 /// Time that one piece of a long answer fills the link.
-const PIECE_TIME: Duration = Duration::from_millis(6);
+const CHUNK_TIME: Duration = Duration::from_millis(6);
 /// Bounds of a piece: below a packet or two each costs more to hand over than
 /// to carry, and more than the library reads at a time isn't there.
-const PIECE_BYTES: std::ops::RangeInclusive<f64> = 4_096.0..=65_536.0;
+const CHUNK_BYTES: std::ops::RangeInclusive<f64> = 4_096.0..=65_536.0;
 /// Part of the time until an answer is due that is planned with. The rest is for the
 /// way through the other node to the caller, and for runs and lengths that vary.
-const DUE_PART: f64 = 0.85;
+const DEADLINE_FRACTION: f64 = 0.85;
 /// Time by which the link may be free later than a late answer is made. Beyond it the
 /// answer would take the place of another that can be in time.
-const LATE_WAIT: Duration = Duration::from_millis(100);
+const LATE_WAIT_MAX: Duration = Duration::from_millis(100);
 /// Least advice on when to come back.
 const RETRY_MIN: Duration = Duration::from_millis(50);
 
@@ -40,18 +40,18 @@
     /// Its bytes, as far as is known.
     pub bytes: u64,
     /// Time until the backend server has made it.
-    pub made_in: Duration,
+    pub ready_in: Duration,
     /// Time by which it is of full use.
     pub useful_until: Duration,
     /// Time at which its caller gets a final answer.
     pub ends_at: Duration,
 }
 
-/// What becomes of an offer.
+/// What becomes of an request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkDecision {
     /// The link is promised to it.
-    Promised(TransferKey),
+    Reserved(TransferKey),
     /// It can't be there in time.
     Refused {
         /// Time after which it could be.
@@ -75,7 +75,7 @@
 
 /// What is still to come of a promised answer.
 #[derive(Debug, Clone, Copy)]
-struct PromisedLoad {
+struct ReservedTransfer {
     bytes: f64,
     /// Time at which its caller gets a final answer.
     ends_at: Duration,
@@ -101,11 +101,11 @@
 #[derive(Debug)]
 pub struct LinkSchedule {
     bytes_per_s: f64,
-    /// Bytes handed over and not carried yet, as of `at`.
-    level: f64,
-    at: Duration,
+    /// Bytes handed over and not carried yet, as of `updated_at`.
+    unsent_bytes: f64,
+    updated_at: Duration,
     /// What is still to come of each promised answer.
-    loads: BTreeMap<TransferKey, PromisedLoad>,
+    transfers: BTreeMap<TransferKey, ReservedTransfer>,
     /// Those that want to hand on a piece now.
     waiting: BTreeSet<TransferKey>,
     order: u64,
@@ -115,10 +115,10 @@
     /// Makes the schedule of an idle link.
     pub fn new(link_mbps: f64) -> Self {
         Self {
-            bytes_per_s: (link_mbps * BYTES_PER_MBIT * PLANNED_PART).max(1.0),
-            level: 0.0,
-            at: Duration::ZERO,
-            loads: BTreeMap::new(),
+            bytes_per_s: (link_mbps * BYTES_PER_MBIT * PAYLOAD_FRACTION).max(1.0),
+            unsent_bytes: 0.0,
+            updated_at: Duration::ZERO,
+            transfers: BTreeMap::new(),
             waiting: BTreeSet::new(),
             order: 0,
         }
@@ -133,67 +133,73 @@
     /// use geranium_node::link::{LinkRequest, LinkSchedule, LinkDecision};
     ///
     /// let mut link = LinkSchedule::new(8.0);
-    /// let offer = LinkRequest {
+    /// let request = LinkRequest {
     ///     bytes: 90_000,
-    ///     made_in: Duration::from_millis(100),
+    ///     ready_in: Duration::from_millis(100),
     ///     useful_until: Duration::from_millis(400),
     ///     ends_at: Duration::from_millis(400),
     /// };
     /// let promised = (0..9).filter(|_| {
-    ///     matches!(link.offer(Duration::ZERO, offer), LinkDecision::Promised(_))
+    ///     matches!(link.reserve(Duration::ZERO, request), LinkDecision::Reserved(_))
     /// });
     /// assert_eq!(promised.count(), 3);
     /// ```
-    pub fn offer(&mut self, now: Duration, offer: LinkRequest) -> LinkDecision {
-        if let Some(retry_after) = self.refusal(now, offer) {
+    pub fn reserve(&mut self, now: Duration, request: LinkRequest) -> LinkDecision {
+        if let Some(retry_after) = self.refusal(now, request) {
             return LinkDecision::Refused { retry_after };
         }
-        let due = if self.may_be_in_time(now, offer) {
-            offer.useful_until
+        let due = if self.can_be_in_time(now, request) {
+            request.useful_until
         } else {
-            offer.ends_at
+            request.ends_at
         };
-        LinkDecision::Promised(self.take(offer.bytes, due, offer.ends_at))
+        LinkDecision::Reserved(self.reserve_unchecked(request.bytes, due, request.ends_at))
     }
 
-    /// Returns the time after which the link could be promised to an offer, if it
+    /// Returns the time after which the link could be promised to an request, if it
     /// can't be now.
-    pub fn refusal(&self, now: Duration, offer: LinkRequest) -> Option<Duration> {
+    pub fn refusal(&self, now: Duration, request: LinkRequest) -> Option<Duration> {
         let free = self.backlog(now);
-        let sent_at = now + free.max(offer.made_in) + self.time_of(offer.bytes as f64);
-        let excess = if self.may_be_in_time(now, offer) {
-            sent_at.saturating_sub(due_by(now, offer.useful_until))
+        let sent_at = now + free.max(request.ready_in) + self.transfer_time(request.bytes as f64);
+        let excess = if self.can_be_in_time(now, request) {
+            sent_at.saturating_sub(due_by(now, request.useful_until))
         } else {
-            let in_vain = sent_at.saturating_sub(due_by(now, offer.ends_at));
-            free.saturating_sub(offer.made_in + LATE_WAIT).max(in_vain)
+            let past_end = sent_at.saturating_sub(due_by(now, request.ends_at));
+            free.saturating_sub(request.ready_in + LATE_WAIT_MAX)
+                .max(past_end)
         };
         (excess > Duration::ZERO).then_some(excess.max(RETRY_MIN))
     }
 
-    /// Whether an offer could be in time on an idle link.
-    fn may_be_in_time(&self, now: Duration, offer: LinkRequest) -> bool {
-        now + offer.made_in + self.time_of(offer.bytes as f64) <= offer.useful_until
+    /// Whether an request could be in time on an idle link.
+    fn can_be_in_time(&self, now: Duration, request: LinkRequest) -> bool {
+        now + request.ready_in + self.transfer_time(request.bytes as f64) <= request.useful_until
     }
 
     /// Gives a long answer that is there already its turns: nobody knew that it
     /// would be long, as with the first ones after a start.
-    pub fn take(&mut self, bytes: u64, due: Duration, ends_at: Duration) -> TransferKey {
+    pub fn reserve_unchecked(
+        &mut self,
+        bytes: u64,
+        due: Duration,
+        ends_at: Duration,
+    ) -> TransferKey {
         let bytes = bytes as f64;
-        self.insert(due, PromisedLoad { bytes, ends_at })
+        self.insert(due, ReservedTransfer { bytes, ends_at })
     }
 
-    fn insert(&mut self, due: Duration, load: PromisedLoad) -> TransferKey {
+    fn insert(&mut self, due: Duration, transfer: ReservedTransfer) -> TransferKey {
         self.order += 1;
         let order = self.order;
         let key = TransferKey { due, order };
-        self.loads.insert(key, load);
+        self.transfers.insert(key, transfer);
         key
     }
 
     /// Takes in how many bytes a promised answer really has.
     pub fn resize(&mut self, key: TransferKey, bytes: u64) {
-        if let Some(load) = self.loads.get_mut(&key) {
-            load.bytes = bytes as f64;
+        if let Some(transfer) = self.transfers.get_mut(&key) {
+            transfer.bytes = bytes as f64;
         }
     }
 
@@ -206,9 +212,9 @@
         if self.waiting.first() != Some(&key) {
             return LinkTurn::Later;
         }
-        let excess = self.level_at(now) - AHEAD.as_secs_f64() * self.bytes_per_s;
+        let excess = self.unsent_bytes_at(now) - SEND_AHEAD_TIME.as_secs_f64() * self.bytes_per_s;
         if excess > 0.0 {
-            return LinkTurn::After(self.time_of(excess));
+            return LinkTurn::After(self.transfer_time(excess));
         }
         self.waiting.remove(&key);
         LinkTurn::Now
@@ -216,13 +222,13 @@
 
     /// Puts an answer that can't be in time any more behind those that can.
     fn postponed(&mut self, now: Duration, key: TransferKey) -> Option<TransferKey> {
-        let load = *self.loads.get(&key)?;
-        let late = now + self.time_of(load.bytes) > key.due;
-        if !late || load.ends_at <= key.due {
+        let transfer = *self.transfers.get(&key)?;
+        let late = now + self.transfer_time(transfer.bytes) > key.due;
+        if !late || transfer.ends_at <= key.due {
             return None;
         }
         self.withdraw(key);
-        Some(self.insert(load.ends_at, load))
+        Some(self.insert(transfer.ends_at, transfer))
     }
 
     /// Returns who is next of those that want to hand on a piece.
@@ -231,28 +237,28 @@
     }
 
     /// Returns the bytes of a piece.
-    pub fn piece(&self) -> usize {
-        let bytes = PIECE_TIME.as_secs_f64() * self.bytes_per_s;
-        bytes.clamp(*PIECE_BYTES.start(), *PIECE_BYTES.end()) as usize
+    pub fn chunk_bytes(&self) -> usize {
+        let bytes = CHUNK_TIME.as_secs_f64() * self.bytes_per_s;
+        bytes.clamp(*CHUNK_BYTES.start(), *CHUNK_BYTES.end()) as usize
     }
 
     /// Notes bytes of any answer that were handed over.
     pub fn record_sent(&mut self, now: Duration, bytes: u64) {
-        self.level = self.level_at(now) + bytes as f64;
-        self.at = self.at.max(now);
+        self.unsent_bytes = self.unsent_bytes_at(now) + bytes as f64;
+        self.updated_at = self.updated_at.max(now);
     }
 
     /// Notes bytes of a promised answer that were handed over.
     pub fn record_sent_of(&mut self, now: Duration, key: TransferKey, bytes: u64) {
-        if let Some(load) = self.loads.get_mut(&key) {
-            load.bytes = (load.bytes - bytes as f64).max(0.0);
+        if let Some(transfer) = self.transfers.get_mut(&key) {
+            transfer.bytes = (transfer.bytes - bytes as f64).max(0.0);
         }
         self.record_sent(now, bytes);
     }
 
     /// Takes back a promise, kept or not.
     pub fn withdraw(&mut self, key: TransferKey) {
-        self.loads.remove(&key);
+        self.transfers.remove(&key);
         self.waiting.remove(&key);
     }
 
@@ -263,20 +269,27 @@
 
     /// Returns how long everything that is promised or under way will take.
     pub fn backlog(&self, now: Duration) -> Duration {
-        self.time_of(self.level_at(now) + self.loads.values().map(|load| load.bytes).sum::<f64>())
+        self.transfer_time(
+            self.unsent_bytes_at(now)
+                + self
+                    .transfers
+                    .values()
+                    .map(|transfer| transfer.bytes)
+                    .sum::<f64>(),
+        )
     }
 
-    fn time_of(&self, bytes: f64) -> Duration {
+    fn transfer_time(&self, bytes: f64) -> Duration {
         Duration::from_secs_f64(bytes / self.bytes_per_s)
     }
 
-    fn level_at(&self, now: Duration) -> f64 {
-        let drained = now.saturating_sub(self.at).as_secs_f64() * self.bytes_per_s;
-        (self.level - drained).max(0.0)
+    fn unsent_bytes_at(&self, now: Duration) -> f64 {
+        let drained = now.saturating_sub(self.updated_at).as_secs_f64() * self.bytes_per_s;
+        (self.unsent_bytes - drained).max(0.0)
     }
 }
 
 /// Returns the time by which an answer is planned to be there.
 fn due_by(now: Duration, due: Duration) -> Duration {
-    now + due.saturating_sub(now).mul_f64(DUE_PART)
+    now + due.saturating_sub(now).mul_f64(DEADLINE_FRACTION)
 }
--- a/crates/node/src/link/link_scheduler.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -17,14 +17,14 @@
 use crate::node_clock::NodeClock;
 
 /// Time over which is told what the link carried.
-const TOLD_EACH: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The schedule of the link, and who waits for a turn.
 #[derive(Debug)]
 pub struct LinkScheduler {
     schedule: RefCell<LinkSchedule>,
     wakers: RefCell<HashMap<TransferKey, Waker>>,
-    load: RefCell<LinkUsage>,
+    usage: RefCell<LinkUsage>,
     reporter: LinkReporter,
 }
 
@@ -34,7 +34,7 @@
         Self {
             schedule: RefCell::new(LinkSchedule::new(link_mbps)),
             wakers: RefCell::default(),
-            load: RefCell::default(),
+            usage: RefCell::default(),
             reporter,
         }
     }
@@ -49,74 +49,76 @@
     /// # Errors
     ///
     /// Returns the time after which the link could be promised to the answer.
-    pub fn offer(
+    pub fn reserve(
         self: &Rc<Self>,
         clock: NodeClock,
-        request: Option<HeaderValue>,
-        offer: LinkRequest,
+        request_id: Option<HeaderValue>,
+        link_request: LinkRequest,
     ) -> Result<LinkReservation, Duration> {
         let now = clock.now();
-        let decision = self.schedule().offer(now, offer);
+        let decision = self.schedule().reserve(now, link_request);
         match decision {
-            LinkDecision::Promised(key) => {
-                self.load.borrow_mut().promised += 1;
-                let transfer = TransferRecord::new(request, now, offer);
+            LinkDecision::Reserved(key) => {
+                self.usage.borrow_mut().reserved += 1;
+                let transfer = TransferRecord::new(request_id, now, link_request);
                 Ok(LinkReservation::new(self, clock, key, transfer))
             }
             LinkDecision::Refused { retry_after } => {
-                self.load.borrow_mut().refused += 1;
+                self.usage.borrow_mut().refused += 1;
                 Err(retry_after)
             }
         }
     }
 
     /// Gives a long answer that is there its turns without asking for room.
-    pub fn take(
+    pub fn reserve_unchecked(
         self: &Rc<Self>,
         clock: NodeClock,
-        request: Option<HeaderValue>,
-        offer: LinkRequest,
+        request_id: Option<HeaderValue>,
+        link_request: LinkRequest,
     ) -> LinkReservation {
-        let key = self
-            .schedule()
-            .take(offer.bytes, offer.useful_until, offer.ends_at);
-        let transfer = TransferRecord::new(request, clock.now(), offer);
+        let key = self.schedule().reserve_unchecked(
+            link_request.bytes,
+            link_request.useful_until,
+            link_request.ends_at,
+        );
+        let transfer = TransferRecord::new(request_id, clock.now(), link_request);
         LinkReservation::new(self, clock, key, transfer)
     }
 
     /// Notes bytes that were handed over at once.
-    pub fn record_sent(&self, now: Duration, purpose: LinkTraffic, bytes: u64) {
+    pub fn record_sent(&self, now: Duration, traffic: LinkTraffic, bytes: u64) {
         self.schedule().record_sent(now, bytes);
-        self.load.borrow_mut().record_sent(purpose, bytes);
+        self.usage.borrow_mut().record_sent(traffic, bytes);
     }
 
     /// Notes bytes of a promised answer that were handed over.
     pub(super) fn record_sent_of(&self, now: Duration, key: TransferKey, bytes: u64) {
         self.schedule().record_sent_of(now, key, bytes);
-        self.load
+        self.usage
             .borrow_mut()
             .record_sent(LinkTraffic::LongAway, bytes);
     }
 
     /// Notes what became of a promised answer.
-    pub(super) fn ended(&self, now: Duration, transfer: &TransferRecord) {
-        self.load.borrow_mut().ended(transfer.end());
-        self.reporter.ended(now, transfer);
+    pub(super) fn record_transfer_end(&self, now: Duration, transfer: &TransferRecord) {
+        self.usage.borrow_mut().record_outcome(transfer.outcome());
+        self.reporter.record_transfer_end(now, transfer);
     }
 
     /// Tells what the link carried, once a second.
     pub fn report_usage(&self, now: Duration) {
-        let taken = self.load.borrow_mut().take_after(now, TOLD_EACH);
-        if let Some((load, time)) = taken {
+        let taken = self.usage.borrow_mut().take_after(now, REPORT_INTERVAL);
+        if let Some((usage, time)) = taken {
             let schedule = self.schedule();
             let (rate, backlog) = (schedule.bytes_per_s(), schedule.backlog(now));
             drop(schedule);
-            self.reporter.carried(&load, time, rate, backlog);
+            self.reporter.record_usage(&usage, time, rate, backlog);
         }
     }
 
     /// Keeps whom to wake for a turn.
-    pub(super) fn wait(&self, key: TransferKey, waker: &Waker) {
+    pub(super) fn register_waker(&self, key: TransferKey, waker: &Waker) {
         self.wakers.borrow_mut().insert(key, waker.clone());
     }
 
@@ -130,7 +132,7 @@
     }
 
     /// Forgets whom to wake.
-    pub(super) fn leave(&self, key: TransferKey) {
+    pub(super) fn remove_waker(&self, key: TransferKey) {
         self.wakers.borrow_mut().remove(&key);
     }
 }
--- a/crates/node/src/link/link_usage.rs
+++ b/crates/node/src/link/link_usage.rs
@@ -11,40 +11,40 @@
 pub struct LinkUsage {
     since: Duration,
     bytes: [u64; LinkTraffic::COUNT],
-    ends: [u32; TransferOutcome::COUNT],
+    outcomes: [u32; TransferOutcome::COUNT],
     /// Long answers that were promised the link.
-    pub promised: u32,
+    pub reserved: u32,
     /// Long answers that were refused it.
     pub refused: u32,
 }
 
 impl LinkUsage {
     /// Counts bytes that were handed over.
-    pub fn record_sent(&mut self, purpose: LinkTraffic, bytes: u64) {
-        self.bytes[purpose as usize] += bytes;
+    pub fn record_sent(&mut self, traffic: LinkTraffic, bytes: u64) {
+        self.bytes[traffic as usize] += bytes;
     }
 
     /// Counts a long answer that ended.
-    pub fn ended(&mut self, end: TransferOutcome) {
-        self.ends[end as usize] += 1;
+    pub fn record_outcome(&mut self, outcome: TransferOutcome) {
+        self.outcomes[outcome as usize] += 1;
     }
 
     /// Returns the bytes for one purpose.
-    pub const fn bytes(&self, purpose: LinkTraffic) -> u64 {
-        self.bytes[purpose as usize]
+    pub const fn bytes(&self, traffic: LinkTraffic) -> u64 {
+        self.bytes[traffic as usize]
     }
 
     /// Returns the bytes for all purposes.
-    pub fn all_bytes(&self) -> u64 {
+    pub fn total_bytes(&self) -> u64 {
         LinkTraffic::VARIANTS
             .iter()
-            .map(|&purpose| self.bytes(purpose))
+            .map(|&traffic| self.bytes(traffic))
             .sum()
     }
 
     /// Returns how many long answers ended so.
-    pub const fn ends(&self, end: TransferOutcome) -> u32 {
-        self.ends[end as usize]
+    pub const fn outcomes(&self, outcome: TransferOutcome) -> u32 {
+        self.outcomes[outcome as usize]
     }
 
     /// Takes what was counted for `length` or longer, and begins anew.
@@ -55,13 +55,13 @@
     /// use std::time::Duration;
     /// use geranium_node::link::{LinkUsage, LinkTraffic};
     ///
-    /// let mut load = LinkUsage::default();
-    /// load.record_sent(LinkTraffic::Short, 500);
+    /// let mut usage = LinkUsage::default();
+    /// usage.record_sent(LinkTraffic::Short, 500);
     /// let second = Duration::from_secs(1);
-    /// assert!(load.take_after(Duration::from_millis(900), second).is_none());
-    /// let (taken, time) = load.take_after(Duration::from_millis(1_100), second).unwrap();
-    /// assert_eq!((taken.all_bytes(), time), (500, Duration::from_millis(1_100)));
-    /// assert_eq!(load.all_bytes(), 0);
+    /// assert!(usage.take_after(Duration::from_millis(900), second).is_none());
+    /// let (taken, time) = usage.take_after(Duration::from_millis(1_100), second).unwrap();
+    /// assert_eq!((taken.total_bytes(), time), (500, Duration::from_millis(1_100)));
+    /// assert_eq!(usage.total_bytes(), 0);
     /// ```
     pub fn take_after(&mut self, now: Duration, length: Duration) -> Option<(Self, Duration)> {
         let time = now.saturating_sub(self.since);
--- a/crates/node/src/link/transfer_record.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -27,61 +27,65 @@
 #[derive(Debug, Clone)]
 pub struct TransferRecord {
     /// Identifier of the request, for the log.
-    pub request: Option<HeaderValue>,
+    pub request_id: Option<HeaderValue>,
     /// When the link was promised.
-    pub asked_at: Duration,
+    pub requested_at: Duration,
     /// What it was promised for.
-    pub offer: LinkRequest,
+    pub link_request: LinkRequest,
     /// Real bytes, if its head told them.
     pub bytes: Option<u64>,
     /// When the answer was made.
-    pub made_at: Option<Duration>,
+    pub response_ready_at: Option<Duration>,
     /// When its first bytes were handed over.
-    pub begun_at: Option<Duration>,
+    pub started_at: Option<Duration>,
     /// When its last bytes so far were handed over.
     pub sent_at: Option<Duration>,
     /// Bytes handed over so far.
     pub sent: u64,
     /// Whether its last byte was handed over.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// When it was put behind those that can be in time.
     pub postponed_at: Option<Duration>,
 }
 
 impl TransferRecord {
     /// Begins with a promise.
-    pub const fn new(request: Option<HeaderValue>, asked_at: Duration, offer: LinkRequest) -> Self {
+    pub const fn new(
+        request_id: Option<HeaderValue>,
+        requested_at: Duration,
+        link_request: LinkRequest,
+    ) -> Self {
         Self {
-            request,
-            asked_at,
-            offer,
+            request_id,
+            requested_at,
+            link_request,
             bytes: None,
-            made_at: None,
-            begun_at: None,
+            response_ready_at: None,
+            started_at: None,
             sent_at: None,
             sent: 0,
-            is_whole: false,
+            is_complete: false,
             postponed_at: None,
         }
     }
 
     /// Takes in that the answer was made, and its bytes if its head told them.
     pub fn response_ready(&mut self, now: Duration, bytes: Option<u64>) {
-        self.made_at = Some(now);
+        self.response_ready_at = Some(now);
         self.bytes = bytes;
     }
 
     /// Takes in that bytes were handed over.
     pub fn record_sent(&mut self, now: Duration, bytes: u64) {
-        self.begun_at.get_or_insert(now);
+        self.started_at.get_or_insert(now);
         self.sent_at = Some(now);
         self.sent += bytes;
     }
 
     /// Returns how it ended, when nothing more comes of it.
-    pub fn end(&self) -> TransferOutcome {
-        let in_time = self.sent_at <= Some(self.offer.useful_until);
-        match (self.made_at, self.is_whole) {
+    pub fn outcome(&self) -> TransferOutcome {
+        let in_time = self.sent_at <= Some(self.link_request.useful_until);
+        match (self.response_ready_at, self.is_complete) {
             (None, _) => TransferOutcome::Unmade,
             (Some(_), false) => TransferOutcome::Cut,
             (Some(_), true) if in_time => TransferOutcome::InTime,
@@ -90,7 +94,7 @@
     }
 
     /// Returns the milliseconds from the promise to `at`.
-    pub fn millis(&self, at: Option<Duration>) -> Option<u64> {
-        at.map(|at| at.saturating_sub(self.asked_at).as_millis() as u64)
+    pub fn millis_since_request(&self, at: Option<Duration>) -> Option<u64> {
+        at.map(|at| at.saturating_sub(self.requested_at).as_millis() as u64)
     }
 }
--- a/crates/node/tests/all/gate.rs
+++ b/crates/node/tests/all/gate.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn it_is_shut_until_somebody_reports() {
+fn requests_are_refused_until_the_first_report() {
     let mut tracker = EndpointTracker::default();
     assert_eq!(refusal(&tracker, at(0), "i-1"), Some(RefusalReason::Shut));
     tracker.report(at(1), report("i-1", 1, ReportState::Ready));
@@ -45,7 +45,7 @@
 /// A backend server says that it is leaving. A heartbeat from before comes
 /// after that. It must not open the door again; a later one may.
 #[test]
-fn late_reports_do_not_undo_a_leaving() {
+fn stale_reports_do_not_undo_leaving() {
     let mut tracker = EndpointTracker::default();
     tracker.report(at(0), report("i-1", 4, ReportState::Ready));
     assert_eq!(
@@ -76,7 +76,7 @@
 
 /// A farewell is for good: no heartbeat of that start brings it back.
 #[test]
-fn a_farewell_is_for_good() {
+fn a_deregistration_is_final() {
     let mut tracker = EndpointTracker::default();
     tracker.report(at(0), report("i-1", 1, ReportState::Ready));
     assert!(tracker.deregister(at(10), start("i-1"), TODAY));
@@ -130,7 +130,7 @@
 /// A restarted node finds its own announcement: one that was leaving binds it,
 /// one that was ready is believed when it reports.
 #[test]
-fn only_a_leaving_is_restored() {
+fn only_a_leaving_record_is_restored() {
     let record = |state| MemberRecord {
         state,
         sequence: 6,
@@ -197,7 +197,7 @@
 
 /// Guards against a repeated farewell that ends the next start of the same identifier.
 #[test]
-fn a_farewell_ends_one_start_of_an_identifier() {
+fn a_deregistration_ends_one_start_of_an_identifier() {
     let mut tracker = EndpointTracker::default();
     tracker.report(at(0), born_report(TODAY, 40, ReportState::Ready));
     assert!(tracker.deregister(at(10), born("i-1", TODAY), TODAY + 10));
@@ -209,7 +209,7 @@
 
 /// Guards against reopening the door to a start that has said farewell.
 #[test]
-fn a_farewell_without_a_time_ends_what_began_before() {
+fn a_deregistration_without_a_start_time_ends_earlier_starts() {
     let mut tracker = EndpointTracker::default();
     assert!(!tracker.deregister(at(10), start("i-1"), TODAY + 500));
     let late = born_report(TODAY, 41, ReportState::Ready);
@@ -221,7 +221,7 @@
 
 /// Guards against an earlier start, heard of first after a restart, that shuts out the live one.
 #[test]
-fn the_later_start_lives_whichever_is_heard_first() {
+fn the_later_start_is_kept_whichever_reports_first() {
     let mut tracker = EndpointTracker::default();
     let mut late = born_report(TODAY, 41, ReportState::Ready);
     late.start = born("i-0", TODAY);
--- a/crates/node/tests/all/link.rs
+++ b/crates/node/tests/all/link.rs
@@ -13,18 +13,18 @@
 }
 
 /// A file that is made in 100 ms and due at `due`.
-fn offer(due: u64) -> LinkRequest {
+fn request(due: u64) -> LinkRequest {
     LinkRequest {
         bytes: FILE,
-        made_in: at(100),
+        ready_in: at(100),
         useful_until: at(due),
         ends_at: at(due + 1_000),
     }
 }
 
-fn promised(decision: LinkDecision) -> TransferKey {
+fn expect_reserved(decision: LinkDecision) -> TransferKey {
     match decision {
-        LinkDecision::Promised(key) => key,
+        LinkDecision::Reserved(key) => key,
         LinkDecision::Refused { retry_after } => panic!("refused for {retry_after:?}"),
     }
 }
@@ -35,12 +35,12 @@
 
 /// Guards against promising more long answers than the link can deliver in time.
 #[test]
-fn what_cannot_be_there_when_due_is_refused() {
+fn transfers_that_cannot_be_in_time_are_refused() {
     let mut link = LinkSchedule::new(LINK_MBPS);
     let keys: Vec<TransferKey> = (0..6)
-        .map(|_| promised(link.offer(at(0), offer(800))))
+        .map(|_| expect_reserved(link.reserve(at(0), request(800))))
         .collect();
-    let LinkDecision::Refused { retry_after } = link.offer(at(0), offer(800)) else {
+    let LinkDecision::Refused { retry_after } = link.reserve(at(0), request(800)) else {
         panic!("a seventh can't be there in time");
     };
     assert!(
@@ -48,15 +48,15 @@
         "{retry_after:?}"
     );
     link.withdraw(keys[0]);
-    promised(link.offer(at(0), offer(800)));
+    expect_reserved(link.reserve(at(0), request(800)));
 }
 
 /// Guards against promising the same link capacity twice before the answers are sent.
 #[test]
-fn promises_count_until_they_are_sent_or_withdrawn() {
+fn reservations_count_until_sent_or_withdrawn() {
     let mut link = LinkSchedule::new(LINK_MBPS);
-    let sent = promised(link.offer(at(0), offer(2_000)));
-    let left = promised(link.offer(at(0), offer(2_000)));
+    let sent = expect_reserved(link.reserve(at(0), request(2_000)));
+    let left = expect_reserved(link.reserve(at(0), request(2_000)));
     assert_eq!(link.backlog(at(1_000)), at(200));
     link.withdraw(left);
     assert_eq!(link.backlog(at(1_000)), at(100));
@@ -71,26 +71,26 @@
 #[test]
 fn the_real_length_counts_once_it_is_known() {
     let mut link = LinkSchedule::new(LINK_MBPS);
-    let long = promised(link.offer(at(0), offer(800)));
-    promised(link.offer(at(0), offer(800)));
+    let long = expect_reserved(link.reserve(at(0), request(800)));
+    expect_reserved(link.reserve(at(0), request(800)));
     link.resize(long, FILE * 5);
-    assert!(is_refused(link.offer(at(0), offer(800))));
-    promised(link.offer(at(0), offer(2_000)));
+    assert!(is_refused(link.reserve(at(0), request(800))));
+    expect_reserved(link.reserve(at(0), request(2_000)));
 }
 
 /// Guards against sending the answer that is due later first, or sending too far ahead of the link.
 #[test]
-fn the_answer_due_first_has_the_link() {
+fn the_response_due_first_is_sent_first() {
     let mut link = LinkSchedule::new(LINK_MBPS);
-    let later = promised(link.offer(at(0), offer(2_000)));
-    let first = promised(link.offer(at(0), offer(1_000)));
+    let later = expect_reserved(link.reserve(at(0), request(2_000)));
+    let first = expect_reserved(link.reserve(at(0), request(1_000)));
     assert_eq!(link.turn(at(100), first), LinkTurn::Now);
-    let mut handed = 0;
+    let mut sent_bytes = 0;
     let mut now = at(100);
-    while handed < FILE {
-        let piece = link.piece() as u64;
-        handed += piece;
-        link.record_sent_of(now, first, piece);
+    while sent_bytes < FILE {
+        let chunk_bytes = link.chunk_bytes() as u64;
+        sent_bytes += chunk_bytes;
+        link.record_sent_of(now, first, chunk_bytes);
         assert!(link.backlog(now) >= at(100));
         let turn = link.turn(now, first);
         if let LinkTurn::After(time) = turn {
@@ -107,50 +107,50 @@
 
 /// Guards against late answers that displace those that can still be in time.
 #[test]
-fn a_late_file_gets_what_the_others_leave() {
+fn late_transfers_use_only_spare_capacity() {
     let mut link = LinkSchedule::new(LINK_MBPS);
-    let late = promised(link.offer(at(700), offer(800)));
-    let due = promised(link.offer(at(700), offer(1_500)));
+    let late = expect_reserved(link.reserve(at(700), request(800)));
+    let due = expect_reserved(link.reserve(at(700), request(1_500)));
     assert!(due < late);
     for _ in 0..10 {
-        let _verdict = link.offer(at(700), offer(800));
+        let _decision = link.reserve(at(700), request(800));
     }
-    assert!(is_refused(link.offer(at(700), offer(800))));
+    assert!(is_refused(link.reserve(at(700), request(800))));
 }
 
 /// Guards against answers of unknown length that fill the link all at once after a restart.
 #[test]
-fn files_that_nobody_knew_to_be_long_take_turns() {
+fn transfers_of_unknown_length_take_turns() {
     let mut link = LinkSchedule::new(LINK_MBPS);
     let keys: Vec<TransferKey> = (0..10)
-        .map(|_| link.take(FILE, at(800), at(1_800)))
+        .map(|_| link.reserve_unchecked(FILE, at(800), at(1_800)))
         .collect();
     assert!(link.backlog(at(0)) >= at(1_000));
     assert!(
-        is_refused(link.offer(at(0), offer(800))),
+        is_refused(link.reserve(at(0), request(800))),
         "more can't be in time"
     );
-    let begun: Vec<TransferKey> = keys
+    let started: Vec<TransferKey> = keys
         .into_iter()
         .filter(|&key| {
             let now = link.turn(at(0), key) == LinkTurn::Now;
             if now {
-                let piece = link.piece() as u64;
-                link.record_sent_of(at(0), key, piece);
+                let chunk_bytes = link.chunk_bytes() as u64;
+                link.record_sent_of(at(0), key, chunk_bytes);
             }
             now
         })
         .collect();
-    assert!(begun.len() <= 3, "{} hand on at once", begun.len());
+    assert!(started.len() <= 3, "{} hand on at once", started.len());
 }
 
 /// Guards against one late answer that delays each answer after it.
 #[test]
 fn a_late_file_makes_no_other_late() {
     let mut link = LinkSchedule::new(LINK_MBPS);
-    let late = promised(link.offer(at(0), offer(400)));
-    let second = promised(link.offer(at(0), offer(600)));
-    let third = promised(link.offer(at(0), offer(800)));
+    let late = expect_reserved(link.reserve(at(0), request(400)));
+    let second = expect_reserved(link.reserve(at(0), request(600)));
+    let third = expect_reserved(link.reserve(at(0), request(800)));
     let LinkTurn::Postponed(postponed) = link.turn(at(390), late) else {
         panic!("it can't be there by 400 ms");
     };
@@ -160,6 +160,6 @@
         link.withdraw(key);
     }
     assert_eq!(link.turn(at(600), postponed), LinkTurn::Now);
-    let next = promised(link.offer(at(1_250), offer(2_400)));
+    let next = expect_reserved(link.reserve(at(1_250), request(2_400)));
     assert!(postponed < next, "its caller's end is nearer");
 }
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -19,12 +19,12 @@
 const RUN: Duration = Duration::from_millis(110);
 const TARGET: Duration = Duration::from_millis(600);
 /// How long callers wait: no two alike.
-const PATIENCE: std::ops::Range<u64> = 3_400..4_000;
+const CALLER_TIMEOUT_MS: std::ops::Range<u64> = 3_400..4_000;
 /// Attempts that a caller makes when it is refused.
 const ATTEMPTS: u32 = 3;
 /// Least time until a refused caller asks again: the front refuses by itself for as
 /// long as the last refusal of a door says, and callers take their time.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Bytes of a refusal, of an answer's head, and of a request to another node.
 const HEAD_BYTES: u64 = 300;
 /// Short answers and requests of the machine's own callers, and calls, a second.
@@ -34,38 +34,38 @@
 
 /// What the node goes by.
 #[derive(Debug, Clone, Copy)]
-struct NodeSight {
+struct NodeAccounting {
     /// Whether heads and requests count on the link.
-    heads: bool,
+    counts_heads: bool,
     /// Whether a caller that comes again is known.
-    returns: bool,
+    knows_resends: bool,
     /// Whether answers to callers on the instance are left out of the link count.
     excludes_local: bool,
 }
 
-const ALL: NodeSight = NodeSight {
-    heads: true,
-    returns: true,
+const FULL_ACCOUNTING: NodeAccounting = NodeAccounting {
+    counts_heads: true,
+    knows_resends: true,
     excludes_local: true,
 };
 
 /// What callers got.
 #[derive(Debug, Clone, Copy, Default)]
 struct LoadResult {
-    offered: u32,
+    requested: u32,
     refused: u32,
     /// There by the target, from the caller's first attempt on.
     in_time: u32,
     late: u32,
-    /// Promised, and not whole when their callers left.
+    /// Reserved, and not whole when their callers left.
     cut: u32,
     /// Longest time for which bytes waited at the real link.
     longest_queue: Duration,
 }
 
 impl LoadResult {
-    fn promised(self) -> f64 {
-        f64::from(self.offered - self.refused)
+    fn reserved(self) -> f64 {
+        f64::from(self.requested - self.refused)
     }
 
     fn served(self) -> f64 {
@@ -80,7 +80,7 @@
     first_attempt_at: Duration,
     end: Duration,
     attempts: u32,
-    asks_at: Duration,
+    next_attempt_at: Duration,
 }
 
 /// A file that is promised the link.
@@ -88,18 +88,18 @@
 struct File {
     key: TransferKey,
     left: u64,
-    made_at: Duration,
-    is_made: bool,
+    ready_at: Duration,
+    is_ready: bool,
     caller: Caller,
 }
 
 /// A link that is asked for files.
-struct LinkLoadPlay {
-    sight: NodeSight,
+struct LinkLoadSimulation {
+    accounting: NodeAccounting,
     link: LinkSchedule,
     /// Bytes that wait at the real link.
     queue: f64,
-    returns: ResendTracker,
+    resends: ResendTracker,
     per_second: f64,
     /// Files for callers on the instance, a second.
     local_per_s: f64,
@@ -109,13 +109,13 @@
     result: LoadResult,
 }
 
-impl LinkLoadPlay {
-    fn new(per_second: f64, sight: NodeSight) -> Self {
+impl LinkLoadSimulation {
+    fn new(per_second: f64, accounting: NodeAccounting) -> Self {
         Self {
-            sight,
+            accounting,
             link: LinkSchedule::new(LINK_MBPS),
             queue: 0.0,
-            returns: ResendTracker::default(),
+            resends: ResendTracker::default(),
             per_second,
             local_per_s: 0.0,
             rng: StdRng::seed_from_u64(23),
@@ -125,30 +125,30 @@
         }
     }
 
-    fn play(mut self) -> LoadResult {
+    fn simulate(mut self) -> LoadResult {
         let mut now = Duration::ZERO;
         while now < LENGTH {
-            self.arrive(now);
+            self.add_callers(now);
             self.serve_local(now);
-            self.ask(now);
-            self.leave(now);
-            self.make(now);
+            self.request_due_files(now);
+            self.remove_departed_callers(now);
+            self.mark_ready(now);
             self.send(now);
-            self.carry();
+            self.drain_link();
             now += STEP;
         }
         self.result
     }
 
-    fn arrive(&mut self, now: Duration) {
+    fn add_callers(&mut self, now: Duration) {
         if self.rng.random::<f64>() < self.per_second * STEP.as_secs_f64() {
-            let silence_timeout = Duration::from_millis(self.rng.random_range(PATIENCE));
+            let timeout = Duration::from_millis(self.rng.random_range(CALLER_TIMEOUT_MS));
             self.callers.push(Caller {
                 fingerprint: self.rng.random(),
                 first_attempt_at: now,
-                end: now + silence_timeout,
+                end: now + timeout,
                 attempts: 0,
-                asks_at: now,
+                next_attempt_at: now,
             });
         }
         if self.rng.random::<f64>() < SHORT_PER_S * STEP.as_secs_f64() {
@@ -162,57 +162,59 @@
             return;
         }
         let length = self.length();
-        if !self.sight.excludes_local {
+        if !self.accounting.excludes_local {
             self.link.record_sent(now, length);
         }
     }
 
-    fn ask(&mut self, now: Duration) {
+    fn request_due_files(&mut self, now: Duration) {
         let due: Vec<Caller> = self
             .callers
-            .extract_if(.., |caller| caller.asks_at <= now)
+            .extract_if(.., |caller| caller.next_attempt_at <= now)
             .collect();
         for caller in due {
-            self.offer(now, caller);
+            self.request_file(now, caller);
         }
     }
 
-    fn offer(&mut self, now: Duration, mut caller: Caller) {
-        self.result.offered += 1;
+    fn request_file(&mut self, now: Duration, mut caller: Caller) {
+        self.result.requested += 1;
         let known = self
-            .returns
+            .resends
             .first_attempt_at(caller.fingerprint, caller.end);
-        let first_attempt_at = known.filter(|_| self.sight.returns).unwrap_or(now);
-        let offer = LinkRequest {
+        let first_attempt_at = known
+            .filter(|_| self.accounting.knows_resends)
+            .unwrap_or(now);
+        let link_request = LinkRequest {
             bytes: FILE_BYTES as u64,
-            made_in: RUN,
+            ready_in: RUN,
             useful_until: first_attempt_at + TARGET,
             ends_at: caller.end,
         };
-        match self.link.offer(now, offer) {
-            LinkDecision::Promised(key) => self.begin(now, key, caller),
+        match self.link.reserve(now, link_request) {
+            LinkDecision::Reserved(key) => self.start_transfer(now, key, caller),
             LinkDecision::Refused { retry_after } => {
                 self.result.refused += 1;
                 self.send_head(now);
-                self.returns
+                self.resends
                     .refused(caller.fingerprint, first_attempt_at, caller.end);
                 caller.attempts += 1;
-                caller.asks_at = now + retry_after.max(PAUSE);
-                if caller.attempts < ATTEMPTS && caller.asks_at < caller.end {
+                caller.next_attempt_at = now + retry_after.max(RETRY_PAUSE);
+                if caller.attempts < ATTEMPTS && caller.next_attempt_at < caller.end {
                     self.callers.push(caller);
                 }
             }
         }
     }
 
-    fn begin(&mut self, now: Duration, key: TransferKey, caller: Caller) {
+    fn start_transfer(&mut self, now: Duration, key: TransferKey, caller: Caller) {
         let run = RUN.mul_f64(0.4 + 1.2 * self.rng.random::<f64>());
         let left = self.length();
         self.files.push(File {
             key,
             left,
-            made_at: now + run,
-            is_made: false,
+            ready_at: now + run,
+            is_ready: false,
             caller,
         });
     }
@@ -227,12 +229,12 @@
     /// Sends a head, whether the schedule knows of it or not.
     fn send_head(&mut self, now: Duration) {
         self.queue += HEAD_BYTES as f64 * PACKET_FACTOR;
-        if self.sight.heads {
+        if self.accounting.counts_heads {
             self.link.record_sent(now, HEAD_BYTES);
         }
     }
 
-    fn leave(&mut self, now: Duration) {
+    fn remove_departed_callers(&mut self, now: Duration) {
         let link = &mut self.link;
         let before = self.files.len();
         self.files.retain(|file| {
@@ -245,10 +247,10 @@
         self.result.cut += (before - self.files.len()) as u32;
     }
 
-    fn make(&mut self, now: Duration) {
+    fn mark_ready(&mut self, now: Duration) {
         for file in &mut self.files {
-            if !file.is_made && now >= file.made_at {
-                file.is_made = true;
+            if !file.is_ready && now >= file.ready_at {
+                file.is_ready = true;
                 self.link.resize(file.key, file.left);
             }
         }
@@ -256,21 +258,21 @@
 
     /// Lets every file that is made hand on what its turns allow.
     fn send(&mut self, now: Duration) {
-        let mut handed_on = true;
-        while handed_on {
-            handed_on = false;
-            for file in self.files.iter_mut().filter(|file| file.is_made) {
+        let mut progressed = true;
+        while progressed {
+            progressed = false;
+            for file in self.files.iter_mut().filter(|file| file.is_ready) {
                 match self.link.turn(now, file.key) {
                     LinkTurn::Now => {
-                        let piece = file.left.min(self.link.piece() as u64);
-                        self.link.record_sent_of(now, file.key, piece);
-                        self.queue += piece as f64 * PACKET_FACTOR;
-                        file.left -= piece;
-                        handed_on = true;
+                        let chunk_bytes = file.left.min(self.link.chunk_bytes() as u64);
+                        self.link.record_sent_of(now, file.key, chunk_bytes);
+                        self.queue += chunk_bytes as f64 * PACKET_FACTOR;
+                        file.left -= chunk_bytes;
+                        progressed = true;
                     }
                     LinkTurn::Postponed(key) => {
                         file.key = key;
-                        handed_on = true;
+                        progressed = true;
                     }
                     LinkTurn::After(_) | LinkTurn::Later => {}
                 }
@@ -278,15 +280,15 @@
                     self.link.withdraw(file.key);
                 }
             }
-            self.end(now);
+            self.finish_transfers(now);
         }
     }
 
     /// Ends the files that were handed over: what waits at the link goes before them.
-    fn end(&mut self, now: Duration) {
-        let there = now + Duration::from_secs_f64(self.queue / LINK_RATE);
+    fn finish_transfers(&mut self, now: Duration) {
+        let received_at = now + Duration::from_secs_f64(self.queue / LINK_RATE);
         for file in self.files.extract_if(.., |file| file.left == 0) {
-            if there <= file.caller.first_attempt_at + TARGET {
+            if received_at <= file.caller.first_attempt_at + TARGET {
                 self.result.in_time += 1;
             } else {
                 self.result.late += 1;
@@ -294,7 +296,7 @@
         }
     }
 
-    fn carry(&mut self) {
+    fn drain_link(&mut self) {
         let waits = Duration::from_secs_f64(self.queue / LINK_RATE);
         self.result.longest_queue = self.result.longest_queue.max(waits);
         self.queue = (self.queue - LINK_RATE * STEP.as_secs_f64()).max(0.0);
@@ -304,24 +306,24 @@
 /// Guards against later promises that displace earlier ones until their callers leave.
 #[test]
 fn promised_files_are_sent() {
-    let result = LinkLoadPlay::new(40.0, ALL).play();
-    let promised = result.promised();
-    assert!(f64::from(result.cut) <= promised * 0.01, "{result:?}");
-    assert!(f64::from(result.in_time) >= promised * 0.9, "{result:?}");
+    let result = LinkLoadSimulation::new(40.0, FULL_ACCOUNTING).simulate();
+    let reserved = result.reserved();
+    assert!(f64::from(result.cut) <= reserved * 0.01, "{result:?}");
+    assert!(f64::from(result.in_time) >= reserved * 0.9, "{result:?}");
 }
 
 /// Guards against planning a link full with bodies, so that heads and refusals have to queue.
 #[test]
 fn heads_and_refusals_find_room_on_a_full_link() {
-    let node = LinkLoadPlay::new(40.0, ALL).play();
-    let naive = LinkLoadPlay::new(
+    let node = LinkLoadSimulation::new(40.0, FULL_ACCOUNTING).simulate();
+    let naive = LinkLoadSimulation::new(
         40.0,
-        NodeSight {
-            heads: false,
-            ..ALL
+        NodeAccounting {
+            counts_heads: false,
+            ..FULL_ACCOUNTING
         },
     )
-    .play();
+    .simulate();
     let connect_time = Duration::from_millis(250);
     assert!(node.longest_queue < connect_time / 4, "{node:?} {naive:?}");
     assert!(naive.longest_queue > connect_time, "{node:?} {naive:?}");
@@ -330,15 +332,15 @@
 /// Guards against serving returning callers, whose time is nearly over, as new ones.
 #[test]
 fn files_go_to_callers_that_can_have_them_in_time() {
-    let node = LinkLoadPlay::new(40.0, ALL).play();
-    let naive = LinkLoadPlay::new(
+    let node = LinkLoadSimulation::new(40.0, FULL_ACCOUNTING).simulate();
+    let naive = LinkLoadSimulation::new(
         40.0,
-        NodeSight {
-            returns: false,
-            ..ALL
+        NodeAccounting {
+            knows_resends: false,
+            ..FULL_ACCOUNTING
         },
     )
-    .play();
+    .simulate();
     assert!(
         f64::from(node.in_time) >= node.served() * 0.9,
         "{node:?} {naive:?}"
@@ -353,20 +355,20 @@
 /// less of the link for answers to other nodes.
 #[test]
 fn answers_to_callers_on_the_instance_use_no_link_capacity() {
-    let play = |excludes_local| {
-        let mut play = LinkLoadPlay::new(
+    let simulate = |excludes_local| {
+        let mut simulation = LinkLoadSimulation::new(
             40.0,
-            NodeSight {
+            NodeAccounting {
                 excludes_local,
-                ..ALL
+                ..FULL_ACCOUNTING
             },
         );
-        play.local_per_s = 2.0;
-        play.play()
+        simulation.local_per_s = 2.0;
+        simulation.simulate()
     };
-    let (node, naive) = (play(true), play(false));
+    let (node, naive) = (simulate(true), simulate(false));
     assert!(
-        f64::from(node.in_time) >= node.promised() * 0.9,
+        f64::from(node.in_time) >= node.reserved() * 0.9,
         "{node:?} {naive:?}"
     );
     assert!(node.served() >= naive.served() * 1.1, "{node:?} {naive:?}");
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -18,7 +18,7 @@
 const STEP: Duration = Duration::from_millis(1);
 const LENGTH: Duration = Duration::from_secs(60);
 const DATA_CENTRES: [&str; 2] = ["hofdi", "sundahofn"];
-const FRONTS_PER_DATA_CENTRE: usize = 30;
+const SENDERS_PER_DATA_CENTRE: usize = 30;
 /// Files requested per second through each front.
 const FILES_PER_S: f64 = 1.5;
 
@@ -77,7 +77,7 @@
 /// A file whose transfer was promised by a link.
 struct File {
     key: TransferKey,
-    made_at: Duration,
+    ready_at: Duration,
     remaining: u64,
 }
 
@@ -103,7 +103,7 @@
     /// Runs the simulation. Nodes that don't know their data centre treat every member as
     /// remote.
     fn simulate(knows_data_centre: bool) -> SimulationResult {
-        let senders = (0..FRONTS_PER_DATA_CENTRE * 2).map(|sender| {
+        let senders = (0..SENDERS_PER_DATA_CENTRE * 2).map(|sender| {
             let data_centre = DATA_CENTRES[sender % 2];
             view_from(if knows_data_centre { data_centre } else { "" })
         });
@@ -143,7 +143,7 @@
             let Some(key) = home.or_else(|| fleet.pick(now, &query, &mut self.rng)) else {
                 return;
             };
-            if self.offer(now, sender, key) {
+            if self.reserve_link(now, sender, key) {
                 return;
             }
             tried.push(key);
@@ -151,15 +151,15 @@
     }
 
     /// Returns whether the member's link promised the file.
-    fn offer(&mut self, now: Duration, sender: usize, key: MemberKey) -> bool {
+    fn reserve_link(&mut self, now: Duration, sender: usize, key: MemberKey) -> bool {
         let link = usize::from(self.senders[sender].key_of(peer_addr(2)) == Some(key));
-        let offer = LinkRequest {
+        let link_request = LinkRequest {
             bytes: FILE_BYTES,
-            made_in: RUN,
+            ready_in: RUN,
             useful_until: now + TARGET,
             ends_at: now + TARGET * 4,
         };
-        let decision = self.links[link].offer(now, offer);
+        let decision = self.links[link].reserve(now, link_request);
         let report = LoadReport {
             running: 1,
             waiting: 0,
@@ -170,11 +170,11 @@
         let fleet = &mut self.senders[sender];
         fleet.record_load(now, key, LONG.route_hash, report);
         match decision {
-            LinkDecision::Promised(load) => {
+            LinkDecision::Reserved(load) => {
                 fleet.record_try_outcome(now, key, TryOutcome::Answered { failed: false });
                 self.files[link].push(File {
                     key: load,
-                    made_at: now + RUN,
+                    ready_at: now + RUN,
                     remaining: FILE_BYTES,
                 });
                 if link != sender % 2 {
@@ -193,7 +193,7 @@
     /// Transmits one step's bytes of the first file that is ready.
     fn transmit(&mut self, now: Duration, link: usize) {
         let files = &mut self.files[link];
-        let Some(index) = files.iter().position(|file| file.made_at <= now) else {
+        let Some(index) = files.iter().position(|file| file.ready_at <= now) else {
             return;
         };
         let schedule = &mut self.links[link];
--- a/crates/node/tests/all/queue.rs
+++ b/crates/node/tests/all/queue.rs
@@ -8,7 +8,7 @@
     Duration::from_millis(millis)
 }
 
-fn offer(rank: u8, route_hash: u64, useful_until: u64) -> AdmissionRequest {
+fn request(rank: u8, route_hash: u64, useful_until: u64) -> AdmissionRequest {
     AdmissionRequest {
         rank,
         route_hash,
@@ -20,11 +20,11 @@
 }
 
 /// A queue in front of `slots` slots that has learned a run takes 100 ms.
-fn trained(slots: u32) -> AdmissionQueue {
+fn warmed_up(slots: u32) -> AdmissionQueue {
     let mut queue = AdmissionQueue::new(slots);
     for _ in 0..200 {
         assert_eq!(
-            queue.admit(at(0), offer(1, 1, 1_000)),
+            queue.admit(at(0), request(1, 1, 1_000)),
             AdmissionDecision::Run
         );
         queue.finish(at(0), 1, Some(at(100)));
@@ -32,7 +32,7 @@
     queue
 }
 
-fn waits(decision: AdmissionDecision) -> QueueKey {
+fn expect_wait(decision: AdmissionDecision) -> QueueKey {
     match decision {
         AdmissionDecision::Wait { key, .. } => key,
         other => panic!("it doesn't wait: {other:?}"),
@@ -41,20 +41,20 @@
 
 #[test]
 fn the_more_urgent_rank_goes_first() {
-    let mut queue = trained(1);
-    queue.admit(at(0), offer(1, 1, 1_000));
-    let later = waits(queue.admit(at(0), offer(2, 2, 900)));
-    let urgent = waits(queue.admit(at(1), offer(1, 1, 2_000)));
+    let mut queue = warmed_up(1);
+    queue.admit(at(0), request(1, 1, 1_000));
+    let later = expect_wait(queue.admit(at(0), request(2, 2, 900)));
+    let urgent = expect_wait(queue.admit(at(1), request(1, 1, 2_000)));
     assert_eq!(queue.finish(at(100), 1, Some(at(100))), [urgent]);
     assert_eq!(queue.finish(at(200), 1, Some(at(100))), [later]);
 }
 
 #[test]
 fn within_a_rank_the_shorter_target_goes_first() {
-    let mut queue = trained(1);
-    queue.admit(at(0), offer(1, 1, 1_000));
-    let long = waits(queue.admit(at(0), offer(1, 1, 2_000)));
-    let short = waits(queue.admit(at(1), offer(1, 2, 900)));
+    let mut queue = warmed_up(1);
+    queue.admit(at(0), request(1, 1, 1_000));
+    let long = expect_wait(queue.admit(at(0), request(1, 1, 2_000)));
+    let short = expect_wait(queue.admit(at(1), request(1, 2, 900)));
     assert_eq!(queue.finish(at(100), 1, Some(at(100))), [short]);
     assert_eq!(queue.finish(at(200), 1, Some(at(100))), [long]);
 }
@@ -62,11 +62,11 @@
 /// What can't be answered in time is refused on arrival, with the time in
 /// which the excess drains; waiting would only make it late.
 #[test]
-fn what_cannot_be_in_time_is_refused_at_once() {
-    let mut queue = trained(1);
-    queue.admit(at(0), offer(1, 1, 350));
-    waits(queue.admit(at(0), offer(1, 1, 350)));
-    let decision = queue.admit(at(0), offer(1, 1, 350));
+fn requests_that_cannot_be_in_time_are_refused_on_arrival() {
+    let mut queue = warmed_up(1);
+    queue.admit(at(0), request(1, 1, 350));
+    expect_wait(queue.admit(at(0), request(1, 1, 350)));
+    let decision = queue.admit(at(0), request(1, 1, 350));
     let AdmissionDecision::Refuse { retry_after } = decision else {
         panic!("it isn't refused: {decision:?}");
     };
@@ -76,11 +76,11 @@
 /// A caller leaves while it waits, another's time runs out: neither holds a
 /// slot afterwards.
 #[test]
-fn withdrawn_and_expired_jobs_hold_nothing() {
-    let mut queue = trained(1);
-    queue.admit(at(0), offer(1, 1, 1_000));
-    let left = waits(queue.admit(at(0), offer(1, 1, 1_000)));
-    let expired = waits(queue.admit(at(0), offer(1, 1, 1_000)));
+fn withdrawn_and_expired_requests_hold_no_slot() {
+    let mut queue = warmed_up(1);
+    queue.admit(at(0), request(1, 1, 1_000));
+    let left = expect_wait(queue.admit(at(0), request(1, 1, 1_000)));
+    let expired = expect_wait(queue.admit(at(0), request(1, 1, 1_000)));
     assert!(queue.withdraw(left));
     assert!(queue.expire(expired));
     assert!(!queue.expire(expired));
@@ -91,17 +91,17 @@
 /// Fewer slots are reported while more jobs run: no new one starts until
 /// enough have ended. More slots start what waits.
 #[test]
-fn slots_may_change_while_jobs_run() {
-    let mut queue = trained(3);
+fn slots_may_change_while_requests_run() {
+    let mut queue = warmed_up(3);
     for _ in 0..3 {
-        queue.admit(at(0), offer(1, 1, 1_000));
+        queue.admit(at(0), request(1, 1, 1_000));
     }
     assert!(queue.set_slots(at(0), 1).is_empty());
-    waits(queue.admit(at(0), offer(1, 1, 5_000)));
+    expect_wait(queue.admit(at(0), request(1, 1, 5_000)));
     assert!(queue.finish(at(100), 1, None).is_empty());
     assert!(queue.finish(at(100), 1, None).is_empty());
     assert_eq!(queue.finish(at(100), 1, None).len(), 1);
-    waits(queue.admit(at(100), offer(1, 1, 5_000)));
+    expect_wait(queue.admit(at(100), request(1, 1, 5_000)));
     assert_eq!(queue.set_slots(at(100), 2).len(), 1);
 }
 
@@ -109,10 +109,10 @@
 /// and neither waits nor counts as turned away.
 #[test]
 fn a_probe_runs_at_once_or_not_at_all() {
-    let mut queue = trained(1);
+    let mut queue = warmed_up(1);
     let probe = AdmissionRequest {
         may_wait: false,
-        ..offer(1, 1, 1_000)
+        ..request(1, 1, 1_000)
     };
     assert_eq!(queue.admit(at(0), probe), AdmissionDecision::Run);
     assert_eq!(queue.admit(at(0), probe), AdmissionDecision::Busy);
@@ -124,14 +124,14 @@
 /// Guards against runs that are wasted because their calls wait behind new requests.
 #[test]
 fn calls_of_runs_that_have_begun_go_first() {
-    let mut queue = trained(1);
-    queue.admit(at(0), offer(1, 1, 1_000));
-    let order = waits(queue.admit(at(0), offer(1, 1, 1_000)));
+    let mut queue = warmed_up(1);
+    queue.admit(at(0), request(1, 1, 1_000));
+    let order = expect_wait(queue.admit(at(0), request(1, 1, 1_000)));
     let call = AdmissionRequest {
         nested: true,
-        ..offer(1, 2, 50)
+        ..request(1, 2, 50)
     };
-    let call = waits(queue.admit(at(1), call));
+    let call = expect_wait(queue.admit(at(1), call));
     assert_eq!(queue.finish(at(100), 1, Some(at(100))), [call]);
     assert_eq!(queue.finish(at(140), 2, Some(at(40))), [order]);
 }
@@ -139,27 +139,27 @@
 /// Guards against late requests that take slots from those that can be in time.
 #[test]
 fn what_is_late_already_goes_behind_the_others() {
-    let mut queue = trained(2);
-    queue.admit(at(500), offer(1, 1, 1_000));
-    queue.admit(at(500), offer(1, 1, 1_000));
-    let late = waits(queue.admit(at(500), offer(1, 1, 520)));
-    let due = waits(queue.admit(at(501), offer(1, 1, 901)));
+    let mut queue = warmed_up(2);
+    queue.admit(at(500), request(1, 1, 1_000));
+    queue.admit(at(500), request(1, 1, 1_000));
+    let late = expect_wait(queue.admit(at(500), request(1, 1, 520)));
+    let due = expect_wait(queue.admit(at(501), request(1, 1, 901)));
     assert_eq!(queue.finish(at(540), 1, None), [due]);
     assert!(queue.expire(late));
     queue.finish(at(600), 1, Some(at(100)));
-    let again = queue.admit(at(600), offer(1, 1, 520));
+    let again = queue.admit(at(600), request(1, 1, 520));
     assert_eq!(again, AdmissionDecision::Run);
 }
 
 /// Guards against queueing requests that will be overtaken for longer than they can wait.
 #[test]
-fn a_queue_that_is_overtaken_is_known_to_be_slow() {
-    let mut queue = trained(1);
-    queue.admit(at(0), offer(1, 1, 1_000));
+fn requests_that_would_be_overtaken_too_long_are_refused() {
+    let mut queue = warmed_up(1);
+    queue.admit(at(0), request(1, 1, 1_000));
     let mut now = 0;
     let mut refused_at_once = false;
     for _ in 0..20 {
-        let decision = queue.admit(at(now), offer(1, 1, now + 400));
+        let decision = queue.admit(at(now), request(1, 1, now + 400));
         let AdmissionDecision::Wait { key, latest } = decision else {
             refused_at_once = true;
             break;
@@ -167,9 +167,9 @@
         for _ in 0..3 {
             let call = AdmissionRequest {
                 nested: true,
-                ..offer(1, 2, now + 50)
+                ..request(1, 2, now + 50)
             };
-            waits(queue.admit(at(now), call));
+            expect_wait(queue.admit(at(now), call));
             now += 100;
             queue.finish(at(now), 2, Some(at(100)));
         }
@@ -182,20 +182,20 @@
 /// Guards against refusing a request because its route seems ahead after a single verdict.
 #[test]
 fn a_route_is_not_ahead_by_a_single_verdict() {
-    let mut queue = trained(1);
-    queue.admit(at(0), offer(0, 10, 1_000));
+    let mut queue = warmed_up(1);
+    queue.admit(at(0), request(0, 10, 1_000));
     queue.finish(at(100), 10, Some(at(100)));
-    queue.admit(at(100), offer(2, 2, 2_000));
-    let hopeless = queue.admit(at(100), offer(0, 11, 250));
+    queue.admit(at(100), request(2, 2, 2_000));
+    let hopeless = queue.admit(at(100), request(0, 11, 250));
     assert!(matches!(hopeless, AdmissionDecision::Refuse { .. }));
-    waits(queue.admit(at(101), offer(0, 10, 1_500)));
+    expect_wait(queue.admit(at(101), request(0, 10, 1_500)));
 }
 
 /// Guards against refusing requests that find no free slot before any run time is known.
 #[test]
-fn jobs_wait_before_any_run_has_ended() {
+fn requests_wait_before_any_run_has_ended() {
     let mut queue = AdmissionQueue::new(1);
-    queue.admit(at(0), offer(1, 1, 1_000));
-    let next = waits(queue.admit(at(0), offer(1, 1, 1_000)));
+    queue.admit(at(0), request(1, 1, 1_000));
+    let next = expect_wait(queue.admit(at(0), request(1, 1, 1_000)));
     assert_eq!(queue.finish(at(100), 1, Some(at(100))), [next]);
 }
--- a/crates/node/tests/all/queue_load.rs
+++ b/crates/node/tests/all/queue_load.rs
@@ -7,7 +7,7 @@
 
 /// A class of requests.
 #[derive(Debug, Clone, Copy)]
-struct LoadClass {
+struct RouteLoad {
     rank: u8,
     per_second: f64,
     work: Duration,
@@ -16,22 +16,22 @@
 
 /// What the callers of a class got.
 #[derive(Debug, Clone, Copy, Default)]
-struct ClassResult {
-    offered: u32,
+struct RouteResult {
+    requested: u32,
     in_time: u32,
     late: u32,
     refused: u32,
 }
 
-impl ClassResult {
+impl RouteResult {
     fn share_in_time(self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.offered)
+        f64::from(self.in_time) / f64::from(self.requested)
     }
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Running {
-    class: usize,
+    route: usize,
     ends_at: Duration,
     began: Duration,
     target_at: Duration,
@@ -43,8 +43,8 @@
 
 /// Plays a load on a queue, or on an unbounded one in order of arrival. Runs take
 /// from half of their mean to one and a half.
-fn play(classes: &[LoadClass], arrival_order: bool) -> Vec<ClassResult> {
-    play_runs(classes, arrival_order, |rng| 0.5 + rng.random::<f64>())
+fn simulate(routes: &[RouteLoad], arrival_order: bool) -> Vec<RouteResult> {
+    simulate_runs(routes, arrival_order, |rng| 0.5 + rng.random::<f64>())
 }
 
 /// Draws a run in means, spread like those of the backend servers: most
@@ -56,33 +56,33 @@
 }
 
 /// Plays a load with runs of which `draw` returns the length in means.
-fn play_runs(
-    classes: &[LoadClass],
+fn simulate_runs(
+    routes: &[RouteLoad],
     arrival_order: bool,
     draw: impl Fn(&mut StdRng) -> f64,
-) -> Vec<ClassResult> {
+) -> Vec<RouteResult> {
     let mut rng = StdRng::seed_from_u64(11);
     let mut queue = AdmissionQueue::new(SLOTS as u32);
-    let mut line: Vec<(usize, Duration)> = Vec::new();
+    let mut fifo_queue: Vec<(usize, Duration)> = Vec::new();
     let mut waiting: HashMap<QueueKey, (usize, Duration, Duration)> = HashMap::new();
     let mut running: Vec<Running> = Vec::new();
-    let mut results = vec![ClassResult::default(); classes.len()];
+    let mut results = vec![RouteResult::default(); routes.len()];
     let mut now = Duration::ZERO;
     while now < LENGTH {
-        let mut begun: Vec<(usize, Duration)> = Vec::new();
+        let mut started: Vec<(usize, Duration)> = Vec::new();
         let (ended, still): (Vec<_>, Vec<_>) =
             running.drain(..).partition(|job| job.ends_at <= now);
         running = still;
         for job in ended {
-            let result = &mut results[job.class];
+            let result = &mut results[job.route];
             if now <= job.target_at {
                 result.in_time += 1;
             } else {
                 result.late += 1;
             }
-            for key in queue.finish(now, job.class as u64, Some(now.saturating_sub(job.began))) {
-                let (class, target_at, _) = waiting.remove(&key).expect("it waited");
-                begun.push((class, target_at));
+            for key in queue.finish(now, job.route as u64, Some(now.saturating_sub(job.began))) {
+                let (route, target_at, _) = waiting.remove(&key).expect("it waited");
+                started.push((route, target_at));
             }
         }
         let expired: Vec<QueueKey> = waiting
@@ -92,29 +92,29 @@
             .collect();
         for key in expired {
             queue.expire(key);
-            let (class, ..) = waiting.remove(&key).expect("it waited");
-            results[class].refused += 1;
+            let (route, ..) = waiting.remove(&key).expect("it waited");
+            results[route].refused += 1;
         }
-        for (number, class) in classes.iter().enumerate() {
-            if rng.random::<f64>() >= class.per_second * STEP.as_secs_f64() {
+        for (number, route) in routes.iter().enumerate() {
+            if rng.random::<f64>() >= route.per_second * STEP.as_secs_f64() {
                 continue;
             }
-            results[number].offered += 1;
-            let target_at = now + class.target;
+            results[number].requested += 1;
+            let target_at = now + route.target;
             if arrival_order {
-                line.push((number, target_at));
+                fifo_queue.push((number, target_at));
                 continue;
             }
-            let offer = AdmissionRequest {
-                rank: class.rank,
+            let admission_request = AdmissionRequest {
+                rank: route.rank,
                 route_hash: number as u64,
                 nested: false,
                 may_wait: true,
                 useful_until: target_at,
                 ends_at: target_at + millis(500),
             };
-            match queue.admit(now, offer) {
-                AdmissionDecision::Run => begun.push((number, target_at)),
+            match queue.admit(now, admission_request) {
+                AdmissionDecision::Run => started.push((number, target_at)),
                 AdmissionDecision::Wait { key, latest } => {
                     waiting.insert(key, (number, target_at, latest));
                 }
@@ -125,13 +125,13 @@
         }
         if arrival_order {
             let free = SLOTS - running.len();
-            begun = line.drain(..free.min(line.len())).collect();
+            started = fifo_queue.drain(..free.min(fifo_queue.len())).collect();
         }
-        for (class, target_at) in begun {
+        for (route, target_at) in started {
             let spread = draw(&mut rng);
-            let ends_at = now + classes[class].work.mul_f64(spread);
+            let ends_at = now + routes[route].work.mul_f64(spread);
             running.push(Running {
-                class,
+                route,
                 ends_at,
                 began: now,
                 target_at,
@@ -148,40 +148,40 @@
 
 /// Guards against a queue that serves nearly every request late under overload.
 #[test]
-fn overload_is_refused_and_not_served_late() {
-    let orders = LoadClass {
+fn overload_is_refused_instead_of_served_late() {
+    let orders = RouteLoad {
         rank: 1,
         per_second: 112.0,
         work: millis(160),
         target: millis(500),
     };
-    let queued = play(&[orders], false)[0];
-    let naive = play(&[orders], true)[0];
+    let queued = simulate(&[orders], false)[0];
+    let fifo = simulate(&[orders], true)[0];
     assert!(queued.share_in_time() > 0.6, "{queued:?}");
     assert!(
-        f64::from(queued.late) < 0.05 * f64::from(queued.offered),
+        f64::from(queued.late) < 0.05 * f64::from(queued.requested),
         "{queued:?}"
     );
-    assert!(naive.share_in_time() < 0.1, "{naive:?}");
+    assert!(fifo.share_in_time() < 0.1, "{fifo:?}");
 }
 
 /// Short inner calls and long orders of one rank share a full backend server.
 /// Neither is starved for the other's sake.
 #[test]
-fn classes_of_one_rank_share_a_shortage() {
-    let orders = LoadClass {
+fn routes_of_one_rank_share_a_shortage() {
+    let orders = RouteLoad {
         rank: 1,
         per_second: 60.0,
         work: millis(190),
         target: millis(500),
     };
-    let calls = LoadClass {
+    let calls = RouteLoad {
         rank: 1,
         per_second: 180.0,
         work: millis(30),
         target: millis(120),
     };
-    let results = play(&[orders, calls], false);
+    let results = simulate(&[orders, calls], false);
     let (orders, calls) = (results[0].share_in_time(), results[1].share_in_time());
     assert!(orders > 0.45 && calls > 0.55, "{results:?}");
     assert!(calls - orders < 0.25, "{results:?}");
@@ -190,20 +190,20 @@
 /// A more urgent class is served before a less urgent one, which gets what is
 /// left.
 #[test]
-fn the_urgent_class_is_served_before_the_other() {
-    let orders = LoadClass {
+fn the_more_urgent_route_is_served_first() {
+    let orders = RouteLoad {
         rank: 1,
         per_second: 40.0,
         work: millis(160),
         target: millis(500),
     };
-    let lookups = LoadClass {
+    let lookups = RouteLoad {
         rank: 2,
         per_second: 80.0,
         work: millis(120),
         target: millis(400),
     };
-    let results = play(&[orders, lookups], false);
+    let results = simulate(&[orders, lookups], false);
     assert!(results[0].share_in_time() > 0.9, "{results:?}");
     let lookups = results[1].share_in_time();
     assert!(lookups > 0.3 && lookups < 0.75, "{results:?}");
@@ -211,27 +211,27 @@
 
 /// Below the capacity nobody is refused but a few in the worst moments.
 #[test]
-fn a_usual_load_is_served_whole() {
-    let orders = LoadClass {
+fn a_load_below_capacity_is_served() {
+    let orders = RouteLoad {
         rank: 1,
         per_second: 50.0,
         work: millis(160),
         target: millis(500),
     };
-    let queued = play(&[orders], false)[0];
+    let queued = simulate(&[orders], false)[0];
     assert!(queued.share_in_time() > 0.97, "{queued:?}");
 }
 
 /// Guards against a queue longer than the slots need to stay busy, which makes answers late.
 #[test]
 fn a_shortage_makes_few_answers_late() {
-    let lookups = LoadClass {
+    let lookups = RouteLoad {
         rank: 2,
         per_second: 150.0,
         work: millis(120),
         target: millis(400),
     };
-    let queued = play_runs(&[lookups], false, skewed)[0];
+    let queued = simulate_runs(&[lookups], false, skewed)[0];
     assert!(queued.share_in_time() > 0.61, "{queued:?}");
     let served = f64::from(queued.late + queued.in_time);
     assert!(f64::from(queued.late) < 0.04 * served, "{queued:?}");
