--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -1,92 +1,92 @@
-//! Who runs, who waits and who is refused.
+//! Admission queue of the backend server: which requests run, wait or are refused.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::route_statistics::{RankedRoute, RouteStatistics};
 
-/// Service time reserved when a job is admitted, as a multiple of the class mean. Covers
+/// Run time reserved for a queued request, as a multiple of its route's mean. The margin covers
 /// all but the slowest few runs.
 const RUN_MARGIN: f64 = 1.6;
-/// Longest wait, in mean runs, of what hasn't begun. In a shortage the queue is always as
-/// long as it may be; it need only keep every slot busy, and more makes answers late.
+/// Longest wait of a new request, in mean run times. During overload the queue is always as long
+/// as it may be. It only has to keep every slot busy, and a longer queue makes responses late.
 const NEW_REQUEST_WAIT: f64 = 0.5;
-/// Jobs that may wait in any case: of fewer none is left when some come later than
-/// usual, and a slot stands idle.
+/// Number of requests that may wait in any case. With fewer, the queue runs empty whenever some
+/// requests arrive later than usual, and a slot stands idle.
 const WAITING_MIN: f64 = 4.0;
-/// Wait of a job that was given up, in the time for which it did wait: how much
-/// longer it would have been isn't known, only that it would.
+/// Factor applied to the wait of a request that expired in the queue. How much longer it would
+/// have waited isn't known, only that it would have.
 const EXPIRED_WAIT_FACTOR: f64 = 1.5;
-/// Least advice on when to come back: below it a caller only meets the same
-/// queue again.
+/// Lower bound of the advised retry delay. A caller that returns sooner only meets the same queue
+/// again.
 const RETRY_MIN: Duration = Duration::from_millis(20);
-/// Longest advice: a queue that is refusing turns over in a few runs, and a
-/// caller that stays away longer misses its own target.
+/// Upper bound of the advised retry delay. A queue that refuses requests turns over within a few
+/// runs, and a caller that stays away longer misses its own target.
 const RETRY_MAX: Duration = Duration::from_millis(300);
 
-/// A waiting job; the least runs next.
+/// Position of a queued request; the smallest key runs next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueueKey {
-    /// Whether it has yet to begin; a call belongs to a run that has.
-    fresh: bool,
+    /// Whether the request is new. A nested call belongs to a run that has begun.
+    is_new: bool,
     rank: u8,
-    /// Whether it can't be answered in time any more.
+    /// Whether the response can't arrive by its target time any more.
     late: bool,
     useful_until: Duration,
     order: u64,
 }
 
-/// A request that wants to run.
+/// A request to be admitted to the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Rank of its route; 0 is the most urgent.
+    /// Rank of the route; 0 is the most urgent.
     pub rank: u8,
-    /// Hash of its route, by which service times are kept.
+    /// Hash of the route, by which run times are kept.
     pub route_hash: u64,
-    /// Whether it belongs to a run that has begun.
+    /// Whether the request is a nested call of a run that has begun.
     pub nested: bool,
-    /// Whether it may wait; it probes for a free slot otherwise.
+    /// Whether the request may wait; otherwise it runs at once or not at all.
     pub may_wait: bool,
-    /// Time by which its answer is of full use.
+    /// Target time: the response is of full use until then.
     pub useful_until: Duration,
-    /// Time at which its caller gets a final answer.
+    /// Time at which the caller gets a final response.
     pub ends_at: Duration,
 }
 
-/// What becomes of an request.
+/// Decision of the queue about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It runs now.
+    /// The request runs now.
     Run,
-    /// Every slot is taken, and it may not wait.
+    /// Every slot is taken, and the request may not wait.
     Busy,
-    /// It waits; refuse it when it still does at `latest`.
+    /// The request waits, and is to be refused if it still does at `latest`.
     Wait {
-        /// Key by which it is granted or withdrawn.
+        /// Key by which the request is granted a slot or withdrawn.
         key: QueueKey,
-        /// Last moment at which starting it is of use.
+        /// Latest time at which starting the request is of use.
         latest: Duration,
     },
-    /// It can't be of use any more; it hasn't run.
+    /// The response could not arrive in time; the request hasn't run.
     Refuse {
         /// Time after which room is expected.
         retry_after: Duration,
     },
 }
 
-/// Queue in front of one backend server.
+/// Admission queue in front of one backend server.
 ///
-/// A queue in order of arrival without a bound serves everyone late once more is asked
-/// for than the slots carry, and a bound by number alone is too long for a slow backend
-/// server and too short for a fast one. So a job that can't be answered in time at the
-/// current pace is refused on arrival, with the time in which the excess drains.
+/// An unbounded queue in order of arrival serves everyone late once demand exceeds the slots. A
+/// bound on the number of requests is too long for a slow backend server and too short for a fast
+/// one. So a request whose response can't arrive in time at the current rate is refused on
+/// arrival, with the time in which the excess drains.
 ///
-/// Calls of runs that have begun go first and wait as long as those do, as each that is
-/// turned away wastes the run that made it. The rest waits for a short time at most, by
-/// rank, then by the time until which its answer is of use. A job that is late already
-/// goes behind its rank. A class that is served clearly more often than one of its rank
-/// or above is refused until that has caught up (`RouteStatistics`). The pace is taken from
-/// how long places in the queue really took, as jobs are overtaken. A job that waits is
-/// refused as soon as starting it is of no use.
+/// Nested calls of runs that have begun go first and may wait as long as those runs, because each
+/// refused call wastes the run that made it. All other requests wait for a short time at most,
+/// ordered by rank, then by target time. A request that is late already goes behind the others of
+/// its rank. A route that is served clearly more often than one of its rank or above is refused
+/// until the other has caught up (`RouteStatistics`). The expected wait follows the actual waits,
+/// as queued requests are overtaken. A queued request is refused as soon as starting it is of no
+/// use.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     slots: u32,
@@ -102,12 +102,12 @@
     late: bool,
     latest: Duration,
     requested_at: Duration,
-    /// Wait as it would be if nothing overtook it.
+    /// Wait that was expected if no later request overtook this one.
     planned: Duration,
 }
 
 impl AdmissionQueue {
-    /// Makes an empty queue in front of `slots` slots.
+    /// Creates an empty queue in front of `slots` slots; at least one is assumed.
     pub fn new(slots: u32) -> Self {
         Self {
             slots: slots.max(1),
@@ -118,28 +118,28 @@
         }
     }
 
-    /// Changes the number of slots and returns the jobs that run now.
+    /// Changes the number of slots and returns the requests that start now.
     pub fn set_slots(&mut self, now: Duration, slots: u32) -> Vec<QueueKey> {
         self.slots = slots.max(1);
         self.grant(now)
     }
 
-    /// Returns how many jobs run.
+    /// Returns the number of running requests.
     pub const fn running(&self) -> u32 {
         self.running
     }
 
-    /// Returns how many jobs wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Returns the mean time of a run; zero while unknown.
+    /// Returns the mean run time over all routes; zero while unknown.
     pub fn mean_run_time(&self) -> Duration {
         self.statistics.mean_run_time()
     }
 
-    /// Returns the mean time of a run of one class.
+    /// Returns the mean run time of one route, or of all routes while unknown.
     pub fn mean_run_time_of(&self, route_hash: u64) -> Duration {
         self.statistics.mean_run_time_of(RankedRoute {
             rank: 0,
@@ -147,7 +147,7 @@
         })
     }
 
-    /// Offers a job.
+    /// Decides whether a request runs, waits or is refused.
     ///
     /// # Examples
     ///
@@ -186,7 +186,7 @@
         }
         self.order += 1;
         let key = QueueKey {
-            fresh: !request.nested,
+            is_new: !request.nested,
             rank: request.rank,
             late,
             useful_until: request.useful_until,
@@ -217,8 +217,8 @@
         AdmissionDecision::Wait { key, latest }
     }
 
-    /// Returns how long a job of this mean run may wait that hasn't begun. After a
-    /// start no run has ended yet, and nothing but its target bounds it.
+    /// Returns how long a new request with this mean run time may wait. Returns `None` after a
+    /// start, when no run has ended yet and only the target time bounds the wait.
     fn longest_wait(&self, run_time: Duration) -> Option<Duration> {
         let wait_per_position = self.mean_run_time().div_f64(self.slots.into());
         let longest = run_time
@@ -227,8 +227,8 @@
         (longest > Duration::ZERO).then_some(longest)
     }
 
-    /// Notes whether a job that can be in time got a slot. What comes again
-    /// after a refusal was noted then.
+    /// Records whether a request that can be in time got a slot. Late requests are left out: a
+    /// retry was counted when it was refused.
     fn record_decision(&mut self, route: RankedRoute, late: bool, served: bool) {
         if !late {
             self.statistics.record_decision(route, served);
@@ -242,8 +242,8 @@
         AdmissionDecision::Refuse { retry_after }
     }
 
-    /// Refuses a waiting job whose latest start has passed; `false` if it
-    /// doesn't wait any more.
+    /// Refuses a queued request whose latest start has passed. Returns `false` if the request
+    /// isn't queued any more.
     pub fn expire(&mut self, key: QueueKey) -> bool {
         let queued = self.waiting.remove(&key);
         if let Some(queued) = queued {
@@ -254,16 +254,16 @@
         queued.is_some()
     }
 
-    /// Withdraws a waiting job whose caller left; `false` if it doesn't wait
+    /// Withdraws a queued request whose caller left. Returns `false` if the request isn't queued
     /// any more.
     pub fn withdraw(&mut self, key: QueueKey) -> bool {
         self.waiting.remove(&key).is_some()
     }
 
-    /// Takes in that a job ended and returns the jobs that run now.
+    /// Frees the slot of an ended request and returns the requests that start now.
     ///
-    /// `took` is the time of a whole run; `None` when it was cut short, which
-    /// says nothing about the pace.
+    /// `took` is the time of a complete run. It is `None` for a run that was cut short, which says
+    /// nothing about run times.
     pub fn finish(
         &mut self,
         now: Duration,
@@ -282,12 +282,12 @@
             .record_wait(queued.route, queued.late, queued.planned, waited);
     }
 
-    /// Returns how soon room is expected for a job at `key`'s place.
+    /// Returns the expected wait of a request at the position of `key`.
     fn wait_before(&self, key: QueueKey) -> Duration {
         self.wait_behind(self.waiting.range(..key).count() as u32)
     }
 
-    /// Returns how soon room is expected behind all that wait.
+    /// Returns the expected wait at the end of the queue.
     pub fn wait(&self) -> Duration {
         self.wait_behind(self.waiting())
     }
@@ -298,8 +298,8 @@
             .mul_f64(f64::from(excess) / f64::from(self.slots))
     }
 
-    /// Starts waiting jobs while there is room. Jobs past their latest start
-    /// are left to their own timers, which refuse them.
+    /// Starts queued requests while slots are free. Requests past their latest start are skipped:
+    /// their own timers refuse them.
     fn grant(&mut self, now: Duration) -> Vec<QueueKey> {
         let mut granted = Vec::new();
         while self.running < self.slots {
--- a/crates/node/src/inbound/crash_admission.rs
+++ b/crates/node/src/inbound/crash_admission.rs
@@ -1,4 +1,4 @@
-//! Keeping requests that crash backend servers away from this one.
+//! Admission of requests that are suspected of crashing backend servers.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 };
 
 impl InboundProxy {
-    /// Refuses a request that has crashed backend servers, and lets one that was running
-    /// when one crashed wait for its turn, which it holds while it runs.
+    /// Refuses a request that has crashed backend servers. A request that was running at a crash
+    /// waits for a permit, which it holds while it runs.
     ///
-    /// Only one such request runs at a time. Of the dozen that are running when a server
-    /// crashes one is guilty. Were they sent again together, they would all be running at
-    /// the second crash, too, and be refused with the one that causes it.
+    /// Only one such request runs at a time. Of the dozen requests that are running when a server
+    /// crashes, one causes the crash. Were they all retried together, they would all be running at
+    /// the second crash as well, and be refused with the one that causes it.
     ///
     /// # Errors
     ///
-    /// When it may not run here, or its turn doesn't come in its time.
+    /// Fails if the request may not run here, or if it gets no permit before `ends_at`.
     pub(super) async fn admit_fingerprint(
         &self,
         request: &InboundRequest,
@@ -38,7 +38,7 @@
         if permit.is_none() {
             return refused(RefusalReason::Busy, RETRY_OTHER_NODE_AFTER);
         }
-        // The one before may have been this very request, sent twice.
+        // The previous holder of the permit may have been this very request, sent twice.
         self.refuse_poisoned(request.fingerprint)?;
         Ok(permit)
     }
--- a/crates/node/src/inbound/endpoint_breaker.rs
+++ b/crates/node/src/inbound/endpoint_breaker.rs
@@ -1,38 +1,38 @@
-//! A circuit breaker in front of a backend server that breaks every run.
+//! Circuit breaker in front of a backend server that breaks every run.
 
 use std::time::Duration;
 
-/// Runs in a row that break before the breaker opens; high enough that a backend server
-/// which breaks every second run rarely opens it.
+/// Number of consecutive broken runs that opens the breaker. The number is high enough that a
+/// backend server which breaks every second run rarely opens it.
 const BREAKS_MAX: u32 = 8;
-/// First time for which it is open: a process is restarted within about a second.
+/// First time for which the breaker is open. A process restarts within about a second.
 const OPEN_TIME_FIRST: Duration = Duration::from_millis(250);
-/// Longest time for which it is open; one trial in it costs hardly anything.
+/// Longest time for which the breaker is open. One trial in it costs hardly anything.
 const OPEN_TIME_MAX: Duration = Duration::from_secs(2);
 
-/// A circuit breaker in front of a backend server that breaks every run.
+/// Circuit breaker in front of a backend server that breaks every run.
 ///
-/// A backend server that resets or spoils each run at once holds nothing and fills no
-/// link. It looks like the member with the most room and draws what all others refuse,
-/// and each caller hears only that its request may have run. After some breaks in a row
-/// nothing is sent to it, so that callers hear that their request has not run, and outbound proxies
-/// go elsewhere. One trial each pause, which doubles, finds out whether it has recovered;
-/// any answer closes the breaker.
+/// A backend server that resets or corrupts each run at once occupies no slots and no link. It
+/// looks like the member with the most free capacity and attracts all requests that others refuse,
+/// and each caller learns only that its request may have run. After several consecutive broken
+/// runs the breaker opens: callers learn that their requests have not run, and outbound proxies
+/// pick other members. At the end of each open time, which doubles, one trial checks whether the
+/// backend server has recovered. Any response closes the breaker.
 #[derive(Debug, Default)]
 pub struct EndpointBreaker {
     consecutive_breaks: u32,
     open_until: Duration,
     open_time: Duration,
-    /// Whether a trial is under way.
+    /// Whether a trial is in progress.
     trial: bool,
 }
 
 impl EndpointBreaker {
-    /// Lets a run pass, as a trial when the pause of an open breaker has ended.
+    /// Admits a run; once the open time has passed, as a trial.
     ///
     /// # Errors
     ///
-    /// The time until the next trial.
+    /// Returns the time until the next trial.
     ///
     /// # Examples
     ///
@@ -59,24 +59,24 @@
         if now < self.open_until {
             return Err(self.open_until.saturating_sub(now));
         }
-        // A trial that ends without a result, as when its caller leaves, is followed by
-        // another after the same pause.
+        // A trial that ends without a result, for example because its caller leaves, is followed
+        // by another after the same open time.
         self.trial = true;
         self.open_until = now + self.open_time;
         Ok(())
     }
 
-    /// Whether nothing but trials passes.
+    /// Whether the breaker admits nothing but trials.
     pub const fn is_open(&self) -> bool {
         self.consecutive_breaks >= BREAKS_MAX
     }
 
-    /// Takes in that a run ended with an answer.
+    /// Records a run that ended with a response, and closes the breaker.
     pub fn record_response(&mut self) {
         *self = Self::default();
     }
 
-    /// Takes in that a run broke.
+    /// Records a broken run, which may open the breaker or extend its open time.
     pub fn record_break(&mut self, now: Duration) {
         self.consecutive_breaks = self.consecutive_breaks.saturating_add(1);
         if self.consecutive_breaks == BREAKS_MAX {
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -1,4 +1,4 @@
-//! The call to the backend server, and what its answer is worth.
+//! The call to the backend server, and the checks of its response.
 
 use bytes::Bytes;
 use http::{HeaderValue, Request, Response, StatusCode, header};
@@ -49,7 +49,7 @@
                 return refused(RefusalReason::EndpointDown, RETRY_OTHER_NODE_AFTER);
             }
             Err(ExchangeError::Broke { reason }) => {
-                // The backend server's place is free, whatever is found.
+                // The backend server's slot is free, whatever the diagnosis.
                 drop(slot);
                 let record = CrashRecord { fingerprint, start };
                 let now = self.inner.clock.now();
@@ -81,8 +81,7 @@
         outgoing
     }
 
-    /// Tells answers of the backend server to this request from refusals and
-    /// from bytes that belong to no request or to another.
+    /// Rejects refusals, malformed responses and responses to other requests.
     fn check_response(
         &self,
         response: &Response<Incoming>,
@@ -100,24 +99,24 @@
             return refused(RefusalReason::OtherInstance, RETRY_OTHER_NODE_AFTER);
         }
         if id.is_some() && headers.get(&self.headers.request_id) != id {
-            // An answer that came late, or twice, to an earlier request.
-            return broke("the answer names another request");
+            // This response to an earlier request came late or twice.
+            return broke("the response names another request");
         }
         if headers.contains_key(&self.headers.not_executed) {
             return refused(RefusalReason::EndpointRefused, RETRY_OTHER_NODE_AFTER);
         }
         if status.is_success() && !headers.contains_key(&self.headers.signature) {
-            return broke("the answer has no signature");
+            return broke("the response has no signature");
         }
         if headers.contains_key(header::CONTENT_ENCODING) {
-            return broke("the answer is encoded");
+            return broke("the response is encoded");
         }
         Ok(())
     }
 }
 
-/// Passes an answer on: short ones once they are whole, long ones as they
-/// come.
+/// Passes a response on. A short one is read completely first; a long one is passed on as it
+/// arrives.
 async fn deliver(
     response: Response<Incoming>,
     mut slot: RunSlot,
--- a/crates/node/src/inbound/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -1,4 +1,4 @@
-//! Opening the inbound proxy after a restart of the node alone.
+//! Confirmation of the local backend server after a restart of the node alone.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,17 +8,16 @@
 use super::{EndpointReport, ReportState};
 use crate::{config::MeshConfig, member::MemberRecord, node_core::NodeCore};
 
-/// Time between looks for the first configuration, which names the path of the
+/// Interval between checks for the first configuration. The configuration names the path of the
 /// health check.
 const CONFIG_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Opens the inbound proxy to a backend server that was announced before this process began, once
-/// it confirms that it lives.
+/// Confirms a backend server that an earlier process of this node announced.
 ///
-/// When node processes are killed and restarted while their backend servers live on,
-/// inbound proxies would stay shut until the next heartbeat. The announcement in the store says
-/// which start was ready, and the backend server's health check that it still is that
-/// start and isn't leaving. One alone isn't believed: the announcement may be old, and
+/// When node processes are killed and restarted while their backend servers keep running, inbound
+/// proxies would refuse everything until the next heartbeat. The announcement in the store says
+/// which start was ready, and the health check says whether the backend server is still that start
+/// and isn't leaving. Only both together open the inbound proxy: the announcement may be old, and
 /// health checks may be wrong.
 pub async fn confirm_endpoint(core: Rc<NodeCore>) {
     loop {
--- a/crates/node/src/inbound/endpoint_health.rs
+++ b/crates/node/src/inbound/endpoint_health.rs
@@ -10,21 +10,21 @@
 use super::{InboundProxy, inbound_proxy::IDLE_TIME_NON_IDEMPOTENT};
 use crate::{header_names::header_text, transport::ExchangeError};
 
-/// Longest time for a health check; it takes a millisecond when a slot is
-/// free. The next heartbeat comes within a second and a half.
+/// Timeout of a health check, which takes a millisecond when a slot is free. The next heartbeat
+/// comes within a second and a half.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// What the backend server said when its health was checked.
+/// Response of the backend server to a health check.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HealthCheckResponse {
-    /// Whether it is healthy and not leaving.
+    /// Whether the backend server is healthy and not leaving.
     pub healthy: bool,
-    /// Start that it says it is.
+    /// Instance identifier in the response; `None` if it has none.
     pub instance: Option<String>,
 }
 
 impl InboundProxy {
-    /// Asks the backend server whether it is healthy and not leaving, and
-    /// returns the start that says so.
+    /// Checks the backend server's health. Returns its instance identifier if it is healthy and
+    /// not leaving.
     pub async fn healthy_instance(&self, path: &str) -> Option<String> {
         let asked = timeout(HEALTH_CHECK_TIMEOUT, self.check_health(path)).await;
         let health_response = asked.ok()?.ok()?;
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// When there is no answer.
+    /// Fails if no response arrives.
     pub async fn check_health(&self, path: &str) -> Result<HealthCheckResponse, ExchangeError> {
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = path.parse().unwrap_or_default();
@@ -57,7 +57,7 @@
         Ok(health_response)
     }
 
-    /// Whether the backend server runs nothing for this node.
+    /// Whether the backend server runs no request of this node.
     pub fn is_idle(&self) -> bool {
         self.inner.queue.borrow().running() == 0
     }
--- a/crates/node/src/inbound/endpoint_report.rs
+++ b/crates/node/src/inbound/endpoint_report.rs
@@ -1,4 +1,4 @@
-//! What the backend server beside this node says of itself.
+//! Heartbeats of the backend server beside this node.
 
 use std::time::Duration;
 
@@ -10,27 +10,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ReportState {
-    /// Takes work.
+    /// The backend server accepts requests.
     Ready,
-    /// Is about to leave.
+    /// The backend server is about to leave.
     Leaving,
 }
 
-/// A backend server's heartbeat.
+/// Heartbeat of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointReport {
-    /// Start that reports.
+    /// Start of the backend server that reports.
     pub start: EndpointStart,
-    /// Service.
+    /// Name of the service that the backend server provides.
     pub service: String,
-    /// Data centre.
+    /// Name of the data centre in which the backend server runs.
     pub data_centre: String,
-    /// Requests that it runs at a time.
+    /// Number of requests that the backend server runs at a time.
     pub slots: u32,
-    /// State.
+    /// Whether the backend server accepts requests or is leaving.
     pub state: ReportState,
-    /// Time for which it stays slow after its start.
+    /// Slow-start time that is left to the backend server.
     pub cold: Duration,
-    /// Number of the heartbeat; later ones are greater.
+    /// Sequence number of the heartbeat; later heartbeats have greater numbers.
     pub sequence: u64,
 }
--- a/crates/node/src/inbound/endpoint_tracker.rs
+++ b/crates/node/src/inbound/endpoint_tracker.rs
@@ -1,55 +1,54 @@
-//! Which start of the backend server lives here, and whether it takes work.
+//! Tracks which start of the local backend server is current and admits requests.
 
 use std::{collections::VecDeque, time::Duration};
 
 use super::{EndpointReport, RefusalReason, ReportState};
 use crate::member::{EndpointStart, MemberRecord, MemberState, StartOrder};
 
-/// Ends remembered, so that a delayed heartbeat of an earlier start changes
-/// nothing. Heartbeats are late by seconds; a backend server restarts in more.
+/// Number of ended starts that are remembered. A delayed heartbeat of one of them is ignored.
+/// Heartbeats are late by seconds; a backend server takes longer to restart.
 const RETIRED_MAX: usize = 16;
 
-/// What became of a report.
+/// Effect of a heartbeat on the tracker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// Another start of the backend server was adopted.
+    /// Another start of the backend server became the current one.
     Adopted,
-    /// What is announced of it changed.
+    /// The announced state or number of slots changed.
     Changed,
-    /// Nothing new.
+    /// The announced state and number of slots are the same as before.
     Unchanged,
-    /// Late, or of an earlier start: ignored.
+    /// The heartbeat was late or of an earlier start, and was ignored.
     Stale,
-    /// Not of the backend server beside this node: ignored.
+    /// The heartbeat wasn't from the local backend server, and was ignored.
     Foreign,
 }
 
-/// The backend server that lives here.
+/// The current start of the local backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocalEndpoint {
-    /// Its last report.
+    /// Last report that was accepted.
     pub report: EndpointReport,
-    /// Sequence of the report that last changed what is announced.
+    /// Sequence number of the report that last changed the announcement.
     pub announced_sequence: u64,
-    /// Time for which it was to stay slow when it was first heard of.
+    /// Slow-start time that was left at the first report.
     pub cold: Duration,
-    /// Since when it has been leaving.
+    /// Time at which the start began to leave; `None` if it isn't leaving.
     pub leaving_since: Option<Duration>,
-    /// Whether it has been ready in the time of this process.
+    /// Whether the start has been ready during the lifetime of this process.
     pub was_ready: bool,
-    /// Whether it has said its farewell.
+    /// Whether the start has deregistered.
     pub deregistered: bool,
 }
 
-/// Which start of the backend server lives here, and whether it takes work.
+/// Tracks which start of the local backend server is current and admits requests.
 ///
-/// Heartbeats may come late, cross one another, or belong to a start that has crashed
-/// since. Taken at face value they would reopen a backend server that is leaving, or name
-/// one that is gone. Reports of one start are ordered by their sequence, and starts by
-/// the time at which they began, or by their first appearance where that isn't told;
-/// ended starts stay ended. The backend server itself has the last word: it refuses
-/// requests that expect another start and names the one that it is
-/// ([`EndpointTracker::identified_as`]).
+/// Heartbeats may be late, out of order, or from a start that has crashed since. If all were
+/// accepted, they would readmit requests to a backend server that is leaving, or name one that is
+/// gone. Reports of one start are ordered by their sequence number. Starts are ordered by the time
+/// at which they began, or by their first report where that time is unknown, and ended starts stay
+/// ended. The response of the backend server itself overrides heartbeats: it refuses requests that
+/// expect another start and names its own ([`EndpointTracker::identified_as`]).
 #[derive(Debug, Default)]
 pub struct EndpointTracker {
     current: Option<LocalEndpoint>,
@@ -57,7 +56,7 @@
 }
 
 impl EndpointTracker {
-    /// Takes in a heartbeat.
+    /// Processes a heartbeat.
     pub fn report(&mut self, now: Duration, report: EndpointReport) -> ReportOutcome {
         if self.is_retired(&report.start) {
             return ReportOutcome::Stale;
@@ -74,12 +73,12 @@
         }
     }
 
-    /// Takes in a farewell at the Unix time `unix_ms`; `true` if it concerns the
-    /// one that lives here.
+    /// Processes a deregistration at the Unix time `unix_ms`, in milliseconds. Returns `true` if
+    /// it applies to the current start.
     ///
-    /// One that doesn't say which start it is of concerns the start that lives
-    /// here under that identifier. Is there none, it concerns every start that
-    /// began before now: a later one under the same identifier is another.
+    /// A deregistration without the time at which its start began applies to the current start
+    /// with that identifier. If there is none, it applies to every start with that identifier that
+    /// began before `unix_ms`: a later one is a different start.
     pub fn deregister(&mut self, now: Duration, start: EndpointStart, unix_ms: u64) -> bool {
         match &mut self.current {
             Some(current) if current.report.start.ended_with(&start) => {
@@ -94,8 +93,8 @@
         }
     }
 
-    /// Takes in that the backend server named itself `instance`, and returns the start that
-    /// has ended without having said that it leaves.
+    /// Processes the instance identifier that the backend server gave in a response. Returns the
+    /// previous start if it ended without announcing that it was leaving.
     pub fn identified_as(&mut self, instance: &str) -> Option<EndpointStart> {
         self.retired
             .retain(|retired| retired.instance() != instance);
@@ -109,10 +108,10 @@
         unannounced.then_some(ended.report.start)
     }
 
-    /// Takes in what this node announced before it was restarted.
+    /// Restores the leaving state that this node announced before its restart.
     ///
-    /// Only a leaving start is restored: the acknowledgment binds this
-    /// process as well. A ready one is believed when it reports.
+    /// A ready start isn't restored but accepted at its next report. A leaving start is restored
+    /// because the acknowledgment of its leaving binds this process as well.
     pub fn restore(&mut self, now: Duration, record: &MemberRecord) {
         if self.current.is_some() || record.state != MemberState::Leaving {
             return;
@@ -129,28 +128,28 @@
         self.adopt(now, report);
     }
 
-    /// Returns the start that lives here unless it has said that it leaves: were another to
-    /// take its place now, its end would be unannounced.
+    /// Returns the current start unless it announced that it is leaving. If another start replaced
+    /// it now, its end would be unannounced.
     pub fn unannounced_end(&self) -> Option<EndpointStart> {
         let current = self.current.as_ref()?;
         let staying = current.leaving_since.is_none();
         staying.then(|| current.report.start.clone())
     }
 
-    /// Returns the backend server that lives here, if one is known.
+    /// Returns the current start of the local backend server, if one is known.
     pub const fn current(&self) -> Option<&LocalEndpoint> {
         self.current.as_ref()
     }
 
-    /// Says whether a request that expects `instance` may go in.
+    /// Checks whether a request that expects `instance` is admitted.
     ///
-    /// One that is leaving takes work for `grace` longer, in which the news
-    /// reaches the other nodes. Where this process has only known it as leaving
-    /// that time is over: another process acknowledged it, long ago maybe.
+    /// A leaving start is admitted for `grace` longer, while its announcement reaches the other
+    /// nodes. The grace time counts as over if this process has known the start only as leaving:
+    /// an earlier process acknowledged that at an unknown time.
     ///
     /// # Errors
     ///
-    /// The reason of the refusal.
+    /// Returns the reason of the refusal.
     pub fn admits(
         &self,
         now: Duration,
@@ -201,7 +200,7 @@
 
 fn update(current: &mut LocalEndpoint, now: Duration, report: EndpointReport) -> ReportOutcome {
     if report.service != current.report.service {
-        // A start serves one service all its life.
+        // A start serves the same service for its whole lifetime.
         return ReportOutcome::Foreign;
     }
     if report.sequence <= current.report.sequence {
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -1,4 +1,4 @@
-//! The path of a request from the inbound proxy to the backend server and back.
+//! Path of a request through the inbound proxy to the backend server and back.
 
 use std::{
     cell::{Cell, RefCell},
@@ -30,20 +30,19 @@
     transport::{ConnectionPool, PoolSettings},
 };
 
-/// Longest time to open a connection to the backend server on this machine;
-/// it takes a millisecond unless the server is overloaded or dark.
+/// Timeout for connecting to the local backend server. Connecting takes a millisecond unless the
+/// server is overloaded or unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest use of an idle connection for what may run twice. Backend servers
-/// close idle connections after about ten seconds, some without notice.
+/// Longest idle time of a connection that is reused for idempotent requests. Backend servers close
+/// idle connections after about ten seconds, some without notice.
 pub(super) const IDLE_TIME_IDEMPOTENT: Duration = Duration::from_secs(4);
-/// Longest use of an idle connection for what must not run twice: a request
-/// that crosses a close can't be sent again, and a new connection costs only a
-/// millisecond.
+/// Longest idle time of a connection that is reused for other requests. A request that crosses the
+/// closing of its connection can't be resent, and a new connection costs only a millisecond.
 pub(super) const IDLE_TIME_NON_IDEMPOTENT: Duration = Duration::from_secs(1);
-/// Time beyond the caller's after which the backend server is given up on;
-/// usually the sender's cancel comes first.
+/// Time after the caller's deadline at which the inbound proxy stops waiting. Usually the sender
+/// cancels the request first.
 const RESPONSE_GRACE_TIME: Duration = Duration::from_millis(100);
-/// Advice after a refusal that isn't about load: another node is asked at once.
+/// Advised retry delay after a refusal that isn't about load. Another node is asked at once.
 pub(super) const RETRY_OTHER_NODE_AFTER: Duration = Duration::from_millis(50);
 
 /// Settings of an inbound proxy.
@@ -51,33 +50,33 @@
 pub struct InboundSettings {
     /// Address of the backend server.
     pub endpoint: SocketAddr,
-    /// Slots assumed until the backend server tells.
+    /// Number of slots assumed until the backend server reports its own.
     pub slots: u32,
-    /// How long a leaving backend server still takes work, in which the news
-    /// reaches the other nodes.
+    /// Time for which a leaving backend server still accepts requests. Its announcement reaches
+    /// the other nodes in this time.
     pub leaving_grace: Duration,
 }
 
-/// Failure at the inbound proxy.
+/// Failure of a request at the inbound proxy.
 #[derive(Debug, Snafu)]
 pub enum InboundError {
     /// The request certainly didn't run.
     #[snafu(display("refused: {refusal}"))]
     Refused {
-        /// Reason and advice.
+        /// Reason of the refusal and advised retry delay.
         refusal: InboundRefusal,
     },
-    /// The request may have run; there is no usable answer.
+    /// The request may have run, but there is no usable response.
     #[snafu(display("broke: {reason}"))]
     Broke {
-        /// What was met.
+        /// Description of the failure, for the log.
         reason: String,
-        /// What was found of the backend server, where its connection broke.
+        /// Diagnosis of the backend server, if its connection broke.
         diagnosis: Option<BreakDiagnosis>,
     },
 }
 
-/// State of the inbound proxy.
+/// State that the inbound proxy shares with the slots in use.
 #[derive(Debug)]
 pub(super) struct InboundState {
     pub(super) endpoint_pool: ConnectionPool,
@@ -89,7 +88,7 @@
 }
 
 impl InboundState {
-    /// Frees a slot and starts who is next.
+    /// Frees a slot and wakes the requests that start next.
     pub(super) fn finish(&self, route_hash: u64, took: Option<Duration>) {
         let granted = self
             .queue
@@ -101,7 +100,7 @@
     fn wake(&self, granted: Vec<QueueKey>) {
         for key in granted {
             let waiter = self.waiters.borrow_mut().remove(&key);
-            // A waiter that has just gone frees its slot itself.
+            // A waiter that has just been dropped frees its slot itself.
             if let Some(waiter) = waiter {
                 let _gone = waiter.send(());
             }
@@ -109,7 +108,7 @@
     }
 }
 
-/// The only way in to the backend server beside this node.
+/// Inbound proxy: the only path to the backend server beside this node.
 #[derive(Debug)]
 pub struct InboundProxy {
     pub(super) inner: Rc<InboundState>,
@@ -118,7 +117,7 @@
     pub(super) tracker: RefCell<EndpointTracker>,
     pub(super) broken: BrokenRuns,
     pub(super) crashes: Rc<RefCell<CrashHistory>>,
-    /// Held while a request runs that was running when a backend server crashed.
+    /// Permit to run one of the requests that were running at a crash.
     pub(super) suspect_semaphore: Semaphore,
     pub(super) breaker: RefCell<EndpointBreaker>,
     pub(super) nested_calls: RefCell<NestedCallDetector>,
@@ -126,7 +125,7 @@
 }
 
 impl InboundProxy {
-    /// Makes an inbound proxy that is shut until the backend server reports.
+    /// Creates an inbound proxy that refuses requests until the backend server reports.
     pub fn new(
         settings: InboundSettings,
         headers: HeaderNames,
@@ -160,18 +159,18 @@
         }
     }
 
-    /// Returns the gate, to report to it.
+    /// Returns the tracker of the backend server's starts, which takes the reports.
     pub fn tracker(&self) -> &RefCell<EndpointTracker> {
         &self.tracker
     }
 
-    /// Returns what is known of the backend server's calls.
+    /// Returns the detector of the backend server's nested calls.
     pub const fn nested_calls(&self) -> &RefCell<NestedCallDetector> {
         &self.nested_calls
     }
 
-    /// Whether the backend server has broken so many runs in a row that nothing but
-    /// trials is sent to it.
+    /// Whether the breaker is open. The backend server has broken many runs in a row, and gets
+    /// nothing but trials.
     pub fn is_breaker_open(&self) -> bool {
         self.breaker.borrow().is_open()
     }
@@ -181,15 +180,15 @@
         &self.broken
     }
 
-    /// Takes the number of slots that the backend server reports.
+    /// Sets the number of slots that the backend server reported.
     pub fn set_slots(&self, slots: u32) {
         let now = self.inner.clock.now();
         let granted = self.inner.queue.borrow_mut().set_slots(now, slots);
         self.inner.wake(granted);
     }
 
-    /// Refuses what comes from other nodes, once they have had time to hear
-    /// that this one stops.
+    /// Starts refusing requests of other nodes after [`InboundSettings::leaving_grace`]. In this
+    /// time they learn that this node is stopping.
     pub fn stop(&self) {
         self.stopping_since.set(Some(self.inner.clock.now()));
     }
@@ -201,8 +200,7 @@
         since.is_some_and(|since| now >= since + self.settings.leaving_grace)
     }
 
-    /// Returns the load of the backend server, as whoever asks for runs of
-    /// `route_hash` needs it.
+    /// Returns the load of the backend server, for senders of requests of a route.
     pub fn load(&self, route_hash: u64) -> LoadReport {
         let queue = self.inner.queue.borrow();
         LoadReport {
@@ -214,11 +212,10 @@
         }
     }
 
-    /// Closes the idle connections to the backend server, which belong to a
-    /// start that has ended: what is sent on one is lost, and what must not
-    /// repeat can't be sent again.
+    /// Closes the idle connections to a start of the backend server that has ended. A request sent
+    /// on one of them is lost, and can't be resent unless it is idempotent.
     pub fn close_idle_connections(&self) {
-        // Breaks of the start that has ended say nothing of the next.
+        // Broken runs of the ended start say nothing about the next one.
         self.breaker.borrow_mut().record_response();
         self.inner.endpoint_pool.forget(self.settings.endpoint);
     }
@@ -230,12 +227,12 @@
 
     /// Runs a request at the backend server.
     ///
-    /// Dropping the future withdraws the request from the queue, or closes the
-    /// connection that carries it.
+    /// Dropping the future withdraws the request from the queue, or closes the connection on which
+    /// it runs.
     ///
     /// # Errors
     ///
-    /// Whether it may have run.
+    /// The error says whether the request may have run.
     pub async fn run(
         &self,
         request: InboundRequest,
@@ -245,7 +242,8 @@
         let start = self.admit(&request)?;
         let reservation = self.reserve_link(&request)?;
         let slot = self.wait_for_slot(&request).await?;
-        // A backend server may have crashed meanwhile, or this one begun to leave.
+        // While this request waited, a backend server may have crashed, or this one begun to
+        // leave.
         let _permit = match permit {
             Some(permit) => Some(permit),
             None => self.admit_fingerprint(&request).await?,
@@ -259,7 +257,7 @@
         if let Ok(result) = &response {
             self.record_run(result);
         }
-        let response = response.unwrap_or_else(|_elapsed| broke("no answer in time"))?;
+        let response = response.unwrap_or_else(|_elapsed| broke("no response in time"))?;
         if response.status().is_success() {
             self.crashes.borrow_mut().completed(fingerprint);
         }
@@ -279,7 +277,7 @@
         admitted.or_else(|wait| refused(RefusalReason::EndpointDown, wait))
     }
 
-    /// Tells the breaker how a run ended. A refusal says nothing.
+    /// Tells the breaker how a run ended. A refusal says nothing about the backend server.
     fn record_run(&self, result: &Result<Response<ResponseBody>, InboundError>) {
         let mut breaker = self.breaker.borrow_mut();
         match result {
--- a/crates/node/src/inbound/inbound_refusal.rs
+++ b/crates/node/src/inbound/inbound_refusal.rs
@@ -4,39 +4,40 @@
 
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// Why the inbound proxy refused.
+/// Reason for which the inbound proxy refused a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RefusalReason {
-    /// Nothing is known of a backend server here yet.
+    /// No backend server is known here yet.
     Shut,
     /// The backend server is leaving.
     Leaving,
-    /// Another start of the backend server, or none, is here.
+    /// Another start of the backend server, or none, runs here.
     OtherInstance,
-    /// Every slot is taken, and the request only probed for a free one.
+    /// Every slot is taken, and the request may not wait for one.
     Busy,
-    /// The queue is too long for the time that the request has.
+    /// The queue is too long for the time that the request has left.
     Full,
-    /// The instance's link has more to carry than small answers can wait for.
+    /// The response couldn't arrive in time, because the instance's link is reserved too far
+    /// ahead.
     LinkFull,
     /// The request has crashed backend servers.
     Poisoned,
-    /// The backend server itself refused.
+    /// The backend server itself refused the request.
     EndpointRefused,
-    /// The backend server takes no connection.
+    /// The backend server accepts no connection, or the breaker is open.
     EndpointDown,
     /// This node is stopping.
     Stopping,
 }
 
 impl RefusalReason {
-    /// Whether there was no room, now or soon enough.
+    /// Whether there was no capacity, now or soon enough.
     pub const fn is_full(self) -> bool {
         matches!(self, Self::Busy | Self::Full | Self::LinkFull)
     }
 
-    /// Whether the request came to the backend server, which turned it away.
+    /// Whether the backend server itself refused the request.
     pub const fn reached_endpoint(self) -> bool {
         matches!(self, Self::EndpointRefused)
     }
@@ -45,9 +46,9 @@
 /// Refusal of a request that certainly didn't run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InboundRefusal {
-    /// Reason.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// Time after which room is expected.
+    /// Time after which capacity is expected.
     pub retry_after: Duration,
 }
 
@@ -60,7 +61,7 @@
 impl FromStr for InboundRefusal {
     type Err = strum::ParseError;
 
-    /// Reads what [`Display`](std::fmt::Display) wrote.
+    /// Parses the text that [`Display`](std::fmt::Display) writes.
     ///
     /// # Examples
     ///
--- a/crates/node/src/inbound/inbound_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -9,30 +9,30 @@
 /// A request for the backend server beside this node.
 #[derive(Debug, Clone)]
 pub struct InboundRequest {
-    /// Whether a caller or another node sent it.
+    /// Whether a caller or another node sent the request.
     pub origin: RequestOrigin,
-    /// Method.
+    /// HTTP method of the request.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the request.
     pub uri: Uri,
-    /// Headers, without those that concern one connection only.
+    /// Headers without those that concern one connection only.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body of the request.
     pub body: Bytes,
-    /// Rank of the route.
+    /// Rank of the route; 0 is the most urgent.
     pub rank: u8,
-    /// Hash of the route.
+    /// Hash of the route, by which run times and response sizes are kept.
     pub route_hash: u64,
-    /// Whether it belongs to a run that has begun.
+    /// Whether the request is a nested call of a run that has begun.
     pub nested: bool,
-    /// Whether it may wait for a slot.
+    /// Whether the request may wait for a slot.
     pub may_wait: bool,
-    /// Time by which the answer is of full use.
+    /// Target time: the response is of full use until then.
     pub useful_until: Instant,
-    /// Time at which the caller gets a final answer.
+    /// Time at which the caller gets a final response.
     pub ends_at: Instant,
-    /// Hash by which it is known when it comes again.
+    /// Hash by which the request is recognised when it is sent again.
     pub fingerprint: u64,
-    /// Start of the backend server that the sender picked.
+    /// Instance identifier of the start that the sender picked; `None` accepts any.
     pub instance: Option<String>,
 }
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -1,4 +1,4 @@
-//! The link's part in what the inbound proxy admits.
+//! Reservations of the link for responses of the inbound proxy.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     response_body::SHORT_RESPONSE_MAX_BYTES,
 };
 
-/// Data kept from a request to schedule its answer if that turns out long.
+/// Data kept from a request to schedule its response if that turns out long.
 #[derive(Debug)]
 pub(super) struct UnscheduledResponse {
     /// Identifier of the request, for the log.
@@ -22,8 +22,8 @@
 }
 
 impl InboundProxy {
-    /// Promises the link to a long answer for another node, or refuses the request if the
-    /// answer couldn't arrive in time.
+    /// Reserves the link for a long response to another node. Refuses the request if the response
+    /// couldn't arrive in time.
     pub(super) fn reserve_link(
         &self,
         request: &InboundRequest,
@@ -49,10 +49,10 @@
         }
     }
 
-    /// Schedules on the link an answer for another node that turned out long.
+    /// Schedules on the link a response for another node that turned out long.
     ///
-    /// After a start nobody knows which answers are long. Sent all at once, the first
-    /// ones fill the link for so long that the node seems dead to the others.
+    /// After a start no response sizes are known. If the first long responses were all sent at
+    /// once, they would fill the link for so long that the node seems dead to the others.
     pub(super) fn schedule_long_response(
         &self,
         response: UnscheduledResponse,
@@ -71,7 +71,8 @@
         Some(link.reserve_unchecked(clock, response.id, link_request))
     }
 
-    /// Returns what [`InboundProxy::schedule_long_response`] needs, if another node sent the request.
+    /// Returns what [`InboundProxy::schedule_long_response`] needs, if another node sent the
+    /// request.
     pub(super) fn unscheduled_response(
         &self,
         request: &InboundRequest,
--- a/crates/node/src/inbound/mod.rs
+++ b/crates/node/src/inbound/mod.rs
@@ -1,10 +1,10 @@
-//! The only way in to the backend server beside this node.
+//! Inbound proxy in front of the backend server beside this node.
 //!
-//! Whether it lives, which start of it, whether it is leaving and what it has
-//! room for are decided here with certainty, whatever other nodes still
-//! believe. [`EndpointTracker`] holds the first three, [`AdmissionQueue`] the last,
-//! and [`EndpointBreaker`] whether runs end at all; none does I/O. [`InboundProxy`] joins
-//! them to the connections.
+//! The inbound proxy decides authoritatively whether the backend server is alive, which start of
+//! it runs, whether it is leaving and whether it has capacity, whatever other nodes still believe.
+//! [`EndpointTracker`] tracks the start and its state, [`AdmissionQueue`] the capacity, and
+//! [`EndpointBreaker`] whether runs complete at all. None of these does I/O; [`InboundProxy`]
+//! connects them to the connections.
 
 mod admission_queue;
 mod crash_admission;
--- a/crates/node/src/inbound/nested_call_detector.rs
+++ b/crates/node/src/inbound/nested_call_detector.rs
@@ -1,4 +1,4 @@
-//! Which requests the backend server makes while it runs others.
+//! Detection of the requests that the backend server makes while it runs others.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -7,21 +7,21 @@
 
 use crate::member::MovingMean;
 
-/// Time within which a run fails after a call of its own was turned away.
+/// Time within which a run fails after one of its nested calls was refused.
 const FAILURE_WINDOW: Duration = Duration::from_millis(3);
-/// Weight of one request turned away in the share of those that a failed run
-/// followed: five or six tell.
+/// Weight of one refused request in the failure share of its route. Five or six refusals are
+/// enough to tell.
 const SHARE_WEIGHT: f64 = 0.2;
-/// Share from which on a class counts as calls. Some requests of callers are followed by
-/// a failed run by chance.
+/// Share from which on the requests of a route count as nested calls. A failed run follows some
+/// callers' requests by chance.
 const NESTED_SHARE_MIN: f64 = 0.5;
-/// Requests turned away before a class is believed to be calls.
+/// Number of refused requests before a route can be taken for nested calls.
 const REJECTIONS_MIN: u32 = 3;
-/// Requests turned away that are looked at together: far more than come within
-/// the time.
+/// Bound on the number of refused requests under evaluation. Far fewer are refused within
+/// [`FAILURE_WINDOW`].
 const PENDING_MAX: usize = 64;
 
-/// A request turned away a moment ago.
+/// A request that was refused within the last [`FAILURE_WINDOW`].
 #[derive(Debug, Clone, Copy)]
 struct RejectedRequest {
     at: Duration,
@@ -41,13 +41,13 @@
     }
 }
 
-/// Which requests the backend server beside this node makes while it runs others.
+/// Detects which requests the local backend server makes while it runs others.
 ///
-/// A run whose call is turned away fails, and its slot was held for nothing, so calls
-/// must go before requests that haven't begun. Callers and backend servers send to the
-/// same port from the same address, and nothing on the wire tells a call. A run whose
-/// call was turned away fails at once: a class of requests of which most that are turned
-/// away are followed by a failed run is one of calls.
+/// A run whose nested call is refused fails, and its slot was occupied for nothing, so nested
+/// calls must go before new requests. Callers and backend servers send to the same port from the
+/// same address, and nothing on the wire identifies a nested call. But a run whose nested call was
+/// refused fails at once: if a failed run follows most refusals of a route, its requests are
+/// nested calls.
 #[derive(Debug, Default)]
 pub struct NestedCallDetector {
     pending: VecDeque<RejectedRequest>,
@@ -56,8 +56,8 @@
 }
 
 impl NestedCallDetector {
-    /// Notes that a request of `route_hash`, sent on this machine, got no answer, and
-    /// returns a class that has been found to be calls since.
+    /// Records that a request from this machine got no response. Returns a route that has been
+    /// found to carry nested calls since the last call of this method.
     pub fn request_failed(&mut self, now: Duration, route_hash: u64) -> Option<u64> {
         self.evaluate_pending(now);
         if self.pending.len() < PENDING_MAX {
@@ -70,7 +70,7 @@
         self.newly_detected.take()
     }
 
-    /// Notes that a run of the backend server failed.
+    /// Records that a run of the backend server failed.
     pub fn run_failed(&mut self, now: Duration) {
         self.evaluate_pending(now);
         let last = self
@@ -83,8 +83,7 @@
         }
     }
 
-    /// Whether requests of `route_hash`, sent on this machine, are calls of its
-    /// backend server.
+    /// Whether requests of a route from this machine are nested calls.
     ///
     /// # Examples
     ///
@@ -106,7 +105,7 @@
             .is_some_and(FailureShare::is_nested_call)
     }
 
-    /// Judges what was turned away long enough ago.
+    /// Evaluates the refused requests whose [`FAILURE_WINDOW`] has passed.
     fn evaluate_pending(&mut self, now: Duration) {
         while let Some(rejected) = self.pending.front().copied() {
             if now <= rejected.at + FAILURE_WINDOW {
--- a/crates/node/src/inbound/route_statistics.rs
+++ b/crates/node/src/inbound/route_statistics.rs
@@ -1,34 +1,34 @@
-//! What is known of each class of requests at one inbound proxy.
+//! Run times, served shares and waits of each route at one inbound proxy.
 
 use std::{collections::HashMap, time::Duration};
 
 use crate::member::MovingMean;
 
-/// Weight of one run in the mean service time.
+/// Weight of one run in the mean run time.
 const RUN_TIME_WEIGHT: f64 = 0.05;
-/// Weight of one verdict in the served share of a class: it follows a change
-/// of the load within some thirty verdicts, less than a second when busy.
+/// Weight of one decision in the served share of a route. The share follows a change of load
+/// within some thirty decisions, which takes less than a second under load.
 const SERVED_WEIGHT: f64 = 0.03;
-/// Verdicts from which on a served share is compared with others. By fewer a seldom used
-/// route looks far ahead after one request that was served.
+/// Number of decisions from which on a served share is compared with others. With fewer, a seldom
+/// used route looks far ahead after one request that was served.
 const DECISIONS_MIN: u32 = 10;
-/// Lead in the served share that a class may have over one of its rank or above. Requests
-/// with several calls need all of them served, so equal shares would leave them behind.
+/// Largest lead of a route's served share over one of its rank or above. Equal shares would leave
+/// behind requests with several nested calls, which need all of them served.
 const LEAD_MAX: f64 = 0.1;
-/// Time after its last offer for which a class is compared with others.
+/// Time after its last request for which a route is compared with others.
 const ACTIVE_TIME: Duration = Duration::from_secs(1);
 
-/// Weight of one wait in the measured pace of the queue: it follows a burst of
-/// more urgent work within ten or twenty jobs.
+/// Weight of one wait in the wait ratio of a route. The ratio follows a burst of more urgent
+/// requests within ten or twenty requests.
 const WAIT_RATIO_WEIGHT: f64 = 0.1;
-/// Weight by which the pace goes back to the planned one with each job that is
-/// refused for it: without jobs that wait it isn't measured.
+/// Weight by which each refusal moves the wait ratio back towards 1. Without requests that wait,
+/// no new wait updates the ratio.
 const WAIT_RATIO_RECOVERY_WEIGHT: f64 = 0.01;
-/// Bounds of the measured pace, in planned waits. Beyond them a single wait,
-/// planned as a millisecond, would say more than the others together.
+/// Bounds of the wait ratio. Without them a single request whose expected wait was a millisecond
+/// would outweigh all others together.
 const WAIT_RATIO_BOUNDS: std::ops::RangeInclusive<f64> = 0.25..=16.0;
 
-/// Class of requests, with its rank.
+/// A route with its rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct RankedRoute {
     pub(super) rank: u8,
@@ -40,17 +40,17 @@
     rank: u8,
     run_time: MovingMean,
     served: MovingMean,
-    /// Verdicts that the served share rests on.
+    /// Number of decisions behind the served share.
     decisions: u32,
-    /// Waits in planned ones, of jobs that can be in time.
+    /// Ratio of actual to planned wait, for requests that can be in time.
     wait_ratio: MovingMean,
-    /// The same of those that can't.
+    /// Ratio of actual to planned wait, for requests that are late already.
     late_wait_ratio: MovingMean,
     last_request_at: Duration,
 }
 
 impl RouteRecord {
-    /// Returns the served share, once it rests on enough verdicts.
+    /// Returns the served share, once enough decisions support it.
     fn served_share(&self) -> Option<f64> {
         self.served
             .get()
@@ -58,13 +58,11 @@
     }
 }
 
-/// What is known of each class of requests at one inbound proxy: how long they run and what share
-/// of them is served.
+/// Run times, served shares and waits of each route at one inbound proxy.
 ///
-/// When two classes of one rank share a full backend server, an order by target times
-/// serves the class with short targets whole, and the other takes the whole of the
-/// shortage. Served shares are compared so that no class gets far ahead of one of its
-/// rank or above.
+/// When two routes of one rank share a full backend server, an order by target time alone serves
+/// the route with short targets completely, and the other bears the whole shortage. The served
+/// shares are compared so that no route gets far ahead of one of its rank or above.
 #[derive(Debug, Default)]
 pub(super) struct RouteStatistics {
     records: HashMap<u64, RouteRecord>,
@@ -72,25 +70,25 @@
 }
 
 impl RouteStatistics {
-    /// Notes an offer.
+    /// Records the arrival of a request.
     pub(super) fn record_request(&mut self, now: Duration, route: RankedRoute) {
         let record = self.records.entry(route.route_hash).or_default();
         record.rank = route.rank;
         record.last_request_at = now;
     }
 
-    /// Notes whether an offer got a slot.
+    /// Records whether a request got a slot.
     pub(super) fn record_decision(&mut self, route: RankedRoute, served: bool) {
         if let Some(record) = self.records.get_mut(&route.route_hash) {
             let served = f64::from(u8::from(served));
             record.decisions = record.decisions.saturating_add(1);
-            // The first verdicts count alike, not the very first for most.
+            // Weighs the first decisions equally, so that the very first doesn't dominate.
             let weight = SERVED_WEIGHT.max(1.0 / f64::from(record.decisions));
             record.served.observe(served, weight);
         }
     }
 
-    /// Notes how long a job waited, beside what was planned.
+    /// Records how long a request waited, relative to the planned wait.
     pub(super) fn record_wait(
         &mut self,
         route: RankedRoute,
@@ -108,7 +106,7 @@
             .observe(wait_ratio, WAIT_RATIO_WEIGHT);
     }
 
-    /// Notes that a job was refused.
+    /// Records that a request was refused on arrival.
     pub(super) fn record_refusal(&mut self, route: RankedRoute, late: bool) {
         let wait_ratio = self.wait_ratio_mut(route, late);
         if wait_ratio.get().is_some() {
@@ -116,7 +114,7 @@
         }
     }
 
-    /// Returns how long a wait really takes that is planned so.
+    /// Returns the wait to expect for a planned wait.
     pub(super) fn expected_wait(
         &mut self,
         route: RankedRoute,
@@ -135,7 +133,7 @@
         }
     }
 
-    /// Notes a whole run.
+    /// Records the time of a complete run.
     pub(super) fn record_run(&mut self, route_hash: u64, took: Duration) {
         let seconds = took.as_secs_f64();
         self.overall_run_time.observe(seconds, RUN_TIME_WEIGHT);
@@ -144,12 +142,12 @@
         }
     }
 
-    /// Returns the mean time of a run; zero while unknown.
+    /// Returns the mean run time over all routes; zero while unknown.
     pub(super) fn mean_run_time(&self) -> Duration {
         Duration::from_secs_f64(self.overall_run_time.get().unwrap_or(0.0))
     }
 
-    /// Returns the mean time of a run of one class.
+    /// Returns the mean run time of one route, or of all routes while unknown.
     pub(super) fn mean_run_time_of(&self, route: RankedRoute) -> Duration {
         let known = self
             .records
@@ -158,8 +156,8 @@
         known.map_or_else(|| self.mean_run_time(), Duration::from_secs_f64)
     }
 
-    /// Whether a class is served clearly more often than another of its rank
-    /// or above that wants to be served, too.
+    /// Whether the served share of a route is clearly above that of a competitor. Competitors are
+    /// the other routes of its rank or above that had a request within [`ACTIVE_TIME`].
     pub(super) fn is_ahead(&self, now: Duration, route: RankedRoute) -> bool {
         let Some(own) = self
             .records
--- a/crates/node/src/inbound/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -7,12 +7,12 @@
 use super::inbound_proxy::InboundState;
 use crate::transport::PooledSender;
 
-/// A slot of the backend server, held by one request until its answer is made.
+/// A slot of the backend server, held by one request until its response is ready.
 ///
-/// A long answer is made once its head is there: what remains is the link's
-/// work, and the slot is free for the next request. Dropped early, it counts as
-/// cut short. The connection is held until the answer ends; dropped before, it
-/// is closed, which cancels the run.
+/// A long response is ready once its head has arrived: only its transfer on the link remains, and
+/// the slot is free for the next request. A slot that is dropped before counts as a run cut short.
+/// The connection is held until the end of the response; dropping it earlier closes it, which
+/// cancels the run.
 #[derive(Debug)]
 pub struct RunSlot {
     inner: Rc<InboundState>,
@@ -37,7 +37,7 @@
         self.sender = Some(sender);
     }
 
-    /// Gives the slot back: the answer is made.
+    /// Frees the slot once the response is ready; further calls do nothing.
     pub fn release(&mut self) {
         if !std::mem::replace(&mut self.released, true) {
             self.inner
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Gives slot and connection back after a whole answer.
+    /// Frees the slot and returns the connection to the pool after a complete response.
     pub fn complete(mut self) {
         if let Some(sender) = self.sender.take() {
             self.inner.endpoint_pool.give_back(sender);
--- a/crates/node/src/inbound/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -10,7 +10,7 @@
     inbound_proxy::{InboundState, RETRY_OTHER_NODE_AFTER, refused},
 };
 
-/// A place in the queue; dropped early, it is given up.
+/// Position in the admission queue, withdrawn when dropped before it is settled.
 struct QueuePlace<'a> {
     inner: &'a Rc<InboundState>,
     key: QueueKey,
@@ -26,7 +26,7 @@
         }
         let waited = self.inner.queue.borrow_mut().withdraw(self.key);
         if !waited {
-            // Granted in the moment in which the caller left.
+            // The slot was granted just as the caller left.
             self.inner.finish(self.route_hash, None);
         }
     }
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// When there is none soon enough for the request.
+    /// Fails if no slot is free soon enough for the request.
     pub(super) async fn wait_for_slot(
         &self,
         request: &InboundRequest,
@@ -74,7 +74,7 @@
             place.settled = true;
             return Ok(RunSlot::new(Rc::clone(&self.inner), route_hash));
         }
-        // When it was granted in this very moment, the place frees the slot.
+        // If a slot was granted just now, dropping the place frees it.
         place.settled = self.inner.queue.borrow_mut().expire(key);
         drop(place);
         let retry_after = self.inner.queue.borrow().wait();
--- a/crates/node/src/link/link_reporter.rs
+++ b/crates/node/src/link/link_reporter.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of the link.
+//! Log events and metrics of the link.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 }
 
 impl LinkCounters {
-    /// Registers them.
+    /// Registers the counters.
     pub fn new(meter: &Meter) -> Self {
         Self {
             bytes: meter.u64_counter("geranium_link_bytes").build(),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Logs and counts what the link carries.
+/// Logs and counts what the link transmits.
 #[derive(Debug, Clone)]
 pub struct LinkReporter {
     log: EventLog,
@@ -42,12 +42,12 @@
 }
 
 impl LinkReporter {
-    /// Makes the notes of a node's link.
+    /// Creates the reporter of a node's link.
     pub const fn new(log: EventLog, counters: LinkCounters) -> Self {
         Self { log, counters }
     }
 
-    /// Records what became of a long answer.
+    /// Logs how the transfer of a long response ended.
     pub fn record_transfer_end(&self, now: Duration, transfer: &TransferRecord) {
         let outcome = transfer.outcome();
         if let Some(log) = self.log.for_request(now, "long answer") {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Counts what the link carried, and logs it when it was asked for long answers.
+    /// Counts what the link transmitted, and logs it if long responses were requested.
     pub fn record_usage(&self, usage: &LinkUsage, time: Duration, rate: f64, backlog: Duration) {
         for &traffic in LinkTraffic::VARIANTS {
             let label = KeyValue::new("use", <&'static str>::from(traffic));
--- a/crates/node/src/link/link_reservation.rs
+++ b/crates/node/src/link/link_reservation.rs
@@ -1,4 +1,4 @@
-//! The promise of the link to one long answer.
+//! Reservation of the link for one long response.
 
 use std::{
     pin::Pin,
@@ -11,7 +11,7 @@
 use super::{LinkScheduler, LinkTurn, TransferKey, TransferRecord};
 use crate::node_clock::NodeClock;
 
-/// The promise of the link to one long answer; taken back when dropped.
+/// Reservation of the link for one long response; withdrawn when dropped.
 #[derive(Debug)]
 pub struct LinkReservation {
     scheduler: Rc<LinkScheduler>,
@@ -22,7 +22,7 @@
 }
 
 impl LinkReservation {
-    /// Holds a promise that the schedule made.
+    /// Wraps a reservation that the schedule made.
     pub(super) fn new(
         scheduler: &Rc<LinkScheduler>,
         clock: NodeClock,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes in that the answer is made, and its bytes if its head told them.
+    /// Records that the response is ready, and its size if the head gives one.
     pub fn response_ready(&mut self, bytes: Option<u64>) {
         self.transfer.response_ready(self.clock.now(), bytes);
         if let Some(bytes) = bytes {
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Ends the promise after the last byte.
+    /// Ends the reservation after the last byte.
     pub fn complete(mut self) {
         self.transfer.is_complete = true;
     }
 
-    /// Waits for the next turn and returns how many bytes it has.
+    /// Waits for the next turn and returns how many bytes to send in it.
     pub fn poll_turn(&mut self, cx: &mut Context<'_>) -> Poll<usize> {
         loop {
             let turn = self.scheduler.schedule().turn(self.clock.now(), self.key);
@@ -65,7 +65,7 @@
                     self.scheduler.remove_waker(self.key);
                     self.key = key;
                     self.transfer.postponed_at = Some(self.clock.now());
-                    // Whoever waited behind it may be first now.
+                    // A transfer that waited behind this one may be first now.
                     self.scheduler.wake_next();
                 }
                 LinkTurn::Later => {
@@ -84,8 +84,7 @@
         }
     }
 
-    /// Notes bytes of the answer that were handed over, and lets the next one
-    /// have its turn.
+    /// Records sent bytes of the response, and wakes the next transfer.
     pub fn record_sent(&mut self, bytes: u64) {
         let now = self.clock.now();
         self.transfer.record_sent(now, bytes);
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -1,118 +1,116 @@
-//! Which long answers are begun, and whose bytes go next.
+//! Schedule of the link: which long responses are started and sent next.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
 };
 
-/// Fraction of the link rate that carries payload: a full TCP segment has 1,448 bytes of
-/// payload in 1,538 bytes on Ethernet.
+/// Fraction of the link rate that carries payload. A full TCP segment has 1,448 bytes of payload
+/// in 1,538 bytes on Ethernet.
 const PAYLOAD_FRACTION: f64 = 0.94;
-/// Bytes a second in a megabit a second.
+/// Bytes per second in one megabit per second.
 const BYTES_PER_MBIT: f64 = 125_000.0;
-/// Time that long answers may fill the link ahead. A short answer waits behind it, and a
+/// Time that long responses may fill the link ahead. A short response waits behind them, and a
 /// timer may fire some milliseconds late.
 const SEND_AHEAD_TIME: Duration = Duration::from_millis(12);
-/// Time that one piece of a long answer fills the link.
+/// Time for which one chunk of a long response occupies the link.
 const CHUNK_TIME: Duration = Duration::from_millis(6);
-/// Bounds of a piece: below a packet or two each costs more to hand over than
-/// to carry, and more than the library reads at a time isn't there.
+/// Bounds of a chunk in bytes. Below a packet or two, handing a chunk over costs more than
+/// transmitting it. Above 64 KiB, more is asked for than the library reads at a time.
 const CHUNK_BYTES: std::ops::RangeInclusive<f64> = 4_096.0..=65_536.0;
-/// Part of the time until an answer is due that is planned with. The rest is for the
-/// way through the other node to the caller, and for runs and lengths that vary.
+/// Fraction of the time until a response is due that is planned with. The rest is for the path
+/// through the other node to the caller, and for variations of run times and sizes.
 const DEADLINE_FRACTION: f64 = 0.85;
-/// Time by which the link may be free later than a late answer is made. Beyond it the
-/// answer would take the place of another that can be in time.
+/// Longest wait for the link of a late response that is ready. Beyond it the response would
+/// displace another that can be in time.
 const LATE_WAIT_MAX: Duration = Duration::from_millis(100);
-/// Least advice on when to come back.
+/// Lower bound of the advised retry delay.
 const RETRY_MIN: Duration = Duration::from_millis(50);
 
-/// A long answer that is promised: by the time when it is due, then in order.
+/// Key of a reserved transfer, ordered by due time, then by order of arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TransferKey {
     due: Duration,
     order: u64,
 }
 
-/// A long answer that wants the link.
+/// A long response for which the link is requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkRequest {
-    /// Its bytes, as far as is known.
+    /// Expected size in bytes.
     pub bytes: u64,
-    /// Time until the backend server has made it.
+    /// Time until the backend server has the response ready.
     pub ready_in: Duration,
-    /// Time by which it is of full use.
+    /// Target time: the response is of full use until then.
     pub useful_until: Duration,
-    /// Time at which its caller gets a final answer.
+    /// Time at which the caller gets a final response.
     pub ends_at: Duration,
 }
 
-/// What becomes of an request.
+/// Decision of the schedule about a link request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkDecision {
-    /// The link is promised to it.
+    /// The link is reserved for the transfer.
     Reserved(TransferKey),
-    /// It can't be there in time.
+    /// The response couldn't arrive in time.
     Refused {
-        /// Time after which it could be.
+        /// Time after which a reservation is possible.
         retry_after: Duration,
     },
 }
 
-/// Whether a long answer may hand on its next piece.
+/// Whether a transfer may send its next chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkTurn {
-    /// It may.
+    /// The transfer may send a chunk now.
     Now,
-    /// It is next, once the link has room.
+    /// The transfer is next, once the link has capacity after this time.
     After(Duration),
-    /// Another one goes first.
+    /// Another transfer goes first.
     Later,
-    /// It can't be in time any more, and goes by this key from now on, behind
-    /// those that can.
+    /// The transfer can't be in time any more. It continues under this key, behind those that can.
     Postponed(TransferKey),
 }
 
-/// What is still to come of a promised answer.
+/// Remaining part of a reserved transfer.
 #[derive(Debug, Clone, Copy)]
 struct ReservedTransfer {
     bytes: f64,
-    /// Time at which its caller gets a final answer.
+    /// Time at which the caller gets a final response.
     ends_at: Duration,
 }
 
-/// Which long answers are begun, and whose bytes go next.
+/// Schedule of the link: which long responses are started and sent next.
 ///
-/// On a narrow link that is asked for more files than it carries, files that share it all
-/// come late, and so do the short answers behind them that calls between backend servers
-/// wait for. Short answers go at once. Long ones take turns, the one that is due first
-/// going first, and fill the link only some milliseconds ahead. A long answer is begun
-/// only if it can be there when it is due, behind everything that is promised; the rest
-/// is refused at once.
+/// On a narrow link that is asked for more files than it can transmit, files that share it equally
+/// all arrive late, and so do the short responses behind them, which calls between backend servers
+/// wait for. Short responses are sent at once. Long ones take turns, the earliest due time first,
+/// and fill the link only some milliseconds ahead. A long response is started only if it can
+/// arrive by its due time behind everything that is reserved; otherwise it is refused at once.
 ///
-/// Room is left for everything that is promised, also for what is due later. Behind what
-/// is due before it alone there is always room on a busy link: each newcomer would put
-/// the earlier ones off, and those end unsent, made in full, when their callers leave.
+/// A new reservation counts all reserved transfers, including those due later. Counting only those
+/// due earlier would always leave capacity on a busy link: each new transfer would delay the
+/// earlier reservations, whose responses end ready but unsent when their callers leave.
 ///
-/// An answer that turns out late gets what the others leave, until its caller's own end
-/// is near. If it went on as the one that is due first, each late one would make the next
-/// late as well. One that comes too late to be in time, as after a refusal, is begun only
-/// where the link would stand idle by the time it is made.
+/// A transfer that turns out late gets the capacity that the others leave, until its caller's
+/// deadline is near. If it kept its place as the earliest due, each late transfer would make the
+/// next one late as well. A request that comes too late to be in time, as after a refusal, is
+/// accepted only if the link would be idle by the time its response is ready.
 #[derive(Debug)]
 pub struct LinkSchedule {
     bytes_per_s: f64,
-    /// Bytes handed over and not carried yet, as of `updated_at`.
+    /// Bytes handed over for sending and not transmitted yet, as of `updated_at`.
     unsent_bytes: f64,
     updated_at: Duration,
-    /// What is still to come of each promised answer.
+    /// Remaining part of each reserved transfer.
     transfers: BTreeMap<TransferKey, ReservedTransfer>,
-    /// Those that want to hand on a piece now.
+    /// Transfers that are ready to send a chunk now.
     waiting: BTreeSet<TransferKey>,
     order: u64,
 }
 
 impl LinkSchedule {
-    /// Makes the schedule of an idle link.
+    /// Creates the schedule of an idle link with a rate in megabits per second.
     pub fn new(link_mbps: f64) -> Self {
         Self {
             bytes_per_s: (link_mbps * BYTES_PER_MBIT * PAYLOAD_FRACTION).max(1.0),
@@ -124,7 +122,7 @@
         }
     }
 
-    /// Promises the link to a long answer, if that can be there in time.
+    /// Reserves the link for a long response, if that can arrive in time.
     ///
     /// # Examples
     ///
@@ -139,10 +137,10 @@
     ///     useful_until: Duration::from_millis(400),
     ///     ends_at: Duration::from_millis(400),
     /// };
-    /// let promised = (0..9).filter(|_| {
+    /// let reserved = (0..9).filter(|_| {
     ///     matches!(link.reserve(Duration::ZERO, request), LinkDecision::Reserved(_))
     /// });
-    /// assert_eq!(promised.count(), 3);
+    /// assert_eq!(reserved.count(), 3);
     /// ```
     pub fn reserve(&mut self, now: Duration, request: LinkRequest) -> LinkDecision {
         if let Some(retry_after) = self.refusal(now, request) {
@@ -156,8 +154,7 @@
         LinkDecision::Reserved(self.reserve_unchecked(request.bytes, due, request.ends_at))
     }
 
-    /// Returns the time after which the link could be promised to an request, if it
-    /// can't be now.
+    /// Returns the time until a reservation is possible, or `None` if it is now.
     pub fn refusal(&self, now: Duration, request: LinkRequest) -> Option<Duration> {
         let free = self.backlog(now);
         let sent_at = now + free.max(request.ready_in) + self.transfer_time(request.bytes as f64);
@@ -171,13 +168,13 @@
         (excess > Duration::ZERO).then_some(excess.max(RETRY_MIN))
     }
 
-    /// Whether an request could be in time on an idle link.
+    /// Whether a response could arrive by its target time on an idle link.
     fn can_be_in_time(&self, now: Duration, request: LinkRequest) -> bool {
         now + request.ready_in + self.transfer_time(request.bytes as f64) <= request.useful_until
     }
 
-    /// Gives a long answer that is there already its turns: nobody knew that it
-    /// would be long, as with the first ones after a start.
+    /// Reserves the link for a long response without checking its capacity. Such a response is
+    /// ready already, and nobody knew that it would be long, as with the first ones after a start.
     pub fn reserve_unchecked(
         &mut self,
         bytes: u64,
@@ -196,14 +193,14 @@
         key
     }
 
-    /// Takes in how many bytes a promised answer really has.
+    /// Sets the remaining bytes of a transfer once its size is known.
     pub fn resize(&mut self, key: TransferKey, bytes: u64) {
         if let Some(transfer) = self.transfers.get_mut(&key) {
             transfer.bytes = bytes as f64;
         }
     }
 
-    /// Asks whether a promised answer may hand on its next piece.
+    /// Returns whether a transfer may send its next chunk.
     pub fn turn(&mut self, now: Duration, key: TransferKey) -> LinkTurn {
         if let Some(later) = self.postponed(now, key) {
             return LinkTurn::Postponed(later);
@@ -220,7 +217,7 @@
         LinkTurn::Now
     }
 
-    /// Puts an answer that can't be in time any more behind those that can.
+    /// Moves a transfer that can't be in time any more behind those that can.
     fn postponed(&mut self, now: Duration, key: TransferKey) -> Option<TransferKey> {
         let transfer = *self.transfers.get(&key)?;
         let late = now + self.transfer_time(transfer.bytes) > key.due;
@@ -231,24 +228,24 @@
         Some(self.insert(transfer.ends_at, transfer))
     }
 
-    /// Returns who is next of those that want to hand on a piece.
+    /// Returns the first of the transfers that are ready to send a chunk.
     pub fn next(&self) -> Option<TransferKey> {
         self.waiting.first().copied()
     }
 
-    /// Returns the bytes of a piece.
+    /// Returns the size of a chunk in bytes.
     pub fn chunk_bytes(&self) -> usize {
         let bytes = CHUNK_TIME.as_secs_f64() * self.bytes_per_s;
         bytes.clamp(*CHUNK_BYTES.start(), *CHUNK_BYTES.end()) as usize
     }
 
-    /// Notes bytes of any answer that were handed over.
+    /// Records sent bytes of any response or request.
     pub fn record_sent(&mut self, now: Duration, bytes: u64) {
         self.unsent_bytes = self.unsent_bytes_at(now) + bytes as f64;
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// Notes bytes of a promised answer that were handed over.
+    /// Records sent bytes of a reserved transfer.
     pub fn record_sent_of(&mut self, now: Duration, key: TransferKey, bytes: u64) {
         if let Some(transfer) = self.transfers.get_mut(&key) {
             transfer.bytes = (transfer.bytes - bytes as f64).max(0.0);
@@ -256,18 +253,18 @@
         self.record_sent(now, bytes);
     }
 
-    /// Takes back a promise, kept or not.
+    /// Removes a reservation, whether its transfer is complete or not.
     pub fn withdraw(&mut self, key: TransferKey) {
         self.transfers.remove(&key);
         self.waiting.remove(&key);
     }
 
-    /// Returns the bytes a second that are planned with.
+    /// Returns the planned payload rate in bytes per second.
     pub const fn bytes_per_s(&self) -> f64 {
         self.bytes_per_s
     }
 
-    /// Returns how long everything that is promised or under way will take.
+    /// Returns how long everything reserved or in progress will take.
     pub fn backlog(&self, now: Duration) -> Duration {
         self.transfer_time(
             self.unsent_bytes_at(now)
@@ -289,7 +286,7 @@
     }
 }
 
-/// Returns the time by which an answer is planned to be there.
+/// Returns the time by which a response is planned to arrive.
 fn due_by(now: Duration, due: Duration) -> Duration {
     now + due.saturating_sub(now).mul_f64(DEADLINE_FRACTION)
 }
--- a/crates/node/src/link/link_scheduler.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -1,4 +1,4 @@
-//! The schedule of the link, shared by the answers under way.
+//! The link's schedule, shared by the responses in progress.
 
 use std::{
     cell::{RefCell, RefMut},
@@ -16,10 +16,10 @@
 };
 use crate::node_clock::NodeClock;
 
-/// Time over which is told what the link carried.
+/// Interval between reports of the link's usage.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The schedule of the link, and who waits for a turn.
+/// The link's schedule, and the tasks that wait for a turn.
 #[derive(Debug)]
 pub struct LinkScheduler {
     schedule: RefCell<LinkSchedule>,
@@ -29,7 +29,7 @@
 }
 
 impl LinkScheduler {
-    /// Makes the line of an idle link.
+    /// Creates the scheduler of an idle link with a rate in megabits per second.
     pub fn new(link_mbps: f64, reporter: LinkReporter) -> Self {
         Self {
             schedule: RefCell::new(LinkSchedule::new(link_mbps)),
@@ -39,16 +39,16 @@
         }
     }
 
-    /// Returns the schedule.
+    /// Borrows the schedule; the borrow must end before the next one.
     pub fn schedule(&self) -> RefMut<'_, LinkSchedule> {
         self.schedule.borrow_mut()
     }
 
-    /// Promises the link to the long answer to a request, if the answer can arrive in time.
+    /// Reserves the link for a long response, if it can arrive in time.
     ///
     /// # Errors
     ///
-    /// Returns the time after which the link could be promised to the answer.
+    /// Returns the time after which a reservation is possible.
     pub fn reserve(
         self: &Rc<Self>,
         clock: NodeClock,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Gives a long answer that is there its turns without asking for room.
+    /// Reserves the link for a long response that is ready, without checking its capacity.
     pub fn reserve_unchecked(
         self: &Rc<Self>,
         clock: NodeClock,
@@ -86,13 +86,13 @@
         LinkReservation::new(self, clock, key, transfer)
     }
 
-    /// Notes bytes that were handed over at once.
+    /// Records bytes that were sent without a reservation.
     pub fn record_sent(&self, now: Duration, traffic: LinkTraffic, bytes: u64) {
         self.schedule().record_sent(now, bytes);
         self.usage.borrow_mut().record_sent(traffic, bytes);
     }
 
-    /// Notes bytes of a promised answer that were handed over.
+    /// Records sent bytes of a reserved transfer.
     pub(super) fn record_sent_of(&self, now: Duration, key: TransferKey, bytes: u64) {
         self.schedule().record_sent_of(now, key, bytes);
         self.usage
@@ -100,13 +100,13 @@
             .record_sent(LinkTraffic::LongAway, bytes);
     }
 
-    /// Notes what became of a promised answer.
+    /// Records how a reserved transfer ended.
     pub(super) fn record_transfer_end(&self, now: Duration, transfer: &TransferRecord) {
         self.usage.borrow_mut().record_outcome(transfer.outcome());
         self.reporter.record_transfer_end(now, transfer);
     }
 
-    /// Tells what the link carried, once a second.
+    /// Reports what the link transmitted, at most once a second.
     pub fn report_usage(&self, now: Duration) {
         let taken = self.usage.borrow_mut().take_after(now, REPORT_INTERVAL);
         if let Some((usage, time)) = taken {
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Keeps whom to wake for a turn.
+    /// Registers the task to wake for a turn.
     pub(super) fn register_waker(&self, key: TransferKey, waker: &Waker) {
         self.wakers.borrow_mut().insert(key, waker.clone());
     }
 
-    /// Wakes who is next: whoever went before has handed on its piece or left.
+    /// Wakes the next transfer after the previous one sent its chunk or ended.
     pub(super) fn wake_next(&self) {
         let next = self.schedule().next();
         let waker = next.and_then(|key| self.wakers.borrow_mut().remove(&key));
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Forgets whom to wake.
+    /// Removes the task to wake.
     pub(super) fn remove_waker(&self, key: TransferKey) {
         self.wakers.borrow_mut().remove(&key);
     }
--- a/crates/node/src/link/link_usage.rs
+++ b/crates/node/src/link/link_usage.rs
@@ -1,4 +1,4 @@
-//! What a link carried in a while, and what became of the long answers.
+//! Usage of a link during one reporting interval.
 
 use std::time::Duration;
 
@@ -6,35 +6,35 @@
 
 use super::{LinkTraffic, TransferOutcome};
 
-/// What a link carried since the last look, and what became of the long answers.
+/// Bytes that a link transmitted since the last report, and outcomes of long responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LinkUsage {
     since: Duration,
     bytes: [u64; LinkTraffic::COUNT],
     outcomes: [u32; TransferOutcome::COUNT],
-    /// Long answers that were promised the link.
+    /// Number of long responses for which the link was reserved.
     pub reserved: u32,
-    /// Long answers that were refused it.
+    /// Number of long responses for which a reservation was refused.
     pub refused: u32,
 }
 
 impl LinkUsage {
-    /// Counts bytes that were handed over.
+    /// Adds sent bytes.
     pub fn record_sent(&mut self, traffic: LinkTraffic, bytes: u64) {
         self.bytes[traffic as usize] += bytes;
     }
 
-    /// Counts a long answer that ended.
+    /// Counts a long response that ended.
     pub fn record_outcome(&mut self, outcome: TransferOutcome) {
         self.outcomes[outcome as usize] += 1;
     }
 
-    /// Returns the bytes for one purpose.
+    /// Returns the bytes of one kind of traffic.
     pub const fn bytes(&self, traffic: LinkTraffic) -> u64 {
         self.bytes[traffic as usize]
     }
 
-    /// Returns the bytes for all purposes.
+    /// Returns the bytes of all kinds of traffic.
     pub fn total_bytes(&self) -> u64 {
         LinkTraffic::VARIANTS
             .iter()
@@ -42,12 +42,13 @@
             .sum()
     }
 
-    /// Returns how many long answers ended so.
+    /// Returns how many long responses had this outcome.
     pub const fn outcomes(&self, outcome: TransferOutcome) -> u32 {
         self.outcomes[outcome as usize]
     }
 
-    /// Takes what was counted for `length` or longer, and begins anew.
+    /// Takes the counts if they cover at least `length`, and starts anew. Returns them with the
+    /// time that they cover.
     ///
     /// # Examples
     ///
--- a/crates/node/src/link/mod.rs
+++ b/crates/node/src/link/mod.rs
@@ -1,10 +1,9 @@
-//! What the instance's link carries, and in which order.
+//! Scheduling of what the instance's network link transmits.
 //!
-//! [`LinkSchedule`] decides, without I/O, which long answers are begun and
-//! whose bytes go next. [`LinkScheduler`] shares it among the answers under way;
-//! each long one holds a [`LinkReservation`] and waits for its turns there. What became
-//! of each stands in its [`TransferRecord`], what the link carried in a [`LinkUsage`];
-//! [`LinkReporter`] logs and counts both.
+//! [`LinkSchedule`] decides, without I/O, which long responses are started and whose bytes are
+//! sent next. [`LinkScheduler`] shares it among the responses in progress. Each long response
+//! holds a [`LinkReservation`] and waits for its turns there. [`TransferRecord`] records one
+//! transfer, and [`LinkUsage`] what the link transmitted; [`LinkReporter`] logs and counts both.
 
 mod link_reporter;
 mod link_reservation;
--- a/crates/node/src/link/transfer_record.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -1,4 +1,4 @@
-//! What became of one long answer that was promised the link.
+//! Record of one long response for which the link was reserved.
 
 use std::time::Duration;
 
@@ -7,49 +7,49 @@
 
 use super::LinkRequest;
 
-/// How a long answer that was promised the link ended.
+/// Outcome of a long response for which the link was reserved.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, Display, EnumCount, IntoStaticStr, VariantArray,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum TransferOutcome {
-    /// All of it was handed over while it was of full use.
+    /// The complete response was sent by its target time.
     InTime,
-    /// All of it was handed over, later.
+    /// The complete response was sent after its target time.
     Late,
-    /// It was made, and broke off before its last byte was handed over.
+    /// The response was ready, but broke off before its last byte was sent.
     Cut,
-    /// It was never made: refused afterwards, failed, or its caller left.
+    /// The response never became ready: its request was refused later, failed, or was cancelled.
     Unmade,
 }
 
-/// What became of one long answer that was promised the link.
+/// Record of one long response for which the link was reserved.
 #[derive(Debug, Clone)]
 pub struct TransferRecord {
     /// Identifier of the request, for the log.
     pub request_id: Option<HeaderValue>,
-    /// When the link was promised.
+    /// Time at which the link was requested.
     pub requested_at: Duration,
-    /// What it was promised for.
+    /// Request for which the link was reserved.
     pub link_request: LinkRequest,
-    /// Real bytes, if its head told them.
+    /// Actual size in bytes; `None` unless the response's head gave one.
     pub bytes: Option<u64>,
-    /// When the answer was made.
+    /// Time at which the response was ready.
     pub response_ready_at: Option<Duration>,
-    /// When its first bytes were handed over.
+    /// Time at which the first bytes were sent.
     pub started_at: Option<Duration>,
-    /// When its last bytes so far were handed over.
+    /// Time at which the most recent bytes were sent.
     pub sent_at: Option<Duration>,
-    /// Bytes handed over so far.
+    /// Number of bytes sent so far.
     pub sent: u64,
-    /// Whether its last byte was handed over.
+    /// Whether the last byte was sent.
     pub is_complete: bool,
-    /// When it was put behind those that can be in time.
+    /// Time at which the transfer was moved behind those that can be in time.
     pub postponed_at: Option<Duration>,
 }
 
 impl TransferRecord {
-    /// Begins with a promise.
+    /// Creates the record of a new reservation.
     pub const fn new(
         request_id: Option<HeaderValue>,
         requested_at: Duration,
@@ -69,20 +69,20 @@
         }
     }
 
-    /// Takes in that the answer was made, and its bytes if its head told them.
+    /// Records that the response is ready, and its size if the head gives one.
     pub fn response_ready(&mut self, now: Duration, bytes: Option<u64>) {
         self.response_ready_at = Some(now);
         self.bytes = bytes;
     }
 
-    /// Takes in that bytes were handed over.
+    /// Records sent bytes.
     pub fn record_sent(&mut self, now: Duration, bytes: u64) {
         self.started_at.get_or_insert(now);
         self.sent_at = Some(now);
         self.sent += bytes;
     }
 
-    /// Returns how it ended, when nothing more comes of it.
+    /// Returns the outcome, given that nothing more is sent.
     pub fn outcome(&self) -> TransferOutcome {
         let in_time = self.sent_at <= Some(self.link_request.useful_until);
         match (self.response_ready_at, self.is_complete) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns the milliseconds from the promise to `at`.
+    /// Returns the milliseconds from the link request to `at`.
     pub fn millis_since_request(&self, at: Option<Duration>) -> Option<u64> {
         at.map(|at| at.saturating_sub(self.requested_at).as_millis() as u64)
     }
--- a/crates/node/tests/all/calls.rs
+++ b/crates/node/tests/all/calls.rs
@@ -1,4 +1,4 @@
-//! Which requests the backend server makes while it runs others.
+//! Detection of the requests that the backend server makes while it runs others.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     Duration::from_micros(micros)
 }
 
-/// Guards against mistaking callers' requests for calls of the backend server.
+/// Guards against mistaking callers' requests for nested calls of the backend server.
 #[test]
 fn nested_calls_are_told_from_refused_caller_requests() {
     let mut detector = NestedCallDetector::default();
@@ -19,15 +19,15 @@
         let now = step * 33_000;
         detector.request_failed(micros(now), CALL);
         detector.run_failed(micros(now + 800));
-        // The callers' refusals drift past the others.
+        // The callers' refusals slowly change their time relative to the failed runs.
         detector.request_failed(micros(now + 5_000 + step * 400), LOOKUP);
     }
     assert!(detector.is_nested_call(CALL));
     assert!(!detector.is_nested_call(LOOKUP));
 }
 
-/// A backend server fails a third of its runs by itself, whatever the others
-/// do, while callers are refused now and then. Nothing is taken for a call.
+/// Guards against taking callers' requests for nested calls when a backend server fails a third of
+/// its runs by itself and some callers are refused.
 #[test]
 fn unrelated_failures_mark_no_route_as_nested_calls() {
     let mut detector = NestedCallDetector::default();
--- a/crates/node/tests/all/gate.rs
+++ b/crates/node/tests/all/gate.rs
@@ -1,4 +1,4 @@
-//! Which start of the backend server lives, and whether it takes work.
+//! Tracking of the backend server's starts, and whether requests are admitted.
 
 use std::time::Duration;
 
@@ -42,8 +42,8 @@
     );
 }
 
-/// A backend server says that it is leaving. A heartbeat from before comes
-/// after that. It must not open the door again; a later one may.
+/// Guards against a heartbeat that is older than the announcement of leaving and undoes it. A
+/// later heartbeat may undo it.
 #[test]
 fn stale_reports_do_not_undo_leaving() {
     let mut tracker = EndpointTracker::default();
@@ -59,7 +59,7 @@
     assert_eq!(
         refusal(&tracker, at(30), "i-1"),
         None,
-        "the news are still on their way"
+        "the announcement is still reaching the other nodes"
     );
     assert_eq!(
         refusal(&tracker, at(900), "i-1"),
@@ -74,7 +74,7 @@
     assert_eq!(refusal(&tracker, at(1_000), "i-1"), None);
 }
 
-/// A farewell is for good: no heartbeat of that start brings it back.
+/// Guards against a heartbeat that readmits requests to a start that has deregistered.
 #[test]
 fn a_deregistration_is_final() {
     let mut tracker = EndpointTracker::default();
@@ -88,8 +88,8 @@
     assert!(!tracker.deregister(at(30), start("i-0"), TODAY));
 }
 
-/// A heartbeat held up by a cut arrives after its sender has crashed and the
-/// next start has reported.
+/// Guards against adopting a crashed start because its delayed heartbeat arrives after the next
+/// start has reported.
 #[test]
 fn an_ended_start_stays_ended() {
     let mut tracker = EndpointTracker::default();
@@ -105,7 +105,7 @@
     assert_eq!(refusal(&tracker, at(30), "i-2"), None);
 }
 
-/// Guards against an earlier start's late heartbeat that shuts the door to the live start for good.
+/// Guards against a late heartbeat of an earlier start that blocks the running start for good.
 #[test]
 fn the_backend_server_has_the_last_word() {
     let mut tracker = EndpointTracker::default();
@@ -127,8 +127,8 @@
     );
 }
 
-/// A restarted node finds its own announcement: one that was leaving binds it,
-/// one that was ready is believed when it reports.
+/// Guards against a restarted node that forgets that it announced its backend server as leaving. A
+/// ready start is accepted only when it reports.
 #[test]
 fn only_a_leaving_record_is_restored() {
     let record = |state| MemberRecord {
@@ -140,7 +140,7 @@
     tracker.restore(at(0), &record(MemberState::Ready));
     assert_eq!(refusal(&tracker, at(0), "i-1"), Some(RefusalReason::Shut));
     tracker.restore(at(0), &record(MemberState::Leaving));
-    // Since when it has been leaving isn't known: no time is left.
+    // The time at which it began to leave isn't known, so no grace time is left.
     assert_eq!(
         refusal(&tracker, at(5), "i-1"),
         Some(RefusalReason::Leaving)
@@ -152,7 +152,7 @@
     );
 }
 
-/// Guards against a restarted node that takes work for a server first heard of as leaving.
+/// Guards against a restarted node that admits requests to a start first reported as leaving.
 #[test]
 fn one_first_heard_of_as_leaving_takes_no_work() {
     let mut tracker = EndpointTracker::default();
@@ -183,7 +183,7 @@
     assert_eq!(refusal(&tracker, at(9_000), "i-1"), None);
 }
 
-/// Guards against a crashed start's delayed heartbeat that shuts the door to the next start.
+/// Guards against a crashed start's delayed heartbeat that blocks the next start.
 #[test]
 fn a_late_heartbeat_of_the_same_identifier_changes_nothing() {
     let mut tracker = EndpointTracker::default();
@@ -195,7 +195,7 @@
     assert_eq!(refusal(&tracker, at(12_000), "i-1"), None);
 }
 
-/// Guards against a repeated farewell that ends the next start of the same identifier.
+/// Guards against a repeated deregistration that ends the next start of the same identifier.
 #[test]
 fn a_deregistration_ends_one_start_of_an_identifier() {
     let mut tracker = EndpointTracker::default();
@@ -207,7 +207,7 @@
     assert_eq!(refusal(&tracker, at(12_000), "i-1"), None);
 }
 
-/// Guards against reopening the door to a start that has said farewell.
+/// Guards against readmitting requests to a start that has deregistered.
 #[test]
 fn a_deregistration_without_a_start_time_ends_earlier_starts() {
     let mut tracker = EndpointTracker::default();
@@ -219,7 +219,8 @@
     assert_eq!(refusal(&tracker, at(901), "i-1"), None);
 }
 
-/// Guards against an earlier start, heard of first after a restart, that shuts out the live one.
+/// Guards against an earlier start that reports first after a restart and blocks the running
+/// start.
 #[test]
 fn the_later_start_is_kept_whichever_reports_first() {
     let mut tracker = EndpointTracker::default();
@@ -233,8 +234,8 @@
     assert_eq!(refusal(&tracker, at(30), "i-1"), None);
 }
 
-/// A heartbeat under the identifier of the backend server that lives names
-/// another service. It isn't its own, whatever its number.
+/// Guards against accepting a heartbeat that has the current start's identifier but names another
+/// service, whatever its sequence number.
 #[test]
 fn a_start_keeps_its_service() {
     let mut tracker = EndpointTracker::default();
--- a/crates/node/tests/all/link.rs
+++ b/crates/node/tests/all/link.rs
@@ -1,10 +1,10 @@
-//! Which long answers are begun, and whose bytes go next.
+//! Schedule of the link: which long responses are started and sent next.
 
 use std::time::Duration;
 
 use geranium_node::link::{LinkDecision, LinkRequest, LinkSchedule, LinkTurn, TransferKey};
 
-/// Link rate with 940 bytes of payload a millisecond.
+/// Link rate that carries 940 bytes of payload per millisecond.
 const LINK_MBPS: f64 = 8.0;
 const FILE: u64 = 94_000;
 
@@ -12,7 +12,7 @@
     Duration::from_millis(millis)
 }
 
-/// A file that is made in 100 ms and due at `due`.
+/// Returns a request for a file that is ready in 100 ms and due at `due`.
 fn request(due: u64) -> LinkRequest {
     LinkRequest {
         bytes: FILE,
@@ -33,7 +33,7 @@
     matches!(decision, LinkDecision::Refused { .. })
 }
 
-/// Guards against promising more long answers than the link can deliver in time.
+/// Guards against reserving the link for more long responses than it can deliver in time.
 #[test]
 fn transfers_that_cannot_be_in_time_are_refused() {
     let mut link = LinkSchedule::new(LINK_MBPS);
@@ -41,7 +41,7 @@
         .map(|_| expect_reserved(link.reserve(at(0), request(800))))
         .collect();
     let LinkDecision::Refused { retry_after } = link.reserve(at(0), request(800)) else {
-        panic!("a seventh can't be there in time");
+        panic!("a seventh file can't arrive in time");
     };
     assert!(
         retry_after >= at(30) && retry_after <= at(100),
@@ -51,7 +51,7 @@
     expect_reserved(link.reserve(at(0), request(800)));
 }
 
-/// Guards against promising the same link capacity twice before the answers are sent.
+/// Guards against reserving the same capacity twice before the responses are sent.
 #[test]
 fn reservations_count_until_sent_or_withdrawn() {
     let mut link = LinkSchedule::new(LINK_MBPS);
@@ -67,7 +67,7 @@
     assert!(link.backlog(at(1_200)) < at(1));
 }
 
-/// Guards against planning with the usual length after the real length is known.
+/// Guards against planning with the expected size after the actual size is known.
 #[test]
 fn the_real_length_counts_once_it_is_known() {
     let mut link = LinkSchedule::new(LINK_MBPS);
@@ -78,7 +78,8 @@
     expect_reserved(link.reserve(at(0), request(2_000)));
 }
 
-/// Guards against sending the answer that is due later first, or sending too far ahead of the link.
+/// Guards against sending the response that is due later first, or sending too far ahead of the
+/// link.
 #[test]
 fn the_response_due_first_is_sent_first() {
     let mut link = LinkSchedule::new(LINK_MBPS);
@@ -102,10 +103,10 @@
     }
     link.withdraw(first);
     assert_eq!(link.next(), Some(later));
-    assert!(now > at(170), "the file went out within {now:?}");
+    assert!(now > at(170), "the file was sent within {now:?}");
 }
 
-/// Guards against late answers that displace those that can still be in time.
+/// Guards against late responses that displace those that can still be in time.
 #[test]
 fn late_transfers_use_only_spare_capacity() {
     let mut link = LinkSchedule::new(LINK_MBPS);
@@ -118,7 +119,7 @@
     assert!(is_refused(link.reserve(at(700), request(800))));
 }
 
-/// Guards against answers of unknown length that fill the link all at once after a restart.
+/// Guards against responses of unknown size that fill the link all at once after a restart.
 #[test]
 fn transfers_of_unknown_length_take_turns() {
     let mut link = LinkSchedule::new(LINK_MBPS);
@@ -128,7 +129,7 @@
     assert!(link.backlog(at(0)) >= at(1_000));
     assert!(
         is_refused(link.reserve(at(0), request(800))),
-        "more can't be in time"
+        "no further file can arrive in time"
     );
     let started: Vec<TransferKey> = keys
         .into_iter()
@@ -141,10 +142,14 @@
             now
         })
         .collect();
-    assert!(started.len() <= 3, "{} hand on at once", started.len());
+    assert!(
+        started.len() <= 3,
+        "{} files are sent at once",
+        started.len()
+    );
 }
 
-/// Guards against one late answer that delays each answer after it.
+/// Guards against one late response that delays each response after it.
 #[test]
 fn a_late_file_makes_no_other_late() {
     let mut link = LinkSchedule::new(LINK_MBPS);
@@ -152,7 +157,7 @@
     let second = expect_reserved(link.reserve(at(0), request(600)));
     let third = expect_reserved(link.reserve(at(0), request(800)));
     let LinkTurn::Postponed(postponed) = link.turn(at(390), late) else {
-        panic!("it can't be there by 400 ms");
+        panic!("the file can't arrive by 400 ms");
     };
     for (now, key) in [(at(390), second), (at(490), third)] {
         assert_eq!(link.turn(now, key), LinkTurn::Now);
@@ -161,5 +166,5 @@
     }
     assert_eq!(link.turn(at(600), postponed), LinkTurn::Now);
     let next = expect_reserved(link.reserve(at(1_250), request(2_400)));
-    assert!(postponed < next, "its caller's end is nearer");
+    assert!(postponed < next, "its caller's deadline is nearer");
 }
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -1,4 +1,4 @@
-//! The schedule of a link under load, by what callers get.
+//! Simulation of a link's schedule under load, by the outcomes of its callers.
 
 use std::time::Duration;
 
@@ -9,37 +9,37 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 const LINK_MBPS: f64 = 25.5;
-/// Bytes a second that the link carries, headers of packets among them.
+/// Rate of the link in bytes per second, packet headers included.
 const LINK_RATE: f64 = LINK_MBPS * 125_000.0;
-/// Bytes on the link for each byte that is sent: headers of packets.
+/// Bytes on the link for each byte of payload, because of packet headers.
 const PACKET_FACTOR: f64 = 1.03;
-/// Files of this mean, most of them shorter: nine to twelve a second fill the link.
+/// Mean file size. Most files are smaller; nine to twelve per second fill the link.
 const FILE_BYTES: f64 = 280_000.0;
 const FILE_SPREAD: f64 = 0.6;
 const RUN: Duration = Duration::from_millis(110);
 const TARGET: Duration = Duration::from_millis(600);
-/// How long callers wait: no two alike.
+/// Range of the callers' timeouts in milliseconds; no two callers wait equally long.
 const CALLER_TIMEOUT_MS: std::ops::Range<u64> = 3_400..4_000;
 /// Attempts that a caller makes when it is refused.
 const ATTEMPTS: u32 = 3;
-/// Least time until a refused caller asks again: the front refuses by itself for as
-/// long as the last refusal of a door says, and callers take their time.
+/// Shortest time until a refused caller tries again. Outbound proxies refuse requests themselves
+/// for as long as the last refusal of an inbound proxy says, and callers take their time.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Bytes of a refusal, of an answer's head, and of a request to another node.
+/// Bytes of a refusal, of a response's head, and of a request to another node.
 const HEAD_BYTES: u64 = 300;
-/// Short answers and requests of the machine's own callers, and calls, a second.
+/// Short responses, requests of the instance's own callers, and calls, per second.
 const SHORT_PER_S: f64 = 400.0;
 const STEP: Duration = Duration::from_millis(1);
 const LENGTH: Duration = Duration::from_secs(60);
 
-/// What the node goes by.
+/// What the node takes into account when it schedules the link.
 #[derive(Debug, Clone, Copy)]
 struct NodeAccounting {
-    /// Whether heads and requests count on the link.
+    /// Whether heads and requests count as link traffic.
     counts_heads: bool,
-    /// Whether a caller that comes again is known.
+    /// Whether a caller that retries is recognised.
     knows_resends: bool,
-    /// Whether answers to callers on the instance are left out of the link count.
+    /// Whether responses to callers on the instance are excluded from the link traffic.
     excludes_local: bool,
 }
 
@@ -49,17 +49,17 @@
     excludes_local: true,
 };
 
-/// What callers got.
+/// Outcomes of the callers' requests.
 #[derive(Debug, Clone, Copy, Default)]
 struct LoadResult {
     requested: u32,
     refused: u32,
-    /// There by the target, from the caller's first attempt on.
+    /// Files received by the target time, counted from the caller's first attempt.
     in_time: u32,
     late: u32,
-    /// Reserved, and not whole when their callers left.
+    /// Files with a reservation that were incomplete when their callers left.
     cut: u32,
-    /// Longest time for which bytes waited at the real link.
+    /// Longest time for which bytes waited at the simulated link.
     longest_queue: Duration,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// A caller that wants one file.
+/// A caller that requests one file.
 #[derive(Debug, Clone, Copy)]
 struct Caller {
     fingerprint: u64,
@@ -83,7 +83,7 @@
     next_attempt_at: Duration,
 }
 
-/// A file that is promised the link.
+/// A file for which the link is reserved.
 #[derive(Debug, Clone, Copy)]
 struct File {
     key: TransferKey,
@@ -93,15 +93,15 @@
     caller: Caller,
 }
 
-/// A link that is asked for files.
+/// Simulation of a link that is asked for files.
 struct LinkLoadSimulation {
     accounting: NodeAccounting,
     link: LinkSchedule,
-    /// Bytes that wait at the real link.
+    /// Bytes that wait at the simulated link.
     queue: f64,
     resends: ResendTracker,
     per_second: f64,
-    /// Files for callers on the instance, a second.
+    /// Files for callers on the instance, per second.
     local_per_s: f64,
     rng: StdRng,
     callers: Vec<Caller>,
@@ -219,14 +219,14 @@
         });
     }
 
-    /// Draws a length: its logarithm is normal.
+    /// Draws a file size from a log-normal distribution.
     fn length(&mut self) -> u64 {
         let normal = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
         let median = FILE_BYTES / (FILE_SPREAD * FILE_SPREAD / 2.0).exp();
         (median * (normal * FILE_SPREAD).exp()) as u64
     }
 
-    /// Sends a head, whether the schedule knows of it or not.
+    /// Sends a head, whether or not the schedule counts it.
     fn send_head(&mut self, now: Duration) {
         self.queue += HEAD_BYTES as f64 * PACKET_FACTOR;
         if self.accounting.counts_heads {
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Lets every file that is made hand on what its turns allow.
+    /// Lets every file that is ready send what its turns allow.
     fn send(&mut self, now: Duration) {
         let mut progressed = true;
         while progressed {
@@ -284,7 +284,8 @@
         }
     }
 
-    /// Ends the files that were handed over: what waits at the link goes before them.
+    /// Ends the transfers whose bytes are all sent. Bytes that wait at the link arrive before
+    /// them.
     fn finish_transfers(&mut self, now: Duration) {
         let received_at = now + Duration::from_secs_f64(self.queue / LINK_RATE);
         for file in self.files.extract_if(.., |file| file.left == 0) {
@@ -303,7 +304,7 @@
     }
 }
 
-/// Guards against later promises that displace earlier ones until their callers leave.
+/// Guards against later reservations that displace earlier ones until their callers leave.
 #[test]
 fn promised_files_are_sent() {
     let result = LinkLoadSimulation::new(40.0, FULL_ACCOUNTING).simulate();
@@ -329,7 +330,7 @@
     assert!(naive.longest_queue > connect_time, "{node:?} {naive:?}");
 }
 
-/// Guards against serving returning callers, whose time is nearly over, as new ones.
+/// Guards against treating a retrying caller, whose time is nearly over, as a new one.
 #[test]
 fn files_go_to_callers_that_can_have_them_in_time() {
     let node = LinkLoadSimulation::new(40.0, FULL_ACCOUNTING).simulate();
@@ -351,8 +352,8 @@
     );
 }
 
-/// Guards against counting answers to callers on the instance as link traffic, which leaves
-/// less of the link for answers to other nodes.
+/// Guards against counting responses to callers on the instance as link traffic, which leaves less
+/// of the link for responses to other nodes.
 #[test]
 fn answers_to_callers_on_the_instance_use_no_link_capacity() {
     let simulate = |excludes_local| {
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -1,4 +1,4 @@
-//! Selection of members for long answers while the links of all data centres are full.
+//! Selection of members for long responses while the links of all data centres are full.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 const LENGTH: Duration = Duration::from_secs(60);
 const DATA_CENTRES: [&str; 2] = ["hofdi", "sundahofn"];
 const SENDERS_PER_DATA_CENTRE: usize = 30;
-/// Files requested per second through each front.
+/// Files requested per second through each sender.
 const FILES_PER_S: f64 = 1.5;
 
 const LONG: PickQuery<'static> = PickQuery {
@@ -74,7 +74,7 @@
     fleet
 }
 
-/// A file whose transfer was promised by a link.
+/// A file for which a link is reserved.
 struct File {
     key: TransferKey,
     ready_at: Duration,
@@ -127,7 +127,7 @@
         simulation.result
     }
 
-    /// Asks members in turn until one promises a file.
+    /// Asks members in turn until one reserves its link for a file.
     fn request_file(&mut self, now: Duration, sender: usize) {
         let mut tried = Vec::new();
         loop {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Returns whether the member's link promised the file.
+    /// Returns whether the member's link was reserved for the file.
     fn reserve_link(&mut self, now: Duration, sender: usize, key: MemberKey) -> bool {
         let link = usize::from(self.senders[sender].key_of(peer_addr(2)) == Some(key));
         let link_request = LinkRequest {
--- a/crates/node/tests/all/queue.rs
+++ b/crates/node/tests/all/queue.rs
@@ -1,4 +1,4 @@
-//! Who runs, who waits and who is refused.
+//! Admission queue: which requests run, wait or are refused.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// A queue in front of `slots` slots that has learned a run takes 100 ms.
+/// Returns a queue in front of `slots` slots with a mean run time of 100 ms.
 fn warmed_up(slots: u32) -> AdmissionQueue {
     let mut queue = AdmissionQueue::new(slots);
     for _ in 0..200 {
@@ -35,7 +35,7 @@
 fn expect_wait(decision: AdmissionDecision) -> QueueKey {
     match decision {
         AdmissionDecision::Wait { key, .. } => key,
-        other => panic!("it doesn't wait: {other:?}"),
+        other => panic!("the request isn't queued: {other:?}"),
     }
 }
 
@@ -59,8 +59,8 @@
     assert_eq!(queue.finish(at(200), 1, Some(at(100))), [long]);
 }
 
-/// What can't be answered in time is refused on arrival, with the time in
-/// which the excess drains; waiting would only make it late.
+/// Guards against queueing requests that can't be answered in time. They are refused on arrival
+/// with the time in which the excess drains.
 #[test]
 fn requests_that_cannot_be_in_time_are_refused_on_arrival() {
     let mut queue = warmed_up(1);
@@ -68,13 +68,12 @@
     expect_wait(queue.admit(at(0), request(1, 1, 350)));
     let decision = queue.admit(at(0), request(1, 1, 350));
     let AdmissionDecision::Refuse { retry_after } = decision else {
-        panic!("it isn't refused: {decision:?}");
+        panic!("the request isn't refused: {decision:?}");
     };
     assert!(retry_after > Duration::ZERO && retry_after <= at(300));
 }
 
-/// A caller leaves while it waits, another's time runs out: neither holds a
-/// slot afterwards.
+/// Guards against requests that keep a slot after their caller left or their time ran out.
 #[test]
 fn withdrawn_and_expired_requests_hold_no_slot() {
     let mut queue = warmed_up(1);
@@ -88,8 +87,8 @@
     assert_eq!((queue.running(), queue.waiting()), (0, 0));
 }
 
-/// Fewer slots are reported while more jobs run: no new one starts until
-/// enough have ended. More slots start what waits.
+/// Guards against starting requests while more run than a reduced number of slots allows, and
+/// against leaving requests queued when slots are added.
 #[test]
 fn slots_may_change_while_requests_run() {
     let mut queue = warmed_up(3);
@@ -105,8 +104,8 @@
     assert_eq!(queue.set_slots(at(100), 2).len(), 1);
 }
 
-/// A probe only looks for a free slot: while every one is taken it hears so,
-/// and neither waits nor counts as turned away.
+/// Guards against a request that may not wait being queued or counted as refused while every slot
+/// is taken.
 #[test]
 fn a_probe_runs_at_once_or_not_at_all() {
     let mut queue = warmed_up(1);
@@ -121,7 +120,7 @@
     assert_eq!(queue.admit(at(100), probe), AdmissionDecision::Run);
 }
 
-/// Guards against runs that are wasted because their calls wait behind new requests.
+/// Guards against runs that are wasted because their nested calls wait behind new requests.
 #[test]
 fn calls_of_runs_that_have_begun_go_first() {
     let mut queue = warmed_up(1);
@@ -173,13 +172,13 @@
             now += 100;
             queue.finish(at(now), 2, Some(at(100)));
         }
-        assert!(at(now) >= latest, "it is time to give up on the order");
+        assert!(at(now) >= latest, "the queued request has expired");
         assert!(queue.expire(key));
     }
     assert!(refused_at_once);
 }
 
-/// Guards against refusing a request because its route seems ahead after a single verdict.
+/// Guards against refusing a request because its route seems ahead after a single decision.
 #[test]
 fn a_route_is_not_ahead_by_a_single_verdict() {
     let mut queue = warmed_up(1);
--- a/crates/node/tests/all/queue_load.rs
+++ b/crates/node/tests/all/queue_load.rs
@@ -1,11 +1,11 @@
-//! The queue under load, beside one in order of arrival, by what callers get.
+//! Simulation of the admission queue under load, compared with an unbounded FIFO queue.
 
 use std::{collections::HashMap, time::Duration};
 
 use geranium_node::inbound::{AdmissionDecision, AdmissionQueue, AdmissionRequest, QueueKey};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-/// A class of requests.
+/// Load of one route.
 #[derive(Debug, Clone, Copy)]
 struct RouteLoad {
     rank: u8,
@@ -14,7 +14,7 @@
     target: Duration,
 }
 
-/// What the callers of a class got.
+/// Outcomes of the requests of one route.
 #[derive(Debug, Clone, Copy, Default)]
 struct RouteResult {
     requested: u32,
@@ -41,21 +41,21 @@
 const STEP: Duration = Duration::from_millis(1);
 const LENGTH: Duration = Duration::from_secs(30);
 
-/// Plays a load on a queue, or on an unbounded one in order of arrival. Runs take
-/// from half of their mean to one and a half.
+/// Simulates a load on an admission queue, or on an unbounded FIFO queue. Runs take between half
+/// and one and a half times their mean.
 fn simulate(routes: &[RouteLoad], arrival_order: bool) -> Vec<RouteResult> {
     simulate_runs(routes, arrival_order, |rng| 0.5 + rng.random::<f64>())
 }
 
-/// Draws a run in means, spread like those of the backend servers: most
-/// are shorter than the mean, one in twelve takes twice as long and more.
+/// Draws a run time as a multiple of the mean, distributed like that of the backend servers. Most
+/// are shorter than the mean; one in twelve is twice as long or longer.
 fn skewed(rng: &mut StdRng) -> f64 {
     const SIGMA: f64 = 0.7;
     let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
     (SIGMA * normal - SIGMA * SIGMA / 2.0).exp()
 }
 
-/// Plays a load with runs of which `draw` returns the length in means.
+/// Simulates a load with run times that `draw` returns as multiples of their mean.
 fn simulate_runs(
     routes: &[RouteLoad],
     arrival_order: bool,
@@ -71,28 +71,28 @@
     while now < LENGTH {
         let mut started: Vec<(usize, Duration)> = Vec::new();
         let (ended, still): (Vec<_>, Vec<_>) =
-            running.drain(..).partition(|job| job.ends_at <= now);
+            running.drain(..).partition(|run| run.ends_at <= now);
         running = still;
-        for job in ended {
-            let result = &mut results[job.route];
-            if now <= job.target_at {
+        for run in ended {
+            let result = &mut results[run.route];
+            if now <= run.target_at {
                 result.in_time += 1;
             } else {
                 result.late += 1;
             }
-            for key in queue.finish(now, job.route as u64, Some(now.saturating_sub(job.began))) {
-                let (route, target_at, _) = waiting.remove(&key).expect("it waited");
+            for key in queue.finish(now, run.route as u64, Some(now.saturating_sub(run.began))) {
+                let (route, target_at, _) = waiting.remove(&key).expect("the request is queued");
                 started.push((route, target_at));
             }
         }
         let expired: Vec<QueueKey> = waiting
             .iter()
-            .filter(|(_, job)| job.2 < now)
+            .filter(|(_, run)| run.2 < now)
             .map(|(&key, _)| key)
             .collect();
         for key in expired {
             queue.expire(key);
-            let (route, ..) = waiting.remove(&key).expect("it waited");
+            let (route, ..) = waiting.remove(&key).expect("the request is queued");
             results[route].refused += 1;
         }
         for (number, route) in routes.iter().enumerate() {
@@ -165,8 +165,8 @@
     assert!(fifo.share_in_time() < 0.1, "{fifo:?}");
 }
 
-/// Short inner calls and long orders of one rank share a full backend server.
-/// Neither is starved for the other's sake.
+/// Guards against starving one of two routes of one rank on a full backend server, of which one
+/// has short nested calls and the other long orders.
 #[test]
 fn routes_of_one_rank_share_a_shortage() {
     let orders = RouteLoad {
@@ -187,8 +187,8 @@
     assert!(calls - orders < 0.25, "{results:?}");
 }
 
-/// A more urgent class is served before a less urgent one, which gets what is
-/// left.
+/// Guards against serving a less urgent route at the expense of a more urgent one. The less urgent
+/// one gets the remaining capacity.
 #[test]
 fn the_more_urgent_route_is_served_first() {
     let orders = RouteLoad {
@@ -209,7 +209,7 @@
     assert!(lookups > 0.3 && lookups < 0.75, "{results:?}");
 }
 
-/// Below the capacity nobody is refused but a few in the worst moments.
+/// Guards against refusing more than a few requests while the load is below capacity.
 #[test]
 fn a_load_below_capacity_is_served() {
     let orders = RouteLoad {
@@ -222,7 +222,7 @@
     assert!(queued.share_in_time() > 0.97, "{queued:?}");
 }
 
-/// Guards against a queue longer than the slots need to stay busy, which makes answers late.
+/// Guards against a queue longer than the slots need to stay busy, which makes responses late.
 #[test]
 fn a_shortage_makes_few_answers_late() {
     let lookups = RouteLoad {
