--- a/crates/node/src/inbound/mod.rs
+++ b/crates/node/src/inbound/mod.rs
@@ -4,7 +4,7 @@
 //! it runs, whether it is leaving and whether it has capacity, whatever other nodes still believe.
 //! [`EndpointTracker`] tracks the start and its state, [`AdmissionQueue`] the capacity, and
 //! [`EndpointBreaker`] whether runs complete at all. None of these does I/O; [`InboundProxy`]
-//! connects them to the connections.
+//! combines them with the connections to the backend server.
 
 mod admission_queue;
 mod crash_admission;
