--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -99,8 +99,8 @@
 #[derive(Debug)]
 pub struct LinkSchedule {
     bytes_per_s: f64,
-    /// Bytes handed over for sending and not transmitted yet, as of `updated_at`.
-    unsent_bytes: f64,
+    /// Bytes sent to the link and not transmitted yet, as of `updated_at`.
+    queued_bytes: f64,
     updated_at: Duration,
     /// Remaining part of each reserved transfer.
     transfers: BTreeMap<TransferKey, ReservedTransfer>,
@@ -114,7 +114,7 @@
     pub fn new(link_mbps: f64) -> Self {
         Self {
             bytes_per_s: (link_mbps * BYTES_PER_MBIT * PAYLOAD_FRACTION).max(1.0),
-            unsent_bytes: 0.0,
+            queued_bytes: 0.0,
             updated_at: Duration::ZERO,
             transfers: BTreeMap::new(),
             waiting: BTreeSet::new(),
@@ -209,7 +209,7 @@
         if self.waiting.first() != Some(&key) {
             return LinkTurn::Later;
         }
-        let excess = self.unsent_bytes_at(now) - SEND_AHEAD_TIME.as_secs_f64() * self.bytes_per_s;
+        let excess = self.queued_bytes_at(now) - SEND_AHEAD_TIME.as_secs_f64() * self.bytes_per_s;
         if excess > 0.0 {
             return LinkTurn::After(self.transfer_time(excess));
         }
@@ -241,7 +241,7 @@
 
     /// Records sent bytes of any response or request.
     pub fn record_sent(&mut self, now: Duration, bytes: u64) {
-        self.unsent_bytes = self.unsent_bytes_at(now) + bytes as f64;
+        self.queued_bytes = self.queued_bytes_at(now) + bytes as f64;
         self.updated_at = self.updated_at.max(now);
     }
 
@@ -267,7 +267,7 @@
     /// Returns how long everything reserved or in progress will take.
     pub fn backlog(&self, now: Duration) -> Duration {
         self.transfer_time(
-            self.unsent_bytes_at(now)
+            self.queued_bytes_at(now)
                 + self
                     .transfers
                     .values()
@@ -280,9 +280,9 @@
         Duration::from_secs_f64(bytes / self.bytes_per_s)
     }
 
-    fn unsent_bytes_at(&self, now: Duration) -> f64 {
+    fn queued_bytes_at(&self, now: Duration) -> f64 {
         let drained = now.saturating_sub(self.updated_at).as_secs_f64() * self.bytes_per_s;
-        (self.unsent_bytes - drained).max(0.0)
+        (self.queued_bytes - drained).max(0.0)
     }
 }
 
