--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -1,4 +1,4 @@
-//! The link's part in what the inbound proxy admits.
+//! Reservations of the link for responses of the inbound proxy.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
     response_body::SHORT_RESPONSE_MAX_BYTES,
 };
 
-/// Data kept from a request to schedule its answer if that turns out long.
+/// Data kept from a request to schedule its response if that turns out long.
 #[derive(Debug)]
-pub(super) struct UnscheduledAnswer {
+pub(super) struct UnscheduledResponse {
     /// Identifier of the request, for the log.
     id: Option<HeaderValue>,
     useful_until: Instant,
@@ -22,8 +22,8 @@
 }
 
 impl InboundProxy {
-    /// Promises the link to a long answer for another node, or refuses the request if the
-    /// answer couldn't arrive in time.
+    /// Reserves the link for a long response to another node. Refuses the request if the response
+    /// couldn't arrive in time.
     pub(super) fn reserve_link(
         &self,
         request: &InboundRequest,
@@ -33,51 +33,59 @@
             return Ok(None);
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
-        let offer = LinkRequest {
+        let link_request = LinkRequest {
             bytes,
-            made_in: self.inner.queue.borrow().service_of(request.route_hash),
+            ready_in: self
+                .inner
+                .queue
+                .borrow()
+                .mean_run_time_of(request.route_hash),
             useful_until: clock.at(request.useful_until),
             ends_at: clock.at(request.ends_at),
         };
-        match link.offer(clock, self.id_of(request), offer) {
+        match link.reserve(clock, self.request_id_of(request), link_request) {
             Ok(reservation) => Ok(Some(reservation)),
             Err(retry_after) => refused(RefusalReason::LinkFull, retry_after),
         }
     }
 
-    /// Schedules on the link an answer for another node that turned out long.
+    /// Schedules on the link a response for another node that turned out long.
     ///
-    /// After a start nobody knows which answers are long. Sent all at once, the first
-    /// ones fill the link for so long that the node seems dead to the others.
+    /// After a start no response sizes are known. If the first long responses were all sent at
+    /// once, they would fill the link for so long that the node seems dead to the others.
     pub(super) fn schedule_long_response(
         &self,
-        answer: UnscheduledAnswer,
+        response: UnscheduledResponse,
         bytes: u64,
     ) -> Option<LinkReservation> {
         if bytes <= SHORT_RESPONSE_MAX_BYTES {
             return None;
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
-        let offer = LinkRequest {
+        let link_request = LinkRequest {
             bytes,
-            made_in: Duration::ZERO,
-            useful_until: clock.at(answer.useful_until),
-            ends_at: clock.at(answer.ends_at),
+            ready_in: Duration::ZERO,
+            useful_until: clock.at(response.useful_until),
+            ends_at: clock.at(response.ends_at),
         };
-        Some(link.take(clock, answer.id, offer))
+        Some(link.reserve_unchecked(clock, response.id, link_request))
     }
 
-    /// Returns what [`InboundProxy::schedule_long_response`] needs, if another node sent the request.
-    pub(super) fn unscheduled_answer(&self, request: &InboundRequest) -> Option<UnscheduledAnswer> {
-        (request.origin == RequestOrigin::Node).then(|| UnscheduledAnswer {
-            id: self.id_of(request),
+    /// Returns what [`InboundProxy::schedule_long_response`] needs, if another node sent the
+    /// request.
+    pub(super) fn unscheduled_response(
+        &self,
+        request: &InboundRequest,
+    ) -> Option<UnscheduledResponse> {
+        (request.origin == RequestOrigin::Node).then(|| UnscheduledResponse {
+            id: self.request_id_of(request),
             useful_until: request.useful_until,
             ends_at: request.ends_at,
         })
     }
 
     /// Returns the identifier of a request, for the log.
-    fn id_of(&self, request: &InboundRequest) -> Option<HeaderValue> {
+    fn request_id_of(&self, request: &InboundRequest) -> Option<HeaderValue> {
         request.headers.get(&self.headers.request_id).cloned()
     }
 }
--- a/crates/node/src/inbound/mod.rs
+++ b/crates/node/src/inbound/mod.rs
@@ -1,13 +1,12 @@
-//! The only way in to the backend server beside this node.
+//! Inbound proxy in front of the backend server beside this node.
 //!
-//! Whether it lives, which start of it, whether it is leaving and what it has
-//! room for are decided here with certainty, whatever other nodes still
-//! believe. [`EndpointTracker`] holds the first three, [`AdmissionQueue`] the last,
-//! and [`EndpointBreaker`] whether runs end at all; none does I/O. [`InboundProxy`] joins
-//! them to the connections.
+//! The inbound proxy decides authoritatively whether the backend server is alive, which start of
+//! it runs, whether it is leaving and whether it has capacity, whatever other nodes still believe.
+//! [`EndpointTracker`] tracks the start and its state, [`AdmissionQueue`] the capacity, and
+//! [`EndpointBreaker`] whether runs complete at all. None of these does I/O; [`InboundProxy`]
+//! combines them with the connections to the backend server.
 
 mod admission_queue;
-mod class_books;
 mod crash_admission;
 mod endpoint_breaker;
 mod endpoint_call;
@@ -20,6 +19,7 @@
 mod inbound_request;
 mod link_admission;
 mod nested_call_detector;
+mod route_statistics;
 mod run_slot;
 mod slot_wait;
 
--- /dev/null
+++ b/crates/node/src/inbound/route_statistics.rs
@@ -0,0 +1,176 @@
+//! Run times, served shares and waits of each route at one inbound proxy.
+
+use std::{collections::HashMap, time::Duration};
+
+use crate::member::MovingMean;
+
+/// Weight of one run in the mean run time.
+const RUN_TIME_WEIGHT: f64 = 0.05;
+/// Weight of one decision in the served share of a route. The share follows a change of load
+/// within some thirty decisions, which takes less than a second under load.
+const SERVED_WEIGHT: f64 = 0.03;
+/// Number of decisions from which on a served share is compared with others. With fewer, a seldom
+/// used route looks far ahead after one request that was served.
+const DECISIONS_MIN: u32 = 10;
+/// Largest lead of a route's served share over one of its rank or above. Equal shares would leave
+/// behind requests with several nested calls, which need all of them served.
+const LEAD_MAX: f64 = 0.1;
+/// Time after its last request for which a route is compared with others.
+const ACTIVE_TIME: Duration = Duration::from_secs(1);
+
+/// Weight of one wait in the wait ratio of a route. The ratio follows a burst of more urgent
+/// requests within ten or twenty requests.
+const WAIT_RATIO_WEIGHT: f64 = 0.1;
+/// Weight by which each refusal moves the wait ratio back towards 1. Without requests that wait,
+/// no new wait updates the ratio.
+const WAIT_RATIO_RECOVERY_WEIGHT: f64 = 0.01;
+/// Bounds of the wait ratio. Without them a single request whose expected wait was a millisecond
+/// would outweigh all others together.
+const WAIT_RATIO_BOUNDS: std::ops::RangeInclusive<f64> = 0.25..=16.0;
+
+/// A route with its rank.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct RankedRoute {
+    pub(super) rank: u8,
+    pub(super) route_hash: u64,
+}
+
+#[derive(Debug, Clone, Copy, Default)]
+struct RouteRecord {
+    rank: u8,
+    run_time: MovingMean,
+    served: MovingMean,
+    /// Number of decisions behind the served share.
+    decisions: u32,
+    /// Ratio of actual to planned wait, for requests that can be in time.
+    wait_ratio: MovingMean,
+    /// Ratio of actual to planned wait, for requests that are late already.
+    late_wait_ratio: MovingMean,
+    last_request_at: Duration,
+}
+
+impl RouteRecord {
+    /// Returns the served share, once enough decisions support it.
+    fn served_share(&self) -> Option<f64> {
+        self.served
+            .get()
+            .filter(|_| self.decisions >= DECISIONS_MIN)
+    }
+}
+
+/// Run times, served shares and waits of each route at one inbound proxy.
+///
+/// When two routes of one rank share a full backend server, an order by target time alone serves
+/// the route with short targets completely, and the other bears the whole shortage. The served
+/// shares are compared so that no route gets far ahead of one of its rank or above.
+#[derive(Debug, Default)]
+pub(super) struct RouteStatistics {
+    records: HashMap<u64, RouteRecord>,
+    overall_run_time: MovingMean,
+}
+
+impl RouteStatistics {
+    /// Records the arrival of a request.
+    pub(super) fn record_request(&mut self, now: Duration, route: RankedRoute) {
+        let record = self.records.entry(route.route_hash).or_default();
+        record.rank = route.rank;
+        record.last_request_at = now;
+    }
+
+    /// Records whether a request got a slot.
+    pub(super) fn record_decision(&mut self, route: RankedRoute, served: bool) {
+        if let Some(record) = self.records.get_mut(&route.route_hash) {
+            let served = f64::from(u8::from(served));
+            record.decisions = record.decisions.saturating_add(1);
+            // Weighs the first decisions equally, so that the very first doesn't dominate.
+            let weight = SERVED_WEIGHT.max(1.0 / f64::from(record.decisions));
+            record.served.observe(served, weight);
+        }
+    }
+
+    /// Records how long a request waited, relative to the planned wait.
+    pub(super) fn record_wait(
+        &mut self,
+        route: RankedRoute,
+        late: bool,
+        planned: Duration,
+        waited: Duration,
+    ) {
+        let planned = planned.as_secs_f64();
+        if planned <= 0.0 {
+            return;
+        }
+        let wait_ratio = waited.as_secs_f64() / planned;
+        let wait_ratio = wait_ratio.clamp(*WAIT_RATIO_BOUNDS.start(), *WAIT_RATIO_BOUNDS.end());
+        self.wait_ratio_mut(route, late)
+            .observe(wait_ratio, WAIT_RATIO_WEIGHT);
+    }
+
+    /// Records that a request was refused on arrival.
+    pub(super) fn record_refusal(&mut self, route: RankedRoute, late: bool) {
+        let wait_ratio = self.wait_ratio_mut(route, late);
+        if wait_ratio.get().is_some() {
+            wait_ratio.observe(1.0, WAIT_RATIO_RECOVERY_WEIGHT);
+        }
+    }
+
+    /// Returns the wait to expect for a planned wait.
+    pub(super) fn expected_wait(
+        &mut self,
+        route: RankedRoute,
+        late: bool,
+        planned: Duration,
+    ) -> Duration {
+        planned.mul_f64(self.wait_ratio_mut(route, late).get().unwrap_or(1.0))
+    }
+
+    fn wait_ratio_mut(&mut self, route: RankedRoute, late: bool) -> &mut MovingMean {
+        let record = self.records.entry(route.route_hash).or_default();
+        if late {
+            &mut record.late_wait_ratio
+        } else {
+            &mut record.wait_ratio
+        }
+    }
+
+    /// Records the time of a complete run.
+    pub(super) fn record_run(&mut self, route_hash: u64, took: Duration) {
+        let seconds = took.as_secs_f64();
+        self.overall_run_time.observe(seconds, RUN_TIME_WEIGHT);
+        if let Some(record) = self.records.get_mut(&route_hash) {
+            record.run_time.observe(seconds, RUN_TIME_WEIGHT);
+        }
+    }
+
+    /// Returns the mean run time over all routes; zero while unknown.
+    pub(super) fn mean_run_time(&self) -> Duration {
+        Duration::from_secs_f64(self.overall_run_time.get().unwrap_or(0.0))
+    }
+
+    /// Returns the mean run time of one route, or of all routes while unknown.
+    pub(super) fn mean_run_time_of(&self, route: RankedRoute) -> Duration {
+        let known = self
+            .records
+            .get(&route.route_hash)
+            .and_then(|record| record.run_time.get());
+        known.map_or_else(|| self.mean_run_time(), Duration::from_secs_f64)
+    }
+
+    /// Whether the served share of a route is clearly above that of a competitor. Competitors are
+    /// the other routes of its rank or above that had a request within [`ACTIVE_TIME`].
+    pub(super) fn is_ahead(&self, now: Duration, route: RankedRoute) -> bool {
+        let Some(own) = self
+            .records
+            .get(&route.route_hash)
+            .and_then(RouteRecord::served_share)
+        else {
+            return false;
+        };
+        self.records.iter().any(|(&route_hash, record)| {
+            let rival = route_hash != route.route_hash && record.rank <= route.rank;
+            let active = now < record.last_request_at + ACTIVE_TIME;
+            let served = record.served_share();
+            rival && active && served.is_some_and(|served| own - served > LEAD_MAX)
+        })
+    }
+}
--- a/crates/node/src/inbound/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -7,19 +7,19 @@
 use super::inbound_proxy::InboundState;
 use crate::transport::PooledSender;
 
-/// A slot of the backend server, held by one request until its answer is made.
+/// A slot of the backend server, held by one request until its response is ready.
 ///
-/// A long answer is made once its head is there: what remains is the link's
-/// work, and the slot is free for the next request. Dropped early, it counts as
-/// cut short. The connection is held until the answer ends; dropped before, it
-/// is closed, which cancels the run.
+/// A long response is ready once its head has arrived: only its transfer on the link remains, and
+/// the slot is free for the next request. A slot that is dropped before counts as a run cut short.
+/// The connection is held until the end of the response; dropping it earlier closes it, which
+/// cancels the run.
 #[derive(Debug)]
 pub struct RunSlot {
     inner: Rc<InboundState>,
     route_hash: u64,
     started: Instant,
     sender: Option<PooledSender>,
-    made: bool,
+    released: bool,
 }
 
 impl RunSlot {
@@ -29,34 +29,34 @@
             route_hash,
             started: Instant::now(),
             sender: None,
-            made: false,
+            released: false,
         }
     }
 
-    pub(super) fn hold(&mut self, sender: PooledSender) {
+    pub(super) fn hold_connection(&mut self, sender: PooledSender) {
         self.sender = Some(sender);
     }
 
-    /// Gives the slot back: the answer is made.
-    pub fn made(&mut self) {
-        if !std::mem::replace(&mut self.made, true) {
+    /// Frees the slot once the response is ready; further calls do nothing.
+    pub fn release(&mut self) {
+        if !std::mem::replace(&mut self.released, true) {
             self.inner
                 .finish(self.route_hash, Some(self.started.elapsed()));
         }
     }
 
-    /// Gives slot and connection back after a whole answer.
+    /// Frees the slot and returns the connection to the pool after a complete response.
     pub fn complete(mut self) {
         if let Some(sender) = self.sender.take() {
-            self.inner.endpoints.put_back(sender);
+            self.inner.endpoint_pool.put_back(sender);
         }
-        self.made();
+        self.release();
     }
 }
 
 impl Drop for RunSlot {
     fn drop(&mut self) {
-        if !self.made {
+        if !self.released {
             self.inner.finish(self.route_hash, None);
         }
     }
--- a/crates/node/src/link/link_reservation.rs
+++ b/crates/node/src/link/link_reservation.rs
@@ -1,4 +1,4 @@
-//! The promise of the link to one long answer.
+//! Reservation of the link for one long response.
 
 use std::{
     pin::Pin,
@@ -11,7 +11,7 @@
 use super::{LinkScheduler, LinkTurn, TransferKey, TransferRecord};
 use crate::node_clock::NodeClock;
 
-/// The promise of the link to one long answer; taken back when dropped.
+/// Reservation of the link for one long response; withdrawn when dropped.
 #[derive(Debug)]
 pub struct LinkReservation {
     scheduler: Rc<LinkScheduler>,
@@ -22,7 +22,7 @@
 }
 
 impl LinkReservation {
-    /// Holds a promise that the schedule made.
+    /// Wraps a reservation that the schedule made.
     pub(super) fn new(
         scheduler: &Rc<LinkScheduler>,
         clock: NodeClock,
@@ -38,43 +38,43 @@
         }
     }
 
-    /// Takes in that the answer is made, and its bytes if its head told them.
-    pub fn made(&mut self, bytes: Option<u64>) {
-        self.transfer.made(self.clock.now(), bytes);
+    /// Records that the response is ready, and its size if the head gives one.
+    pub fn response_ready(&mut self, bytes: Option<u64>) {
+        self.transfer.response_ready(self.clock.now(), bytes);
         if let Some(bytes) = bytes {
             self.scheduler.schedule().resize(self.key, bytes);
         }
     }
 
-    /// Ends the promise after the last byte.
+    /// Ends the reservation after the last byte.
     pub fn complete(mut self) {
-        self.transfer.is_whole = true;
+        self.transfer.is_complete = true;
     }
 
-    /// Waits for the next turn and returns how many bytes it has.
+    /// Waits for the next turn and returns how many bytes to send in it.
     pub fn poll_turn(&mut self, cx: &mut Context<'_>) -> Poll<usize> {
         loop {
             let turn = self.scheduler.schedule().turn(self.clock.now(), self.key);
             match turn {
                 LinkTurn::Now => {
                     self.timer = None;
-                    self.scheduler.leave(self.key);
-                    return Poll::Ready(self.scheduler.schedule().piece());
+                    self.scheduler.remove_waker(self.key);
+                    return Poll::Ready(self.scheduler.schedule().chunk_bytes());
                 }
                 LinkTurn::Postponed(key) => {
-                    self.scheduler.leave(self.key);
+                    self.scheduler.remove_waker(self.key);
                     self.key = key;
                     self.transfer.postponed_at = Some(self.clock.now());
-                    // Whoever waited behind it may be first now.
+                    // A transfer that waited behind this one may be first now.
                     self.scheduler.wake_next();
                 }
                 LinkTurn::Later => {
                     self.timer = None;
-                    self.scheduler.wait(self.key, cx.waker());
+                    self.scheduler.register_waker(self.key, cx.waker());
                     return Poll::Pending;
                 }
                 LinkTurn::After(time) => {
-                    self.scheduler.wait(self.key, cx.waker());
+                    self.scheduler.register_waker(self.key, cx.waker());
                     let timer = self.timer.insert(Box::pin(sleep(time)));
                     if timer.as_mut().poll(cx).is_pending() {
                         return Poll::Pending;
@@ -84,12 +84,11 @@
         }
     }
 
-    /// Notes bytes of the answer that were handed over, and lets the next one
-    /// have its turn.
-    pub fn sent(&mut self, bytes: u64) {
+    /// Records sent bytes of the response, and wakes the next transfer.
+    pub fn record_sent(&mut self, bytes: u64) {
         let now = self.clock.now();
-        self.transfer.sent(now, bytes);
-        self.scheduler.sent_of(now, self.key, bytes);
+        self.transfer.record_sent(now, bytes);
+        self.scheduler.record_sent_of(now, self.key, bytes);
         self.scheduler.wake_next();
     }
 }
@@ -97,8 +96,9 @@
 impl Drop for LinkReservation {
     fn drop(&mut self) {
         self.scheduler.schedule().withdraw(self.key);
-        self.scheduler.leave(self.key);
-        self.scheduler.ended(self.clock.now(), &self.transfer);
+        self.scheduler.remove_waker(self.key);
+        self.scheduler
+            .record_transfer_end(self.clock.now(), &self.transfer);
         self.scheduler.wake_next();
     }
 }
--- a/crates/node/src/link/link_usage.rs
+++ b/crates/node/src/link/link_usage.rs
@@ -1,4 +1,4 @@
-//! What a link carried in a while, and what became of the long answers.
+//! Usage of a link during one reporting interval.
 
 use std::time::Duration;
 
@@ -6,48 +6,49 @@
 
 use super::{LinkTraffic, TransferOutcome};
 
-/// What a link carried since the last look, and what became of the long answers.
+/// Bytes that a link transmitted since the last report, and outcomes of long responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LinkUsage {
     since: Duration,
     bytes: [u64; LinkTraffic::COUNT],
-    ends: [u32; TransferOutcome::COUNT],
-    /// Long answers that were promised the link.
-    pub promised: u32,
-    /// Long answers that were refused it.
+    outcomes: [u32; TransferOutcome::COUNT],
+    /// Number of long responses for which the link was reserved.
+    pub reserved: u32,
+    /// Number of long responses for which a reservation was refused.
     pub refused: u32,
 }
 
 impl LinkUsage {
-    /// Counts bytes that were handed over.
-    pub fn sent(&mut self, purpose: LinkTraffic, bytes: u64) {
-        self.bytes[purpose as usize] += bytes;
+    /// Adds sent bytes.
+    pub fn record_sent(&mut self, traffic: LinkTraffic, bytes: u64) {
+        self.bytes[traffic as usize] += bytes;
     }
 
-    /// Counts a long answer that ended.
-    pub fn ended(&mut self, end: TransferOutcome) {
-        self.ends[end as usize] += 1;
+    /// Counts a long response that ended.
+    pub fn record_outcome(&mut self, outcome: TransferOutcome) {
+        self.outcomes[outcome as usize] += 1;
     }
 
-    /// Returns the bytes for one purpose.
-    pub const fn bytes(&self, purpose: LinkTraffic) -> u64 {
-        self.bytes[purpose as usize]
+    /// Returns the bytes of one kind of traffic.
+    pub const fn bytes(&self, traffic: LinkTraffic) -> u64 {
+        self.bytes[traffic as usize]
     }
 
-    /// Returns the bytes for all purposes.
-    pub fn all_bytes(&self) -> u64 {
+    /// Returns the bytes of all kinds of traffic.
+    pub fn total_bytes(&self) -> u64 {
         LinkTraffic::VARIANTS
             .iter()
-            .map(|&purpose| self.bytes(purpose))
+            .map(|&traffic| self.bytes(traffic))
             .sum()
     }
 
-    /// Returns how many long answers ended so.
-    pub const fn ends(&self, end: TransferOutcome) -> u32 {
-        self.ends[end as usize]
+    /// Returns how many long responses had this outcome.
+    pub const fn outcomes(&self, outcome: TransferOutcome) -> u32 {
+        self.outcomes[outcome as usize]
     }
 
-    /// Takes what was counted for `length` or longer, and begins anew.
+    /// Takes the counts if they cover at least `length`, and starts anew. Returns them with the
+    /// time that they cover.
     ///
     /// # Examples
     ///
@@ -55,13 +56,13 @@
     /// use std::time::Duration;
     /// use geranium_node::link::{LinkUsage, LinkTraffic};
     ///
-    /// let mut load = LinkUsage::default();
-    /// load.sent(LinkTraffic::Short, 500);
+    /// let mut usage = LinkUsage::default();
+    /// usage.record_sent(LinkTraffic::Short, 500);
     /// let second = Duration::from_secs(1);
-    /// assert!(load.take_after(Duration::from_millis(900), second).is_none());
-    /// let (taken, time) = load.take_after(Duration::from_millis(1_100), second).unwrap();
-    /// assert_eq!((taken.all_bytes(), time), (500, Duration::from_millis(1_100)));
-    /// assert_eq!(load.all_bytes(), 0);
+    /// assert!(usage.take_after(Duration::from_millis(900), second).is_none());
+    /// let (taken, time) = usage.take_after(Duration::from_millis(1_100), second).unwrap();
+    /// assert_eq!((taken.total_bytes(), time), (500, Duration::from_millis(1_100)));
+    /// assert_eq!(usage.total_bytes(), 0);
     /// ```
     pub fn take_after(&mut self, now: Duration, length: Duration) -> Option<(Self, Duration)> {
         let time = now.saturating_sub(self.since);
--- a/crates/node/src/node_core/open_request_guard.rs
+++ b/crates/node/src/node_core/open_request_guard.rs
@@ -47,7 +47,7 @@
             return;
         }
         let core = &self.core;
-        core.link.sent(core.clock.now(), traffic, bytes);
+        core.link.record_sent(core.clock.now(), traffic, bytes);
     }
 }
 
--- a/crates/node/tests/all/calls.rs
+++ b/crates/node/tests/all/calls.rs
@@ -1,4 +1,4 @@
-//! Which requests the backend server makes while it runs others.
+//! Detection of the requests that the backend server makes while it runs others.
 
 use std::time::Duration;
 
@@ -11,34 +11,34 @@
     Duration::from_micros(micros)
 }
 
-/// Guards against mistaking callers' requests for calls of the backend server.
+/// Guards against mistaking callers' requests for nested calls of the backend server.
 #[test]
-fn calls_are_told_from_requests_that_are_refused_beside_them() {
-    let mut book = NestedCallDetector::default();
+fn nested_calls_are_told_from_refused_caller_requests() {
+    let mut detector = NestedCallDetector::default();
     for step in 1..60 {
         let now = step * 33_000;
-        book.request_failed(micros(now), CALL);
-        book.run_failed(micros(now + 800));
-        // The callers' refusals drift past the others.
-        book.request_failed(micros(now + 5_000 + step * 400), LOOKUP);
+        detector.request_failed(micros(now), CALL);
+        detector.run_failed(micros(now + 800));
+        // The callers' refusals slowly change their time relative to the failed runs.
+        detector.request_failed(micros(now + 5_000 + step * 400), LOOKUP);
     }
-    assert!(book.is_nested_call(CALL));
-    assert!(!book.is_nested_call(LOOKUP));
+    assert!(detector.is_nested_call(CALL));
+    assert!(!detector.is_nested_call(LOOKUP));
 }
 
-/// A backend server fails a third of its runs by itself, whatever the others
-/// do, while callers are refused now and then. Nothing is taken for a call.
+/// Guards against taking callers' requests for nested calls when a backend server fails a third of
+/// its runs by itself and some callers are refused.
 #[test]
-fn failures_of_the_server_itself_make_no_calls() {
-    let mut book = NestedCallDetector::default();
+fn unrelated_failures_mark_no_route_as_nested_calls() {
+    let mut detector = NestedCallDetector::default();
     for step in 1..600 {
         let now = step * 7_000;
         if step % 5 == 0 {
-            book.request_failed(micros(now), LOOKUP);
+            detector.request_failed(micros(now), LOOKUP);
         }
         if step % 3 == 0 {
-            book.run_failed(micros(now + 4_500));
+            detector.run_failed(micros(now + 4_500));
         }
     }
-    assert!(!book.is_nested_call(LOOKUP));
+    assert!(!detector.is_nested_call(LOOKUP));
 }
