--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -31,7 +31,7 @@
     rank: u8,
     /// Whether it can't be answered in time any more.
     late: bool,
-    useful_until: Duration,
+    target_deadline: Duration,
     order: u64,
 }
 
@@ -47,7 +47,7 @@
     /// Whether it may wait; it probes for a free slot otherwise.
     pub may_wait: bool,
     /// Time by which its answer is of full use.
-    pub useful_until: Duration,
+    pub target_deadline: Duration,
     /// Time at which its caller gets a final answer.
     pub ends_at: Duration,
 }
@@ -156,10 +156,10 @@
     /// use geranium_node::inbound::{AdmissionQueue, AdmissionRequest, AdmissionDecision};
     ///
     /// let mut queue = AdmissionQueue::new(1);
-    /// let useful_until = Duration::from_millis(400);
+    /// let target_deadline = Duration::from_millis(400);
     /// let ends_at = Duration::from_millis(1_000);
     /// let offer =
-    ///     AdmissionRequest { rank: 1, route_hash: 7, nested: false, may_wait: true, useful_until, ends_at };
+    ///     AdmissionRequest { rank: 1, route_hash: 7, nested: false, may_wait: true, target_deadline, ends_at };
     /// assert_eq!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Run);
     /// assert!(matches!(queue.offer(Duration::ZERO, offer), AdmissionDecision::Wait { .. }));
     /// let freed = queue.finish(Duration::from_millis(100), 7, Some(Duration::from_millis(100)));
@@ -175,7 +175,7 @@
         }
         self.books.offered(now, class_id);
         let service = self.books.service_of(class_id);
-        let late = !offer.nested && now + service > offer.useful_until;
+        let late = !offer.nested && now + service > offer.target_deadline;
         if self.running < self.slots {
             self.running += 1;
             self.judge(class_id, late, true);
@@ -189,13 +189,13 @@
             fresh: !offer.nested,
             rank: offer.rank,
             late,
-            useful_until: offer.useful_until,
+            target_deadline: offer.target_deadline,
             order: self.order,
         };
         let end = if offer.nested || late {
             offer.ends_at
         } else {
-            offer.useful_until
+            offer.target_deadline
         };
         let mut latest = end.saturating_sub(service.mul_f64(RUN_MARGIN));
         if let Some(longest) = self.longest_wait(service).filter(|_| !offer.nested) {
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -46,13 +46,13 @@
             Err(ExchangeError::NotSent { .. } | ExchangeError::Refused { .. }) => {
                 return refused(RefusalReason::EndpointDown, RETRY_ELSEWHERE);
             }
-            Err(ExchangeError::Broke { reason }) => {
+            Err(ExchangeError::ResponseLost { reason }) => {
                 // The backend server's place is free, whatever is found.
                 drop(slot);
                 let row = CrashRecord { fingerprint, start };
                 let now = self.inner.clock.now();
                 let diagnosis = self.broken.push(now, began, row).await.ok();
-                return Err(InboundError::Broke { reason, diagnosis });
+                return Err(InboundError::ResponseLost { reason, diagnosis });
             }
         };
         self.check(&response, id.as_ref())?;
--- a/crates/node/src/inbound/endpoint_tracker.rs
+++ b/crates/node/src/inbound/endpoint_tracker.rs
@@ -88,7 +88,7 @@
                 true
             }
             _ => {
-                self.retire(start.or_born(unix_ms));
+                self.retire(start.with_default_born_ms(unix_ms));
                 false
             }
         }
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -69,7 +69,7 @@
     },
     /// The request may have run; there is no usable answer.
     #[snafu(display("broke: {reason}"))]
-    Broke {
+    ResponseLost {
         /// What was met.
         reason: String,
         /// What was found of the backend server, where its connection broke.
@@ -284,7 +284,7 @@
         let mut breaker = self.breaker.borrow_mut();
         match result {
             Ok(_) => breaker.answered(),
-            Err(InboundError::Broke { .. }) => breaker.broke(self.inner.clock.now()),
+            Err(InboundError::ResponseLost { .. }) => breaker.broke(self.inner.clock.now()),
             Err(InboundError::Refused { .. }) => {}
         }
     }
@@ -311,5 +311,5 @@
 pub(super) fn broke<T>(reason: impl Into<String>) -> Result<T, InboundError> {
     let reason = reason.into();
     let diagnosis = None;
-    Err(InboundError::Broke { reason, diagnosis })
+    Err(InboundError::ResponseLost { reason, diagnosis })
 }
--- a/crates/node/src/inbound/inbound_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -28,7 +28,7 @@
     /// Whether it may wait for a slot.
     pub may_wait: bool,
     /// Time by which the answer is of full use.
-    pub useful_until: Instant,
+    pub target_deadline: Instant,
     /// Time at which the caller gets a final answer.
     pub ends_at: Instant,
     /// Hash by which it is known when it comes again.
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -17,7 +17,7 @@
 pub(super) struct UnscheduledAnswer {
     /// Identifier of the request, for the log.
     id: Option<HeaderValue>,
-    useful_until: Instant,
+    target_deadline: Instant,
     ends_at: Instant,
 }
 
@@ -36,7 +36,7 @@
         let offer = LinkRequest {
             bytes,
             made_in: self.inner.queue.borrow().service_of(request.route_hash),
-            useful_until: clock.at(request.useful_until),
+            target_deadline: clock.at(request.target_deadline),
             ends_at: clock.at(request.ends_at),
         };
         match link.offer(clock, self.id_of(request), offer) {
@@ -61,7 +61,7 @@
         let offer = LinkRequest {
             bytes,
             made_in: Duration::ZERO,
-            useful_until: clock.at(answer.useful_until),
+            target_deadline: clock.at(answer.target_deadline),
             ends_at: clock.at(answer.ends_at),
         };
         Some(link.take(clock, answer.id, offer))
@@ -71,7 +71,7 @@
     pub(super) fn unscheduled_answer(&self, request: &InboundRequest) -> Option<UnscheduledAnswer> {
         (request.origin == RequestOrigin::Node).then(|| UnscheduledAnswer {
             id: self.id_of(request),
-            useful_until: request.useful_until,
+            target_deadline: request.target_deadline,
             ends_at: request.ends_at,
         })
     }
--- a/crates/node/src/inbound/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -48,7 +48,7 @@
             route_hash,
             nested: request.nested,
             may_wait: request.may_wait,
-            useful_until: self.inner.clock.at(request.useful_until),
+            target_deadline: self.inner.clock.at(request.target_deadline),
             ends_at: self.inner.clock.at(request.ends_at),
         };
         let now = self.inner.clock.now();
--- a/crates/node/src/link/link_reporter.rs
+++ b/crates/node/src/link/link_reporter.rs
@@ -56,7 +56,7 @@
                 "bytes" => transfer.bytes,
                 "bytes_promised" => transfer.offer.bytes,
                 "sent" => transfer.sent,
-                "target_ms" => transfer.millis(Some(transfer.offer.useful_until)),
+                "target_ms" => transfer.millis(Some(transfer.offer.target_deadline)),
                 "deadline_ms" => transfer.millis(Some(transfer.offer.ends_at)),
                 "made_ms" => transfer.millis(transfer.made_at),
                 "postponed_ms" => transfer.millis(transfer.postponed_at),
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -42,7 +42,7 @@
     /// Time until the backend server has made it.
     pub made_in: Duration,
     /// Time by which it is of full use.
-    pub useful_until: Duration,
+    pub target_deadline: Duration,
     /// Time at which its caller gets a final answer.
     pub ends_at: Duration,
 }
@@ -136,7 +136,7 @@
     /// let offer = LinkRequest {
     ///     bytes: 90_000,
     ///     made_in: Duration::from_millis(100),
-    ///     useful_until: Duration::from_millis(400),
+    ///     target_deadline: Duration::from_millis(400),
     ///     ends_at: Duration::from_millis(400),
     /// };
     /// let promised = (0..9).filter(|_| {
@@ -149,7 +149,7 @@
             return LinkDecision::Refused { retry_after };
         }
         let due = if self.may_be_in_time(now, offer) {
-            offer.useful_until
+            offer.target_deadline
         } else {
             offer.ends_at
         };
@@ -162,7 +162,7 @@
         let free = self.backlog(now);
         let sent_at = now + free.max(offer.made_in) + self.time_of(offer.bytes as f64);
         let excess = if self.may_be_in_time(now, offer) {
-            sent_at.saturating_sub(due_by(now, offer.useful_until))
+            sent_at.saturating_sub(due_by(now, offer.target_deadline))
         } else {
             let in_vain = sent_at.saturating_sub(due_by(now, offer.ends_at));
             free.saturating_sub(offer.made_in + LATE_WAIT).max(in_vain)
@@ -172,7 +172,7 @@
 
     /// Whether an offer could be in time on an idle link.
     fn may_be_in_time(&self, now: Duration, offer: LinkRequest) -> bool {
-        now + offer.made_in + self.time_of(offer.bytes as f64) <= offer.useful_until
+        now + offer.made_in + self.time_of(offer.bytes as f64) <= offer.target_deadline
     }
 
     /// Gives a long answer that is there already its turns: nobody knew that it
--- a/crates/node/src/link/link_scheduler.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -79,7 +79,7 @@
     ) -> LinkReservation {
         let key = self
             .schedule()
-            .take(offer.bytes, offer.useful_until, offer.ends_at);
+            .take(offer.bytes, offer.target_deadline, offer.ends_at);
         let transfer = TransferRecord::new(request, clock.now(), offer);
         LinkReservation::new(self, clock, key, transfer)
     }
--- a/crates/node/src/link/transfer_record.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -80,7 +80,7 @@
 
     /// Returns how it ended, when nothing more comes of it.
     pub fn end(&self) -> TransferOutcome {
-        let in_time = self.sent_at <= Some(self.offer.useful_until);
+        let in_time = self.sent_at <= Some(self.offer.target_deadline);
         match (self.made_at, self.is_whole) {
             (None, _) => TransferOutcome::Unmade,
             (Some(_), false) => TransferOutcome::Cut,
--- a/crates/node/src/member/endpoint_start.rs
+++ b/crates/node/src/member/endpoint_start.rs
@@ -99,7 +99,7 @@
 
     /// Returns this start with a time of its birth; one that was told is kept.
     #[must_use]
-    pub fn or_born(self, born_ms: u64) -> Self {
+    pub fn with_default_born_ms(self, born_ms: u64) -> Self {
         Self {
             born_ms: self.born_ms.or(Some(born_ms)),
             ..self
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -51,7 +51,7 @@
     /// Nothing has come from it for some runs.
     Silent,
     /// The connection broke, or the answer was unusable.
-    Broke,
+    ResponseLost,
     /// The node beside it couldn't be reached.
     Unreachable,
     /// This side gave up: the caller left or time ran out.
@@ -327,7 +327,7 @@
             TryOutcome::Refused { retry_after } => member.refused(now, retry_after),
             TryOutcome::LinkRefused { retry_after } => member.link_refused(now, retry_after),
             TryOutcome::NoBackend => member.shut(now),
-            TryOutcome::Broke => member.broke(),
+            TryOutcome::ResponseLost => member.broke(),
             TryOutcome::Unreachable | TryOutcome::Silent => member.unreachable(now),
             TryOutcome::Abandoned => {}
         }
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -113,7 +113,7 @@
     }
 
     /// Whether a member of the service could take a request now.
-    pub fn has_open(&self, now: Duration, query: &PickQuery<'_>) -> bool {
+    pub fn has_available(&self, now: Duration, query: &PickQuery<'_>) -> bool {
         let Some(pool) = self.services.get(query.service) else {
             return false;
         };
--- a/crates/node/src/outbound/failed_try.rs
+++ b/crates/node/src/outbound/failed_try.rs
@@ -41,8 +41,8 @@
                 tries.never_arrived();
                 self.core.record_unreachable(self.request, record, &reason);
             }
-            TryFailure::Broke { reason, diagnosis } => {
-                self.judge(asked, TryOutcome::Broke);
+            TryFailure::ResponseLost { reason, diagnosis } => {
+                self.judge(asked, TryOutcome::ResponseLost);
                 if let Some(diagnosis) = diagnosis {
                     tries.crashes_servers |= diagnosis.is_suspicious();
                     self.core
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -105,7 +105,7 @@
         let service = route.shares.draw();
         let caller_end = deadline.map(|deadline| arrived + deadline);
         let first_attempt_at = self.first_attempt_at(arrived, &route, fingerprint, deadline);
-        let useful_until = first_attempt_at + route.target;
+        let target_deadline = first_attempt_at + route.target;
         let nested = self
             .core
             .inbound
@@ -121,7 +121,7 @@
             fingerprint,
             first_attempt_at,
             caller_end,
-            useful_until,
+            target_deadline,
             nested,
             route,
             service,
--- a/crates/node/src/outbound/outbound_request.rs
+++ b/crates/node/src/outbound/outbound_request.rs
@@ -39,7 +39,7 @@
     /// When its caller stops waiting, if it says so.
     pub caller_end: Option<Instant>,
     /// Time by which the answer is of full use.
-    pub useful_until: Instant,
+    pub target_deadline: Instant,
     /// Time at which the caller gets a final answer.
     pub ends_at: Instant,
 }
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -59,7 +59,7 @@
                     }
                 }
                 Err(failure) => {
-                    let broke = matches!(failure, TryFailure::Broke { .. });
+                    let broke = matches!(failure, TryFailure::ResponseLost { .. });
                     self.note_failure(tries, &asked, failure);
                     tries.at = Some(asked.record);
                     if broke && !self.request.route.kind.is_idempotent() {
@@ -179,13 +179,13 @@
         let fleet = self.core.fleet.borrow();
         self.request.route.kind.is_idempotent()
             && self.has_tries(tries)
-            && fleet.has_open(now, &self.query(tries))
+            && fleet.has_available(now, &self.query(tries))
             && self.may_run_again(fleet.len())
     }
 
     /// Whether a failed answer may be replaced by another try.
     fn may_retry(self, tries: &TryRecord<'_>, failed: MemberKey) -> bool {
-        let early = Instant::now() < self.request.useful_until;
+        let early = Instant::now() < self.request.target_deadline;
         let idempotent = self.request.route.kind.is_idempotent();
         if !idempotent || !early || !self.has_tries(tries) {
             return false;
@@ -227,7 +227,7 @@
             });
             return None;
         }
-        if tries.is_full() && !self.request.nested && !fleet.has_open(now, &query) {
+        if tries.is_full() && !self.request.nested && !fleet.has_available(now, &query) {
             return None;
         }
         let rng = &mut rand::rng();
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -34,7 +34,7 @@
     /// The node there couldn't be reached; nothing was sent.
     Unreachable(String),
     /// The request may have run; there is no usable answer.
-    Broke {
+    ResponseLost {
         /// What was met.
         reason: String,
         /// What was found of the backend server, where its connection broke.
@@ -83,7 +83,7 @@
             route_hash: request.route.route_hash,
             nested: request.nested,
             may_wait: self.may_wait,
-            useful_until: request.useful_until,
+            target_deadline: request.target_deadline,
             ends_at: request.ends_at,
             instance: Some(record.start.instance().to_owned()),
             fingerprint: request.fingerprint,
@@ -98,8 +98,8 @@
                 response.map(|body| body.with_in_flight_guard(guard)),
             )),
             Err(InboundError::Refused { refusal }) => Err(TryFailure::Refused(refusal)),
-            Err(InboundError::Broke { reason, diagnosis }) => {
-                Err(TryFailure::Broke { reason, diagnosis })
+            Err(InboundError::ResponseLost { reason, diagnosis }) => {
+                Err(TryFailure::ResponseLost { reason, diagnosis })
             }
         }
     }
@@ -125,7 +125,7 @@
             Err(ExchangeError::NotSent { reason } | ExchangeError::Refused { reason }) => {
                 return Err(TryFailure::Unreachable(reason));
             }
-            Err(ExchangeError::Broke { reason }) => return Err(unexplained(reason)),
+            Err(ExchangeError::ResponseLost { reason }) => return Err(unexplained(reason)),
         };
         guard.hold(sender);
         self.learn(key, record, response.headers());
@@ -146,7 +146,7 @@
         };
         match (refusal, broke) {
             (Some(refusal), _) => Err(TryFailure::Refused(refusal)),
-            (None, Some(reason)) => Err(TryFailure::Broke { reason, diagnosis }),
+            (None, Some(reason)) => Err(TryFailure::ResponseLost { reason, diagnosis }),
             (None, None) => {
                 let answer = Response::from_parts(head, ResponseBody::whole(whole));
                 Ok(Box::new(answer))
@@ -164,7 +164,7 @@
             nested: request.nested,
             idempotent: request.route.kind.is_idempotent(),
             may_wait: self.may_wait,
-            useful: request.useful_until.saturating_duration_since(now),
+            target_remaining: request.target_deadline.saturating_duration_since(now),
             version: self.core.version(),
             from: self.core.settings.peer_addr,
         };
@@ -211,7 +211,7 @@
 /// A break of the connection to the other node, which says nothing of the backend server.
 const fn unexplained(reason: String) -> TryFailure {
     let diagnosis = None;
-    TryFailure::Broke { reason, diagnosis }
+    TryFailure::ResponseLost { reason, diagnosis }
 }
 
 async fn whole(body: Incoming, guard: InFlightGuard) -> Result<Bytes, String> {
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -85,7 +85,9 @@
         let mut response = match self.core.inbound.run(request, note.idempotent).await {
             Ok(response) => response,
             Err(InboundError::Refused { refusal }) => refused(&refusal),
-            Err(InboundError::Broke { reason, diagnosis }) => broke(&reason, diagnosis.as_ref()),
+            Err(InboundError::ResponseLost { reason, diagnosis }) => {
+                broke(&reason, diagnosis.as_ref())
+            }
         };
         let load = self.core.inbound.load(note.route_hash);
         set_header(response.headers_mut(), &PEER_LOAD_HEADER, &load.to_string());
@@ -118,7 +120,7 @@
             route_hash: note.route_hash,
             nested: note.nested,
             may_wait: note.may_wait,
-            useful_until: now + note.useful,
+            target_deadline: now + note.target_remaining,
             ends_at: now + left,
             instance,
         }
--- a/crates/node/src/transport/connection_pool.rs
+++ b/crates/node/src/transport/connection_pool.rs
@@ -84,7 +84,7 @@
                 Err(mut error) => {
                     let reason = error.error().to_string();
                     let Some(unsent) = error.take_message() else {
-                        return Err(ExchangeError::Broke { reason });
+                        return Err(ExchangeError::ResponseLost { reason });
                     };
                     if fresh {
                         return Err(ExchangeError::NotSent { reason });
--- a/crates/node/src/transport/exchange_error.rs
+++ b/crates/node/src/transport/exchange_error.rs
@@ -19,7 +19,7 @@
     },
     /// Some or all of the request may have arrived.
     #[snafu(display("broke after sending: {reason}"))]
-    Broke {
+    ResponseLost {
         /// What was met.
         reason: String,
     },
--- a/crates/node/src/transport/peer_request_header.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -25,7 +25,7 @@
     /// Whether it may wait for a slot; it probes for a free one otherwise.
     pub may_wait: bool,
     /// Time left in which the answer is of full use.
-    pub useful: Duration,
+    pub target_remaining: Duration,
     /// Version of the configuration that the sender holds; 0 for none.
     pub version: ConfigVersion,
     /// Address at which the sender takes requests of other nodes.
@@ -54,7 +54,7 @@
 
 impl std::fmt::Display for PeerRequestHeader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let useful_ms = self.useful.as_millis();
+        let useful_ms = self.target_remaining.as_millis();
         let flags = [self.nested, self.idempotent, self.may_wait];
         let [nested, repeats, waits] = flags.map(u8::from);
         write!(
@@ -92,7 +92,7 @@
             nested: flag()?,
             idempotent: flag()?,
             may_wait: flag()?,
-            useful: Duration::from_millis(next()?.parse()?),
+            target_remaining: Duration::from_millis(next()?.parse()?),
             version: ConfigVersion(next()?.parse()?),
             from: next()?.parse()?,
         })
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -354,7 +354,7 @@
             route_hash: CLASS,
             may_wait,
             nested: false,
-            useful_until: request.target_at,
+            target_deadline: request.target_at,
             ends_at: request.target_at + TARGET,
         };
         self.receivers[request.receiver].queue.offer(now, offer)
--- a/crates/node/tests/all/link.rs
+++ b/crates/node/tests/all/link.rs
@@ -17,7 +17,7 @@
     LinkRequest {
         bytes: FILE,
         made_in: at(100),
-        useful_until: at(due),
+        target_deadline: at(due),
         ends_at: at(due + 1_000),
     }
 }
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -186,7 +186,7 @@
         let offer = LinkRequest {
             bytes: FILE_BYTES as u64,
             made_in: RUN,
-            useful_until: first_attempt_at + TARGET,
+            target_deadline: first_attempt_at + TARGET,
             ends_at: caller.end,
         };
         match self.link.offer(now, offer) {
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -49,13 +49,13 @@
         ..LONG
     };
     assert_eq!(fleet.link_wait(at(50), &LONG), Some(at(50)));
-    assert!(!fleet.has_open(at(2_000), &near_tried));
-    assert!(fleet.has_open(at(5_000), &near_tried));
+    assert!(!fleet.has_available(at(2_000), &near_tried));
+    assert!(fleet.has_available(at(5_000), &near_tried));
     let short = PickQuery {
         response_bytes: 5_000,
         ..near_tried
     };
-    assert!(fleet.has_open(at(50), &short));
+    assert!(fleet.has_available(at(50), &short));
     fleet.record_try_outcome(at(1_000), near, TryOutcome::Unreachable);
     assert_eq!(fleet.link_wait(at(1_100), &LONG), None);
     assert_eq!(fleet.pick(at(1_100), &LONG, &mut rng), Some(remote));
@@ -156,7 +156,7 @@
         let offer = LinkRequest {
             bytes: FILE_BYTES,
             made_in: RUN,
-            useful_until: now + TARGET,
+            target_deadline: now + TARGET,
             ends_at: now + TARGET * 4,
         };
         let decision = self.links[link].offer(now, offer);
--- a/crates/node/tests/all/queue.rs
+++ b/crates/node/tests/all/queue.rs
@@ -8,14 +8,14 @@
     Duration::from_millis(millis)
 }
 
-fn offer(rank: u8, route_hash: u64, useful_until: u64) -> AdmissionRequest {
+fn offer(rank: u8, route_hash: u64, target_deadline: u64) -> AdmissionRequest {
     AdmissionRequest {
         rank,
         route_hash,
         nested: false,
         may_wait: true,
-        useful_until: at(useful_until),
-        ends_at: at(useful_until + 1_000),
+        target_deadline: at(target_deadline),
+        ends_at: at(target_deadline + 1_000),
     }
 }
 
--- a/crates/node/tests/all/queue_load.rs
+++ b/crates/node/tests/all/queue_load.rs
@@ -110,7 +110,7 @@
                 route_hash: number as u64,
                 nested: false,
                 may_wait: true,
-                useful_until: target_at,
+                target_deadline: target_at,
                 ends_at: target_at + millis(500),
             };
             match queue.offer(now, offer) {
--- a/crates/node/tests/all/starts.rs
+++ b/crates/node/tests/all/starts.rs
@@ -53,9 +53,9 @@
         probed: &[],
         response_bytes: 400,
     };
-    assert!(!fleet.has_open(NOW, &query));
+    assert!(!fleet.has_available(NOW, &query));
     fleet.announce(NOW, record(born("i-1", 9_000)), Revision(2));
-    assert!(fleet.has_open(NOW, &query));
+    assert!(fleet.has_available(NOW, &query));
 }
 
 fn any_input() -> impl Strategy<Value = StartInput> {
