--- a/crates/node/src/member/endpoint_start.rs
+++ b/crates/node/src/member/endpoint_start.rs
@@ -1,63 +1,61 @@
-//! One start of a backend server.
+//! Identity of one start of a backend server's process.
 
 use http::HeaderValue;
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// What names a start of a backend server, as it was read.
+/// An unchecked start of a backend server, as it was deserialised.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct StartInput {
-    /// Identifier that the backend server goes by.
+    /// Instance identifier of the backend server.
     pub instance: String,
-    /// Unix milliseconds of the start; none when it wasn't told.
+    /// Unix time of the start in milliseconds; none if it wasn't reported.
     #[serde(default)]
     pub born_ms: Option<u64>,
 }
 
-/// Longest identifier, in bytes. It is part of keys in the store, whose length is
-/// limited.
-const INSTANCE_MAX: usize = 128;
+/// Longest identifier. It is part of keys in the store, whose length is limited.
+const INSTANCE_MAX_BYTES: usize = 128;
 
-/// A name of a start that can't be used.
+/// Why a [`StartInput`] was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum StartError {
-    /// There is no identifier.
+    /// The identifier is empty.
     #[snafu(display("the identifier is empty"))]
     Empty,
     /// The identifier is longer than the store's keys allow.
-    #[snafu(display("the identifier has {bytes} bytes"))]
+    #[snafu(display("the identifier is too long: {bytes} bytes"))]
     TooLong {
-        /// Its length.
+        /// Length of the identifier in bytes.
         bytes: usize,
     },
-    /// Requests can't carry the identifier in a header.
-    #[snafu(display("the identifier {instance:?} is no header value"))]
+    /// The identifier isn't a valid value of an HTTP header.
+    #[snafu(display("the identifier {instance:?} isn't a valid header value"))]
     Unprintable {
-        /// What was met.
+        /// The rejected identifier.
         instance: String,
     },
 }
 
-/// How one start of a backend server stands to another.
+/// Order in time of one start of a backend server relative to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartOrder {
-    /// They are the same.
+    /// Both are the same start.
     Same,
-    /// It began before the other.
+    /// This start is before the other.
     Earlier,
-    /// It began after the other.
+    /// This start is after the other.
     Later,
-    /// They differ, and which began first isn't known.
+    /// The starts differ, and which of them came first isn't known.
     Unknown,
 }
 
-/// One start of a backend server.
+/// One start of a backend server: its instance identifier and the time of the start.
 ///
-/// A backend server that crashes may come back under the identifier that it had. It knows
-/// nothing of before and counts its reports anew, so that by the identifier alone its
-/// reports pass for late ones of the start that crashed, and what that one said and did
-/// is held against it. Whatever concerns a start names it by identifier and time of the
-/// start together.
+/// A backend server may come back under the same identifier after a crash and number its
+/// reports from the beginning. By the identifier alone, its reports would be taken for
+/// late reports of the crashed process, and failures of that process would count against
+/// it. Everything that concerns one start therefore identifies it by both values.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "StartInput")]
 pub struct EndpointStart {
@@ -67,12 +65,14 @@
 }
 
 impl EndpointStart {
-    /// Returns the identifier, which a later start may have as well.
+    /// Returns the instance identifier, which a later start may share.
     pub fn instance(&self) -> &str {
         &self.instance
     }
 
-    /// Returns how this start stands to `other`.
+    /// Compares the times of this start and `other`.
+    ///
+    /// Where a time is unknown, starts with the same identifier count as the same.
     ///
     /// # Examples
     ///
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns this start with a time of its birth; one that was told is kept.
+    /// Sets the start time to `born_ms` unless it is known already.
     #[must_use]
     pub fn with_default_born_ms(self, born_ms: u64) -> Self {
         Self {
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Whether this start had ended once `request_ended` had: it is that one, or an
-    /// earlier one under the same identifier.
-    pub fn ended_with(&self, request_ended: &Self) -> bool {
-        let order = self.order(request_ended);
-        self.instance == request_ended.instance
-            && matches!(order, StartOrder::Same | StartOrder::Earlier)
+    /// Whether the end of `ended` implies that this start has ended, too.
+    ///
+    /// This is so for the same start and for an earlier one under the same identifier.
+    pub fn ended_with(&self, ended: &Self) -> bool {
+        let order = self.order(ended);
+        self.instance == ended.instance && matches!(order, StartOrder::Same | StartOrder::Earlier)
     }
 }
 
@@ -132,7 +132,7 @@
         if instance.is_empty() {
             return Err(StartError::Empty);
         }
-        if instance.len() > INSTANCE_MAX {
+        if instance.len() > INSTANCE_MAX_BYTES {
             let bytes = instance.len();
             return Err(StartError::TooLong { bytes });
         }
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -1,4 +1,4 @@
-//! All members, as far as a node knows them.
+//! A node's view of all members.
 
 use std::{
     cmp::Reverse,
@@ -16,76 +16,77 @@
 };
 use crate::store::Revision;
 
-/// Time for which a member whose announcement vanished without a farewell is
-/// kept when the node beside it still answers. The announcement is back
-/// within about two seconds if the node lives and reaches the store.
-const LAPSE_KEPT: Duration = Duration::from_secs(2);
+/// Time for which a member is kept after its announcement disappeared from the store
+/// without being deleted by its node. A node that is alive and reaches the store announces
+/// the member again within about two seconds.
+const LAPSE_GRACE: Duration = Duration::from_secs(2);
 
-/// Dropped members that are remembered for nodes that ask for news; one that
-/// asks for older news gets the whole list.
-const DROPS_KEPT: usize = 256;
-/// Weight of one report in the usual time of a run of its class.
+/// Number of dropped members that are remembered for nodes that ask for updates. A node
+/// that asks for changes from before these gets the whole list.
+const DROPS_MAX: usize = 256;
+/// Weight of one report in the mean run time of its route.
 const RUN_WEIGHT: f64 = 0.02;
 
-/// How a try at a member ended.
+/// Outcome of sending a request to a member once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// It answered; `failed` when with a failure of its own.
+    /// The backend server responded.
     Answered {
-        /// Whether the answer was a failure.
+        /// Whether the response was a server error (5xx).
         failed: bool,
     },
-    /// The node beside it refused.
+    /// The member's node or backend server refused the request.
     Refused {
-        /// Time after which it expects room.
+        /// Time after which capacity is expected.
         retry_after: Duration,
     },
-    /// The node beside it lives, but has no backend server to give work to.
+    /// The member's node is alive, but has no backend server that takes requests.
     NoBackend,
-    /// The node beside it refused a long answer, for want of room on its
-    /// instance's link.
+    /// The member's node refused a long response because its instance's link is full.
     LinkRefused {
-        /// Time after which it expects room.
+        /// Time after which the link is expected to have capacity.
         retry_after: Duration,
     },
-    /// Nothing has come from it for some runs.
+    /// No response arrived within the silence timeout.
     Silent,
-    /// The connection broke, or the answer was unusable.
+    /// The request was sent, but the connection broke or the response was unusable.
     ResponseLost,
-    /// The node beside it couldn't be reached.
+    /// The member's node couldn't be reached.
     Unreachable,
-    /// This side gave up: the caller left or time ran out.
+    /// This node gave up because the caller left or the time ran out.
     Abandoned,
 }
 
-/// All members, as far as this node knows them.
+/// All members that this node knows, with what it has observed of them.
 ///
-/// How one is chosen among them stands in `member_choice`.
+/// The module `member_choice` holds the selection of a member for a request.
 #[derive(Debug)]
 pub struct FleetView {
     location: NodeLocation,
     members: Slab<MemberView>,
     keys: HashMap<SocketAddr, MemberKey>,
     pub(super) services: HashMap<String, ServicePool>,
-    /// Seconds of a run of each class, over all members.
-    pub(super) class_runs: HashMap<u64, MovingMean>,
+    /// Mean run time in seconds by route hash, over all members.
+    pub(super) route_run_times: HashMap<u64, MovingMean>,
     generation: u32,
-    /// Revision of the store up to which this is known.
+    /// Revision of the store up to which the members are known.
     revision: Revision,
-    /// Members that were dropped lately, with the revision of that.
+    /// Recently dropped members, with the revision at which each was dropped.
     dropped: VecDeque<(SocketAddr, Revision)>,
-    /// Revision up to which drops are forgotten, or were never seen.
+    /// Revision up to which drops may be missing from `dropped`: they were evicted from it,
+    /// or happened before the last full list.
     forgotten: Revision,
 }
 
 impl FleetView {
-    /// Makes an empty view for a node in `data_centre` without a backend server.
+    /// Creates an empty view for a node in `data_centre` without a backend server.
     pub fn new(data_centre: impl Into<String>) -> Self {
         Self::with_location(data_centre.into(), None)
     }
 
-    /// Makes an empty view for a node in `data_centre` whose own backend server is
-    /// announced at `peer_addr`.
+    /// Creates an empty view for a node in `data_centre` with a backend server.
+    ///
+    /// The node's own backend server is announced at `peer_addr`.
     ///
     /// # Examples
     ///
@@ -109,7 +110,7 @@
             members: Slab::new(),
             keys: HashMap::new(),
             services: HashMap::new(),
-            class_runs: HashMap::new(),
+            route_run_times: HashMap::new(),
             generation: 0,
             revision: Revision(0),
             dropped: VecDeque::new(),
@@ -117,10 +118,10 @@
         }
     }
 
-    /// Takes in an announcement and returns whether it changed anything.
+    /// Applies an announcement and returns whether it changed anything.
     ///
-    /// News come over several ways, the node's own writes among them; an
-    /// announcement older than the one known changes nothing.
+    /// Announcements arrive from several sources, among them the node's own writes, so they
+    /// may be out of order. One that is older than the known one is ignored.
     pub fn announce(&mut self, now: Duration, record: MemberRecord, revision: Revision) -> bool {
         let Some(&key) = self.keys.get(&record.peer_addr) else {
             self.insert(now, record, revision);
@@ -140,21 +141,20 @@
         changed
     }
 
-    /// Takes in that an announcement is no longer in the store, and returns
-    /// whether that is news.
+    /// Marks a member's announcement as missing and returns whether that is new.
     ///
-    /// The member is kept for a moment: the store drops announcements while it
-    /// is away, and a node that lives writes its own again.
+    /// The member is kept for a grace period: the store may drop announcements during an
+    /// outage, and a node that is alive writes its own again.
     pub fn lapse(&mut self, now: Duration, peer_addr: SocketAddr, revision: Revision) -> bool {
         let key = self.keys.get(&peer_addr);
         key.is_some_and(|key| self.members[key.index as usize].lapse(now, revision))
     }
 
-    /// Takes in that the members are known from a list of `revision`: those that
-    /// aren't in `present` have lapsed.
+    /// Applies a full list of the announcements at `revision`.
     ///
-    /// Members that came and went before the list were never seen here, so
-    /// whoever asks for what happened since an earlier time gets the whole list.
+    /// Members for which `present` returns false are marked as missing. Members that came
+    /// and went before the list were never seen here, so a node that asks for the changes
+    /// since an earlier revision gets the whole list.
     pub fn listed(
         &mut self,
         now: Duration,
@@ -170,19 +170,18 @@
         self.advance(revision);
     }
 
-    /// Drops members whose announcement has been missing for too long, and
-    /// returns them.
+    /// Drops and returns the members whose announcement has been missing for too long.
     pub fn sweep(&mut self, now: Duration) -> Vec<MemberRecord> {
-        let gone = self.members.iter().filter(|(_, member)| {
-            let kept = |at: Duration| now < at + LAPSE_KEPT;
-            member.lapsed_at.is_some_and(|at| !kept(at))
+        let expired = self.members.iter().filter(|(_, member)| {
+            let in_grace_period = |at: Duration| now < at + LAPSE_GRACE;
+            member.lapsed_at.is_some_and(|at| !in_grace_period(at))
         });
-        let gone: Vec<usize> = gone.map(|(index, _)| index).collect();
-        let mut records = Vec::with_capacity(gone.len());
-        for index in gone {
+        let expired: Vec<usize> = expired.map(|(index, _)| index).collect();
+        let mut records = Vec::with_capacity(expired.len());
+        for index in expired {
             let member = self.members.remove(index);
             self.keys.remove(&member.record.peer_addr);
-            self.note_drop(member.record.peer_addr, member.revision);
+            self.record_drop(member.record.peer_addr, member.revision);
             records.push(member.record);
         }
         if !records.is_empty() {
@@ -191,11 +190,11 @@
         records
     }
 
-    /// Drops a member that said farewell.
+    /// Drops a member whose node deleted its announcement.
     pub fn remove(&mut self, peer_addr: SocketAddr, revision: Revision) {
         if let Some(key) = self.keys.remove(&peer_addr) {
             self.members.remove(key.index as usize);
-            self.note_drop(peer_addr, revision);
+            self.record_drop(peer_addr, revision);
             self.index_services();
         }
     }
@@ -205,12 +204,14 @@
         self.revision
     }
 
-    /// Notes that the members are known up to `revision`.
+    /// Records that the members are known up to `revision`.
     pub fn advance(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Returns what happened after `since`, for another node.
+    /// Returns the changes after `since`, for another node.
+    ///
+    /// The update is the whole list if `since` is zero or from before the remembered drops.
     pub fn update_since(&self, since: Revision) -> MemberUpdate {
         let whole = since == Revision(0) || since < self.forgotten;
         let fresh = |revision: Revision| whole || revision > since;
@@ -235,27 +236,29 @@
         }
     }
 
-    /// Returns the members of this node's data centre, best link first, in an
-    /// order that all nodes share.
+    /// Returns the members of this node's data centre, fastest link first.
+    ///
+    /// Members with equal links are ordered by a hash of their address, so all nodes get the
+    /// same order.
     pub fn relay_candidates(&self) -> Vec<&MemberRecord> {
         let near = self.members.iter().map(|(_, member)| member);
         let near = near.filter(|member| member.is_near() && !member.has_lapsed());
         let mut records: Vec<&MemberRecord> = near.map(|member| &member.record).collect();
         records.sort_by_key(|record| {
-            let place = xxh3_64(record.peer_addr.to_string().as_bytes());
-            (Reverse(record.link_mbps), place)
+            let hash = xxh3_64(record.peer_addr.to_string().as_bytes());
+            (Reverse(record.link_mbps), hash)
         });
         records
     }
 
-    /// Yields the addresses of the nodes that nothing speaks against asking now.
+    /// Yields the addresses of nodes that are announced and neither ejected nor refusing.
     pub fn reachable(&self, now: Duration) -> impl Iterator<Item = SocketAddr> {
         let open = self.members.iter().map(|(_, member)| member);
-        let open = open.filter(move |member| !member.has_lapsed() && member.is_open(now));
+        let open = open.filter(move |member| !member.has_lapsed() && member.is_available(now));
         open.map(|member| member.record.peer_addr)
     }
 
-    /// Returns a member, unless it has gone.
+    /// Returns the member of `key`, or none if it was dropped.
     pub fn get(&self, key: MemberKey) -> Option<&MemberView> {
         let member = self.members.get(key.index as usize)?;
         (member.generation == key.generation).then_some(member)
@@ -276,7 +279,7 @@
         self.members.iter().map(|(_, member)| &member.record)
     }
 
-    /// Returns how many members there are.
+    /// Returns the number of members, among them those that take no requests.
     pub fn len(&self) -> usize {
         self.members.len()
     }
@@ -286,15 +289,16 @@
         self.members.is_empty()
     }
 
-    /// Notes that a request goes to `key`.
+    /// Counts a request as outstanding at `key`.
     pub fn request_sent(&mut self, key: MemberKey) {
         if let Some(member) = self.get_mut(key) {
             member.request_sent();
         }
     }
 
-    /// Takes in the load that came with an answer to a request of `route_hash`, or
-    /// with a refusal of one.
+    /// Records a load report that came with a response or a refusal.
+    ///
+    /// The request was one of the route with `route_hash`.
     pub fn record_load(
         &mut self,
         now: Duration,
@@ -303,41 +307,42 @@
         report: LoadReport,
     ) {
         let run = report.run.as_secs_f64();
-        let usual = self.class_runs.entry(route_hash).or_default();
+        let mean = self.route_run_times.entry(route_hash).or_default();
         if run > 0.0 {
-            usual.observe(run, RUN_WEIGHT);
+            mean.observe(run, RUN_WEIGHT);
         }
-        let usual = usual.get();
+        let mean_run_s = mean.get();
         let Some((member, pool)) = self.get_with_pool(key) else {
             return;
         };
-        member.record_load(now, route_hash, report, usual);
+        member.record_load(now, route_hash, report, mean_run_s);
         if let Some(pool) = pool {
             pool.record_load(report, member.record.slots);
         }
     }
 
-    /// Takes in how a try at `key` went, as soon as that is known.
-    pub fn record_try_outcome(&mut self, now: Duration, key: MemberKey, end: TryOutcome) {
+    /// Records the outcome of a try at `key`.
+    pub fn record_try_outcome(&mut self, now: Duration, key: MemberKey, outcome: TryOutcome) {
         let Some((member, pool)) = self.get_with_pool(key) else {
             return;
         };
-        match end {
-            TryOutcome::Answered { failed } => member.answered(now, failed),
-            TryOutcome::Refused { retry_after } => member.refused(now, retry_after),
-            TryOutcome::LinkRefused { retry_after } => member.link_refused(now, retry_after),
-            TryOutcome::NoBackend => member.shut(now),
-            TryOutcome::ResponseLost => member.broke(),
-            TryOutcome::Unreachable | TryOutcome::Silent => member.unreachable(now),
+        match outcome {
+            TryOutcome::Answered { failed } => member.record_answered(now, failed),
+            TryOutcome::Refused { retry_after } => member.record_refused(now, retry_after),
+            TryOutcome::LinkRefused { retry_after } => member.record_link_refused(now, retry_after),
+            TryOutcome::NoBackend => member.record_no_backend(now),
+            TryOutcome::ResponseLost => member.record_response_lost(),
+            TryOutcome::Unreachable | TryOutcome::Silent => member.record_unreachable(now),
             TryOutcome::Abandoned => {}
         }
-        if let (TryOutcome::Answered { failed }, Some(pool)) = (end, pool) {
-            pool.answered(failed);
+        if let (TryOutcome::Answered { failed }, Some(pool)) = (outcome, pool) {
+            pool.record_answered(failed);
         }
     }
 
-    /// Notes that nothing more comes of a request; each
-    /// [`FleetView::request_sent`] needs one call of this.
+    /// Counts a request at `key` as no longer outstanding.
+    ///
+    /// Each call of [`FleetView::request_sent`] needs one call of this method.
     pub fn request_ended(&mut self, key: MemberKey) {
         if let Some(member) = self.get_mut(key) {
             member.request_ended();
@@ -349,7 +354,7 @@
         (member.generation == key.generation).then_some(member)
     }
 
-    /// Returns a member, unless it has gone, and the members of its service.
+    /// Returns the member of `key` with the pool of its service, or none if it was dropped.
     fn get_with_pool(
         &mut self,
         key: MemberKey,
@@ -375,8 +380,8 @@
         self.services.entry(service).or_default().keys.push(key);
     }
 
-    fn note_drop(&mut self, peer_addr: SocketAddr, revision: Revision) {
-        if self.dropped.len() == DROPS_KEPT
+    fn record_drop(&mut self, peer_addr: SocketAddr, revision: Revision) {
+        if self.dropped.len() == DROPS_MAX
             && let Some((_, forgotten)) = self.dropped.pop_front()
         {
             self.forgotten = self.forgotten.max(forgotten);
--- a/crates/node/src/member/load_report.rs
+++ b/crates/node/src/member/load_report.rs
@@ -1,36 +1,37 @@
-//! Load of a backend server, as the node beside it tells.
+//! Load of a backend server, as its node reports it.
 
 use std::{num::ParseIntError, str::FromStr, time::Duration};
 
 use snafu::Snafu;
 
-/// Load of a backend server, as the node beside it tells with each answer.
+/// Load of a backend server, which its node reports with each response.
 ///
-/// That node is the only way in, so the figures are exact when they leave.
+/// All requests to the backend server pass through that node, so the figures are exact
+/// when they are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Requests that wait at the node.
+    /// Number of requests in the node's queue.
     pub waiting: u32,
-    /// Mean time of a run of any class, at which the queue moves.
+    /// Mean run time over all routes, by which waiting times are estimated.
     pub service: Duration,
-    /// Mean time of a run of the class that was asked for.
+    /// Mean run time of the requested route; zero if unknown.
     pub run: Duration,
-    /// Time for which the instance's link is spoken for.
+    /// Time that the instance's link needs for the responses already admitted to it.
     pub link: Duration,
 }
 
-/// A load report that can't be read.
+/// Why the text of a load report can't be parsed.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum LoadReportError {
-    /// A figure is missing.
-    #[snafu(display("a figure is missing"))]
+    /// The text has fewer than five figures.
+    #[snafu(display("the load report has fewer than five figures"))]
     Missing,
-    /// A figure isn't a number.
-    #[snafu(display("{source}"), context(false))]
+    /// A figure isn't a valid number.
+    #[snafu(display("invalid figure in the load report: {source}"), context(false))]
     Figure {
-        /// What the parser met.
+        /// Error of the number parser.
         source: ParseIntError,
     },
 }
@@ -49,7 +50,7 @@
 impl FromStr for LoadReport {
     type Err = LoadReportError;
 
-    /// Reads what [`Display`](std::fmt::Display) wrote.
+    /// Parses the format that [`Display`](std::fmt::Display) writes.
     ///
     /// # Examples
     ///
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -1,4 +1,4 @@
-//! The choice among members.
+//! Selection of a member for a request.
 
 use std::time::Duration;
 
@@ -7,38 +7,39 @@
 use super::{
     FleetView, MemberKey, MemberView, MovingMean, PickQuery,
     pick_cost::{Candidate, PickCost},
-    service_pool::{ServicePool, UsualRun},
+    service_pool::{ServiceAverages, ServicePool},
 };
 
-/// Requests held for each slot from which on no slot is expected to be free: all
-/// slots taken, and nobody waiting.
-const PROBE_HELD: f64 = 1.0;
-/// Expected times to an answer for which a member may stay silent.
-const PATIENCE_RUNS: f64 = 3.0;
-/// Least time for which a member may stay silent: a machine that has used up
-/// its share of the processor stands still for a tenth of a second.
-const PATIENCE_MIN: Duration = Duration::from_millis(300);
-/// Part of a member's failure rate below which the usual rate must lie for others to
-/// count as healthier.
-const HEALTHIER: f64 = 0.5;
-
-/// Members differ in speed, start cold, turn slow, fail a share of their requests, or
-/// vanish, and are spread over data centres unevenly. A node hears of each only with its
-/// own requests, so what it knows of most is seconds old. The best of all by old news
-/// would be the same few for every node, and even shares overload the slow ones.
+/// Requests per slot from which on no free slot is expected: all slots are in use, and the
+/// queue is empty.
+const PROBE_HELD_MAX: f64 = 1.0;
+/// Silence timeout as a multiple of the expected response time.
+const SILENCE_RUNS: f64 = 3.0;
+/// Shortest silence timeout. A machine that has used up its CPU quota stands still for a
+/// tenth of a second.
+const SILENCE_TIMEOUT_MIN: Duration = Duration::from_millis(300);
+/// Others count as healthier if the mean failure rate of the service is at most this share
+/// of the member's own.
+const HEALTHIER_FACTOR: f64 = 0.5;
+
+/// Members differ in speed, are slow after a start, become slow, fail a share of their
+/// requests, or disappear, and are spread unevenly over data centres. A node hears of a
+/// member's load only with its own requests, so most of what it knows is seconds old. The
+/// best of all by outdated reports would be the same few members for every node, and equal
+/// shares would overload the slow members.
 ///
-/// A few members are drawn by what they carry, and the one with the least expected time
-/// to an answer is taken, the price of the way and the risk of failure counted as time.
-/// Members of this data centre go first while one of them is likely to answer from a free
-/// slot. News of a member's load fade into what is usual at its service. A first try only
-/// probes for a free slot and goes elsewhere when there is none; the last one queues
-/// where least wait. Members that can't be reached stay out for a while, those that
-/// refused for a moment.
+/// A few members are sampled by throughput, and the one with the lowest cost is picked: the
+/// expected waiting time, plus traffic between data centres and the risk of failure
+/// converted to time. Members of this data centre go first while one of them is likely to
+/// respond from a free slot. The reported load of a member decays towards the mean of its
+/// service. The first try only probes for a free slot and goes to another member if there
+/// is none; the last try waits in the shortest queue. Members that couldn't be reached are
+/// ejected for up to seconds, those that refused for a fraction of a second.
 impl FleetView {
-    /// Picks a member for a request, none of those that were tried or probed.
+    /// Picks a member that was neither tried nor probed for the request.
     ///
-    /// Members that refused or failed a moment ago are taken only when no
-    /// other is left.
+    /// Members that recently refused or couldn't be reached are picked only if no other is
+    /// left.
     pub fn pick(
         &self,
         now: Duration,
@@ -52,13 +53,14 @@
         cost.pick(candidates.collect(), Vec::new(), rng)
     }
 
-    /// Picks a member of this data centre for a long answer, in whose queue it may wait.
+    /// Picks a member of this data centre for a request with a long response.
     ///
-    /// An open one on this node's instance is always compared: its answer uses no link.
+    /// The request may wait in the member's queue. An available member on this node's
+    /// instance is always compared, since its response uses no link.
     ///
-    /// Long answers are dear to carry between data centres. The inbound proxy at home knows best
-    /// whether an answer of it would be in time, and refuses at once when it wouldn't, so
-    /// it is asked first, unless it has refused a moment ago.
+    /// Long responses are expensive to transfer between data centres. A member's inbound
+    /// proxy knows best whether its response would be in time, and refuses at once if not.
+    /// Those in this data centre are therefore asked first, unless they refused recently.
     pub fn pick_in_data_centre(
         &self,
         now: Duration,
@@ -73,15 +75,17 @@
         let near = self
             .candidates(pool, query)
             .filter(|(key, member)| member.is_near() && !query.probed.contains(key));
-        let home = near.filter(|(_, member)| cost.is_open(member));
-        let (local, others): (Vec<_>, Vec<_>) = home.partition(|(_, member)| member.is_local());
-        let mut compared = cost.draw(others, rng);
+        let available = near.filter(|(_, member)| cost.is_available(member));
+        let (local, others): (Vec<_>, Vec<_>) =
+            available.partition(|(_, member)| member.is_local());
+        let mut compared = cost.sample(others, rng);
         compared.extend(local);
         cost.cheapest(compared, rng)
     }
 
-    /// Picks a member in whose queue to wait, also of those that were probed:
-    /// their load has just been heard.
+    /// Picks a member in whose queue the request may wait.
+    ///
+    /// Probed members are candidates, too: their load has just been reported.
     pub fn pick_queue(
         &self,
         now: Duration,
@@ -96,38 +100,39 @@
         cost.pick(others, known, rng)
     }
 
-    /// Whether a try may only probe for a free slot: slots are usually free, and another
-    /// member is left to be asked if there is none here.
+    /// Whether the next try should only probe for a free slot.
     ///
-    /// In a shortage each probe is turned away, and the calls between nodes that they
-    /// cost would bind the processor of small instances.
+    /// That is so if slots are usually free and another member is left to be asked
+    /// afterwards. In a shortage every probe would be refused, and the extra calls between
+    /// nodes would use up the CPU of small instances.
     pub fn may_probe(&self, query: &PickQuery<'_>) -> bool {
         let Some(pool) = self.services.get(query.service) else {
             return false;
         };
-        if pool.usual_held() >= PROBE_HELD {
+        if pool.mean_held_per_slot() >= PROBE_HELD_MAX {
             return false;
         }
         let other = self.candidates(pool, query).nth(query.probed.len() + 1);
         other.is_some()
     }
 
-    /// Whether a member of the service could take a request now.
+    /// Whether a member of the service is available for the request now.
     pub fn has_available(&self, now: Duration, query: &PickQuery<'_>) -> bool {
         let Some(pool) = self.services.get(query.service) else {
             return false;
         };
         let cost = self.cost(now, pool, query);
         let mut candidates = self.candidates(pool, query);
-        candidates.any(|(_, member)| cost.is_open(member))
+        candidates.any(|(_, member)| cost.is_available(member))
     }
 
-    /// Returns when a long answer may next be asked for, if no member has room
-    /// on its link for one now.
+    /// Returns the time until a long response may be requested, if all links are full now.
     ///
-    /// One that can't be reached, or whose backend server breaks its runs, has no room
-    /// either: it would draw all that the others refuse. Where there are only such, they
-    /// are asked as a last resort. One on this node's instance uses no link.
+    /// Members that can't be reached, or whose backend server is down or breaks its runs,
+    /// are ejected. They don't count as members with a free link, as they would attract
+    /// every request that the others refuse. If there are only ejected members, the result
+    /// is none, and they are asked as a last resort. It is also none if a member on this
+    /// node's instance, which needs no link, is available.
     pub fn link_wait(&self, now: Duration, query: &PickQuery<'_>) -> Option<Duration> {
         if !query.is_long() {
             return None;
@@ -135,23 +140,22 @@
         let pool = self.services.get(query.service)?;
         let cost = self.cost(now, pool, query);
         let mut candidates = self.candidates(pool, query);
-        if candidates.any(|(_, member)| member.is_local() && cost.is_open(member)) {
+        if candidates.any(|(_, member)| member.is_local() && cost.is_available(member)) {
             return None;
         }
         let views = pool.keys.iter().filter_map(|&key| self.get(key));
-        let waits = views.filter(|member| member.takes_work() && !member.is_out(now));
+        let waits = views.filter(|member| member.takes_requests() && !member.is_ejected(now));
         let waits = waits.filter(|member| !member.is_local());
         let wait = waits.map(|member| cost.link_wait(member)).min()?;
         (wait > Duration::ZERO).then_some(wait)
     }
 
-    /// Whether `key` fails clearly more often than is usual at its service, and another
-    /// member could be asked.
+    /// Whether `key` fails much more often than its service and another member is available.
     ///
-    /// Where all fail alike the cause lies behind them, as when a service that they call
-    /// is full; a second try then only adds to it. It is compared with what is usual and
-    /// not with the best other member: of dozens, each seen a few times, one always looks
-    /// better by chance.
+    /// If all members fail equally often, the cause lies elsewhere, for example in a full
+    /// service that they call, and a second try only adds load. The comparison is with the
+    /// mean of the service and not with the best other member: among dozens of members with
+    /// a few responses each, one always looks better by chance.
     pub fn has_healthier(&self, now: Duration, key: MemberKey, query: &PickQuery<'_>) -> bool {
         let Some(failing) = self.get(key).map(MemberView::failure_rate) else {
             return false;
@@ -159,16 +163,16 @@
         let Some(pool) = self.services.get(query.service) else {
             return false;
         };
-        let unusual = pool.usual_failures() <= failing * HEALTHIER;
+        let unusual = pool.mean_failure_rate() <= failing * HEALTHIER_FACTOR;
         let mut candidates = self.candidates(pool, query);
-        unusual && candidates.any(|(_, member)| member.is_open(now))
+        unusual && candidates.any(|(_, member)| member.is_available(now))
     }
 
-    /// Returns how long a member may stay silent before it is doubted.
+    /// Returns the time after which a member that hasn't responded counts as silent.
     ///
-    /// While no member has told how long such runs take, as after a start, that is the
-    /// target time: an assumed one would doubt every member that is slower, and send each
-    /// request to two of them when all are cold.
+    /// While no member has reported the run time of the route, as after a start, that is at
+    /// least the target time. With an assumed run time, every slower member would count as
+    /// silent, and each request would go to two members when all are slow after a start.
     pub fn silence_timeout(
         &self,
         now: Duration,
@@ -176,20 +180,20 @@
         query: &PickQuery<'_>,
     ) -> Duration {
         let Some(pool) = self.services.get(query.service) else {
-            return PATIENCE_MIN;
+            return SILENCE_TIMEOUT_MIN;
         };
         let cost = self.cost(now, pool, query);
-        if cost.usual.run.is_none() {
-            return PATIENCE_MIN.max(query.target);
+        if cost.averages.run.is_none() {
+            return SILENCE_TIMEOUT_MIN.max(query.target);
         }
         let expected = self.get(key).map_or(0.0, |member| cost.expected_s(member));
-        PATIENCE_MIN.max(Duration::from_secs_f64(expected * PATIENCE_RUNS))
+        SILENCE_TIMEOUT_MIN.max(Duration::from_secs_f64(expected * SILENCE_RUNS))
     }
 
-    /// Whether a member has answered nobody here since `since`.
+    /// Whether a member has sent this node no response or refusal since `since`.
     pub fn is_silent(&self, key: MemberKey, since: Duration) -> bool {
         self.get(key)
-            .is_some_and(|member| member.served_at() < Some(since))
+            .is_some_and(|member| member.responded_at() < Some(since))
     }
 
     fn cost<'a>(
@@ -199,28 +203,28 @@
         query: &'a PickQuery<'a>,
     ) -> PickCost<'a> {
         let run = self
-            .class_runs
+            .route_run_times
             .get(&query.route_hash)
             .and_then(MovingMean::get);
-        let usual = UsualRun {
+        let averages = ServiceAverages {
             run: run.map(Duration::from_secs_f64),
-            held: pool.usual_held(),
+            held: pool.mean_held_per_slot(),
         };
         PickCost {
             now,
             query,
-            usual,
+            averages,
             has_near_member: query.is_long() && self.has_near_member(now, pool),
         }
     }
 
-    /// Whether a member in this data centre takes work and isn't out.
+    /// Whether a member in this data centre takes requests and isn't ejected.
     fn has_near_member(&self, now: Duration, pool: &ServicePool) -> bool {
         let mut members = pool.keys.iter().filter_map(|&key| self.get(key));
-        members.any(|member| member.is_near() && member.takes_work() && !member.is_out(now))
+        members.any(|member| member.is_near() && member.takes_requests() && !member.is_ejected(now))
     }
 
-    /// Yields the members that take work and weren't tried.
+    /// Yields the members that take requests and weren't tried for this one.
     fn candidates<'a>(
         &'a self,
         pool: &'a ServicePool,
@@ -229,6 +233,6 @@
         let keys = pool.keys.iter().copied();
         let untried = keys.filter(|key| !query.tried.contains(key));
         let views = untried.filter_map(|key| Some((key, self.get(key)?)));
-        views.filter(|(_, member)| member.takes_work())
+        views.filter(|(_, member)| member.takes_requests())
     }
 }
--- a/crates/node/src/member/member_distance.rs
+++ b/crates/node/src/member/member_distance.rs
@@ -1,13 +1,13 @@
-//! Distance of a member from this node.
+//! Network distance between a member and this node.
 
 use std::net::SocketAddr;
 
 use super::MemberRecord;
 
-/// Distance of a member from this node, nearest first.
+/// Network distance of a member from this node, ordered from near to far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum MemberDistance {
-    /// On this node's instance: answers use no link.
+    /// On this node's instance: responses don't use the instance's link.
     SameInstance,
     /// In this node's data centre, on another instance.
     SameDataCentre,
@@ -15,11 +15,11 @@
     OtherDataCentre,
 }
 
-/// Location of a node.
+/// Location of this node, from which distances are taken.
 #[derive(Debug)]
 pub(super) struct NodeLocation {
     pub(super) data_centre: String,
-    /// Address at which its own backend server is announced, if it has one.
+    /// Address at which the node's own backend server is announced, if it has one.
     pub(super) peer_addr: Option<SocketAddr>,
 }
 
--- a/crates/node/src/member/member_key.rs
+++ b/crates/node/src/member/member_key.rs
@@ -2,8 +2,8 @@
 
 /// Key of a member in a [`FleetView`](super::FleetView).
 ///
-/// The generation keeps a key of a member that left from naming the one that
-/// took its place in the arena.
+/// A member's slot in the arena may be reused after it is dropped. The generation makes
+/// older keys of the slot invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct MemberKey {
     pub(super) index: u32,
--- a/crates/node/src/member/member_record.rs
+++ b/crates/node/src/member/member_record.rs
@@ -1,4 +1,4 @@
-//! What a node announces of its backend server.
+//! Announcements of backend servers.
 
 use std::net::SocketAddr;
 
@@ -7,50 +7,51 @@
 
 use super::EndpointStart;
 
-/// Whether a backend server takes work.
+/// Whether a backend server takes new requests.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Display, IntoStaticStr,
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum MemberState {
-    /// Takes work.
+    /// The backend server takes requests.
     Ready,
-    /// Finishes what it has; gets no new work.
+    /// The backend server finishes its requests and gets no new ones.
     Leaving,
 }
 
-/// What a node announces of its backend server.
+/// Announcement of a backend server, which its node writes to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Address at which the node takes requests of other nodes.
+    /// Address at which the member's node takes requests from other nodes.
     #[serde(rename = "hop")]
     pub peer_addr: SocketAddr,
-    /// Start of the backend server that this is of: `instance` and `born_ms` where
-    /// it is written.
+    /// Announced start of the backend server, written as `instance` and `born_ms`.
     #[serde(flatten)]
     pub start: EndpointStart,
-    /// Service.
+    /// Name of the service that the backend server provides.
     pub service: String,
-    /// Data centre.
+    /// Name of the data centre in which the instance runs.
     pub data_centre: String,
-    /// Requests that it runs at a time.
+    /// Number of requests that the backend server runs at a time.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether the backend server takes new requests.
     pub state: MemberState,
-    /// Milliseconds for which it stays slow after its start, as of the
-    /// announcement.
+    /// Milliseconds, from the announcement on, for which the backend server is still slow
+    /// after its start.
     pub cold_ms: u32,
-    /// Megabits a second of its instance's link, by which nodes that carry
-    /// news to others are chosen.
+    /// Capacity of the instance's link in megabits a second. Relays are selected by it, too.
     pub link_mbps: u32,
-    /// Number of the report on which this rests; later ones are greater.
+    /// Sequence number of the backend server's report behind this announcement; later
+    /// reports have greater numbers.
     pub sequence: u64,
 }
 
 impl MemberRecord {
-    /// Whether it tells other nodes all that matters of `other`: how long the backend
-    /// server stays slow, and by which report, is of no use without another change.
+    /// Whether `other` needs no announcement while this one is in the store.
+    ///
+    /// Both may differ in `cold_ms` and `sequence`, which are of no use to other nodes
+    /// without another change.
     pub fn stands_for(&self, other: &Self) -> bool {
         let other = Self {
             cold_ms: self.cold_ms,
--- a/crates/node/src/member/member_update.rs
+++ b/crates/node/src/member/member_update.rs
@@ -1,4 +1,4 @@
-//! What one node tells another of the members.
+//! Changes of members that one node sends to another.
 
 use std::net::SocketAddr;
 
@@ -6,21 +6,21 @@
 
 use super::MemberRecord;
 
-/// What one node tells another of the members.
+/// Changes of members that one node sends to another.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Revision of the store up to which this goes.
+    /// Revision of the store up to which the update goes.
     pub revision: u64,
-    /// Whether this is all there is: members that aren't named are missing.
+    /// Whether the update lists all members; those it doesn't list are missing.
     pub whole: bool,
     /// Announcements with the revisions at which they were written.
     pub written: Vec<(MemberRecord, u64)>,
-    /// Members whose announcement is missing, with the revision of that.
+    /// Members whose announcement is missing, with the revision at which it disappeared.
     pub lapsed: Vec<(SocketAddr, u64)>,
 }
 
 impl MemberUpdate {
-    /// Whether it tells nothing.
+    /// Whether the update has no changes.
     pub const fn is_empty(&self) -> bool {
         !self.whole && self.written.is_empty() && self.lapsed.is_empty()
     }
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -1,4 +1,4 @@
-//! One member, and what this node has seen of it.
+//! One member, with what this node has observed of it.
 
 use std::time::Duration;
 
@@ -6,77 +6,81 @@
 
 use super::{
     LoadReport, MemberRecord, MemberState, MovingMean, StartOrder, member_distance::MemberDistance,
-    member_outlook::MemberOutlook, service_pool::UsualRun,
+    member_estimate::MemberEstimate, service_pool::ServiceAverages,
 };
 use crate::store::Revision;
 
-/// Weight of one answer in the mean failure rate.
+/// Weight of one response in a member's mean failure rate.
 const FAILURE_WEIGHT: f64 = 0.1;
-/// Time of a run assumed while no member has told one.
-const RUN_UNKNOWN: Duration = Duration::from_millis(100);
-/// Weight of one report in a member's pace beside the others.
-const PACE_WEIGHT: f64 = 0.2;
-/// Mean runs after which two thirds of what a member told of its load have
-/// faded: it has turned over by then.
-const NEWS_RUNS: f64 = 2.0;
-/// Least time of that, in seconds.
-const NEWS_MIN_S: f64 = 0.1;
-/// How many times slower a cold member runs.
+/// Run time that is assumed while no member has reported one.
+const UNKNOWN_RUN_TIME: Duration = Duration::from_millis(100);
+/// Weight of one report in the ratio of a member's run times to the mean ones.
+const RUN_RATIO_WEIGHT: f64 = 0.2;
+/// Time constant of the decay of a reported load, in mean run times: after it, the report
+/// weighs about one third. By then the member's requests have been replaced by others.
+const LOAD_DECAY_RUNS: f64 = 2.0;
+/// Shortest time constant of that decay in seconds.
+const LOAD_DECAY_MIN_S: f64 = 0.1;
+/// Factor on the run time of a member that is still slow after its start.
 const COLD_FACTOR: f64 = 2.0;
-/// Shortest time out after a failure to connect: a process is restarted within
-/// about a second.
-const OUT_FIRST: Duration = Duration::from_millis(500);
-/// Longest time out; with it, a machine that is dark costs each node one
-/// request in four seconds.
-const OUT_MAX: Duration = Duration::from_secs(4);
-/// Longest time for which a refusal for want of room on the link keeps long
-/// answers away: a link that is spoken for carries two or three of them in it.
+/// Shortest ejection after a failure to connect. A process is restarted within about a
+/// second.
+const EJECTION_MIN: Duration = Duration::from_millis(500);
+/// Longest ejection. With it, a machine without power costs each node one request in four
+/// seconds.
+const EJECTION_MAX: Duration = Duration::from_secs(4);
+/// Longest time for which no long responses are requested after a refusal because of a full
+/// link. A full link transfers two or three long responses in that time.
 const LINK_REFUSED_MAX: Duration = Duration::from_millis(300);
-/// Time for which a refusal for want of room on the link keeps long answers away from a
-/// member in another data centre, while a member in this data centre can be asked.
+/// Time for which no long responses are requested from a member in another data centre after
+/// a refusal because of a full link, while a member in this data centre can be asked.
 const LINK_REFUSED_REMOTE: Duration = Duration::from_secs(5);
-/// Longest time for which a refusal keeps new requests away. Queues turn over
-/// in about one service time.
+/// Longest time for which a refusal keeps new requests away. The requests in a queue are
+/// replaced by others within about one mean run time.
 const REFUSED_MAX: Duration = Duration::from_millis(150);
 
-/// One member, and what this node has seen of it.
+/// One member, with what this node has observed of it.
 #[derive(Debug)]
 pub struct MemberView {
-    /// What it announced.
+    /// Last announcement of the member.
     pub record: MemberRecord,
     distance: MemberDistance,
     pub(super) generation: u32,
-    /// Whether its announcement vanished from the store without a farewell.
+    /// When the announcement disappeared from the store without being deleted by its node;
+    /// none while it is there.
     pub(super) lapsed_at: Option<Duration>,
-    /// Revision of the last news of its announcement.
+    /// Revision of the last change of the announcement.
     pub(super) revision: Revision,
     cold_until: Duration,
+    /// Number of this node's requests at the member.
     outstanding: u32,
-    load: Option<SeenLoad>,
-    /// Seconds of a run of each class, as it told.
+    load: Option<ObservedLoad>,
+    /// Run times in seconds that the member reported, by route hash.
     runs: SmallVec<[(u64, f64); 4]>,
-    /// Its runs, as a multiple of the usual.
-    pace: MovingMean,
+    /// Ratio of the member's run times to the mean of the same routes over all members.
+    run_time_ratio: MovingMean,
     failures: MovingMean,
-    out_until: Duration,
-    out_time: Duration,
+    ejected_until: Duration,
+    ejection_time: Duration,
     refused_until: Duration,
     link_refused_until: Duration,
-    /// End of the longer hold that applies to remote members while a near one can be asked.
+    /// End of the longer pause that applies to a member in another data centre while one in
+    /// this data centre can be asked.
     remote_link_refused_until: Duration,
-    served_at: Option<Duration>,
+    /// Time of the last response or refusal.
+    responded_at: Option<Duration>,
 }
 
-/// A load report and this node's own share in it.
+/// A load report, with this node's outstanding requests when it arrived.
 #[derive(Debug, Clone, Copy)]
-struct SeenLoad {
+struct ObservedLoad {
     report: LoadReport,
     outstanding: u32,
     at: Duration,
 }
 
 impl MemberView {
-    /// Makes a view of a member that nothing is known of yet.
+    /// Creates a view of a newly announced member.
     pub(super) fn new(
         now: Duration,
         record: MemberRecord,
@@ -84,7 +88,8 @@
         generation: u32,
     ) -> Self {
         let cold_until = now + Duration::from_millis(record.cold_ms.into());
-        // Its first answer, were it a failure, would say that all are.
+        // Without a first success, a failure as the first response would make the failure
+        // rate 1.
         let mut failures = MovingMean::default();
         failures.observe(0.0, FAILURE_WEIGHT);
         Self {
@@ -97,18 +102,20 @@
             outstanding: 0,
             load: None,
             runs: SmallVec::new(),
-            pace: MovingMean::default(),
+            run_time_ratio: MovingMean::default(),
             failures,
-            out_until: Duration::ZERO,
-            out_time: Duration::ZERO,
+            ejected_until: Duration::ZERO,
+            ejection_time: Duration::ZERO,
             refused_until: Duration::ZERO,
             link_refused_until: Duration::ZERO,
             remote_link_refused_until: Duration::ZERO,
-            served_at: None,
+            responded_at: None,
         }
     }
 
-    /// Takes a new announcement; evidence against an earlier start is dropped.
+    /// Applies a new announcement.
+    ///
+    /// If it is of another start, what was observed of the earlier one is discarded.
     pub(super) fn announce(&mut self, now: Duration, record: MemberRecord) {
         self.lapsed_at = None;
         if record.start.order(&self.record.start) == StartOrder::Same {
@@ -123,8 +130,7 @@
         };
     }
 
-    /// Takes in that its announcement is missing, and returns whether that is
-    /// news.
+    /// Marks the announcement as missing and returns whether that is new.
     pub(super) fn lapse(&mut self, now: Duration, revision: Revision) -> bool {
         if revision < self.revision || self.lapsed_at.is_some() {
             return false;
@@ -134,48 +140,48 @@
         true
     }
 
-    /// Whether its announcement is missing.
+    /// Whether the member's announcement is missing from the store.
     pub const fn has_lapsed(&self) -> bool {
         self.lapsed_at.is_some()
     }
 
-    /// Revision of the last news of its announcement.
+    /// Returns the revision of the last change of the member's announcement.
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Whether it is on this node's instance.
+    /// Whether the member is on this node's instance.
     pub(super) fn is_local(&self) -> bool {
         self.distance == MemberDistance::SameInstance
     }
 
-    /// Whether it is in this node's data centre.
+    /// Whether the member is in this node's data centre.
     pub(super) fn is_near(&self) -> bool {
         self.distance <= MemberDistance::SameDataCentre
     }
 
-    /// Whether it can be given work at all.
-    pub(super) fn takes_work(&self) -> bool {
+    /// Whether the member is announced as taking requests.
+    pub(super) fn takes_requests(&self) -> bool {
         self.record.state == MemberState::Ready
     }
 
-    /// Whether nothing speaks against giving it work now.
-    pub(super) fn is_open(&self, now: Duration) -> bool {
-        !self.is_out(now) && now >= self.refused_until
+    /// Whether the member is neither ejected nor pausing after a refusal.
+    pub(super) fn is_available(&self, now: Duration) -> bool {
+        !self.is_ejected(now) && now >= self.refused_until
     }
 
-    /// Whether it is left alone, as it couldn't be reached or had no backend server to
-    /// give work to.
-    pub(super) fn is_out(&self, now: Duration) -> bool {
-        now < self.out_until
+    /// Whether the member is ejected: it couldn't be reached, was silent, or had no backend
+    /// server that takes requests.
+    pub(super) fn is_ejected(&self, now: Duration) -> bool {
+        now < self.ejected_until
     }
 
-    /// Time until long answers may be requested from it again after a refusal for want of
-    /// room on its instance's link.
+    /// Returns the time until long responses may be requested again.
     ///
-    /// The wait is longer for a remote member if a near one can be asked
-    /// (`has_near_member`). When links are short in every data centre, remote callers would
-    /// only displace callers in the member's data centre and add traffic between data
+    /// It is zero unless the member refused one because the link of its instance was full.
+    /// The wait is longer for a member in another data centre if one in this data centre can
+    /// be asked (`has_near_member`). When links are full in every data centre, remote callers
+    /// would only displace callers in the member's data centre and add traffic between data
     /// centres, which is charged by the byte.
     pub(super) fn link_wait(&self, now: Duration, has_near_member: bool) -> Duration {
         let until = if has_near_member && !self.is_near() {
@@ -186,16 +192,19 @@
         until.saturating_sub(now)
     }
 
-    /// When it last answered.
-    pub(super) const fn served_at(&self) -> Option<Duration> {
-        self.served_at
+    /// Returns when the member last responded or refused; none if it never did.
+    pub(super) const fn responded_at(&self) -> Option<Duration> {
+        self.responded_at
     }
 
-    /// Seconds that a run of `route_hash` takes here.
-    pub(super) fn run_s(&self, now: Duration, route_hash: u64, usual: UsualRun) -> f64 {
-        let told = self.runs.iter().find(|(known, _)| *known == route_hash);
-        let usual = usual.run.unwrap_or(RUN_UNKNOWN).as_secs_f64();
-        let run = told.map_or_else(|| usual * self.pace.get().unwrap_or(1.0), |(_, run)| *run);
+    /// Returns the expected run time of `route_hash` at the member in seconds.
+    pub(super) fn run_s(&self, now: Duration, route_hash: u64, averages: ServiceAverages) -> f64 {
+        let reported = self.runs.iter().find(|(known, _)| *known == route_hash);
+        let mean = averages.run.unwrap_or(UNKNOWN_RUN_TIME).as_secs_f64();
+        let run = reported.map_or_else(
+            || mean * self.run_time_ratio.get().unwrap_or(1.0),
+            |(_, run)| *run,
+        );
         if now < self.cold_until {
             run * COLD_FACTOR
         } else {
@@ -203,24 +212,29 @@
         }
     }
 
-    /// Returns what a request of `route_hash` sent now would meet.
-    pub(super) fn outlook(&self, now: Duration, route_hash: u64, usual: UsualRun) -> MemberOutlook {
-        let run_s = self.run_s(now, route_hash, usual);
-        let told = self.load.map(|load| load.report.service.as_secs_f64());
-        let turn = told.filter(|&turn| turn > 0.0).unwrap_or(run_s);
+    /// Returns the estimate for a request of `route_hash` that is sent now.
+    pub(super) fn estimate(
+        &self,
+        now: Duration,
+        route_hash: u64,
+        averages: ServiceAverages,
+    ) -> MemberEstimate {
+        let run_s = self.run_s(now, route_hash, averages);
+        let reported = self.load.map(|load| load.report.service.as_secs_f64());
+        let mean_run_s = reported.filter(|&run_s| run_s > 0.0).unwrap_or(run_s);
         let slots = f64::from(self.record.slots.max(1));
-        let held = self.held(now, usual.held);
+        let held = self.held(now, averages.held);
         let queued = (held + 1.0 - slots).max(0.0) / slots;
-        MemberOutlook {
+        MemberEstimate {
             run_s,
-            queue_s: turn * queued,
-            fullness: (held / slots).min(1.0),
+            queue_s: mean_run_s * queued,
+            occupancy: (held / slots).min(1.0),
             failure_rate: self.failure_rate(),
         }
     }
 
-    /// Seconds for which its instance's link is spoken for.
-    pub(super) fn link_s(&self, now: Duration) -> f64 {
+    /// Returns the seconds that the instance's link needs for responses already admitted.
+    pub(super) fn link_backlog_s(&self, now: Duration) -> f64 {
         let Some(load) = self.load else {
             return 0.0;
         };
@@ -228,25 +242,26 @@
         left.as_secs_f64()
     }
 
-    /// Share of its recent answers that were failures.
+    /// Returns the share of the member's recent responses that were failures.
     pub(super) fn failure_rate(&self) -> f64 {
         self.failures.get().unwrap_or(0.0)
     }
 
-    /// Requests that it holds, as far as this node can tell. What it told
-    /// fades into what is usual at its service, `usual` for each slot.
-    fn held(&self, now: Duration, usual: f64) -> f64 {
+    /// Estimates the number of requests at the member, running or queued.
+    ///
+    /// The reported number decays towards the mean of the service, `mean_per_slot`.
+    fn held(&self, now: Duration, mean_per_slot: f64) -> f64 {
         let own = f64::from(self.outstanding);
         let Some(load) = self.load else {
             return own;
         };
         let age = now.saturating_sub(load.at).as_secs_f64();
-        let lasts = (load.report.service.as_secs_f64() * NEWS_RUNS).max(NEWS_MIN_S);
-        let kept = (-age / lasts).exp();
-        let told = f64::from(load.report.running + load.report.waiting);
-        let usual = usual * f64::from(self.record.slots);
+        let decay_s = (load.report.service.as_secs_f64() * LOAD_DECAY_RUNS).max(LOAD_DECAY_MIN_S);
+        let weight = (-age / decay_s).exp();
+        let reported = f64::from(load.report.running + load.report.waiting);
+        let mean = mean_per_slot * f64::from(self.record.slots);
         let since = f64::from(self.outstanding.saturating_sub(load.outstanding));
-        (told * kept + usual * (1.0 - kept) + since).max(own)
+        (reported * weight + mean * (1.0 - weight) + since).max(own)
     }
 
     pub(super) fn request_sent(&mut self) {
@@ -257,17 +272,18 @@
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    /// Takes in the load that came with an answer to a request of `route_hash`;
-    /// `usual` is the fleet's time of such a run.
+    /// Records a load report that came with a response to a request of `route_hash`.
+    ///
+    /// `mean_run_s` is the mean run time of the route over all members in seconds.
     pub(super) fn record_load(
         &mut self,
         now: Duration,
         route_hash: u64,
         report: LoadReport,
-        usual: Option<f64>,
+        mean_run_s: Option<f64>,
     ) {
         let outstanding = self.outstanding;
-        self.load = Some(SeenLoad {
+        self.load = Some(ObservedLoad {
             report,
             outstanding,
             at: now,
@@ -277,56 +293,57 @@
             return;
         }
         match self.runs.iter_mut().find(|(known, _)| *known == route_hash) {
-            Some((_, told)) => *told = run,
+            Some((_, reported)) => *reported = run,
             None => self.runs.push((route_hash, run)),
         }
-        if let Some(usual) = usual {
-            self.pace.observe(run / usual, PACE_WEIGHT);
+        if let Some(mean_run_s) = mean_run_s {
+            self.run_time_ratio
+                .observe(run / mean_run_s, RUN_RATIO_WEIGHT);
         }
     }
 
-    pub(super) fn answered(&mut self, now: Duration, failed: bool) {
+    pub(super) fn record_answered(&mut self, now: Duration, failed: bool) {
         self.failures
             .observe(f64::from(u8::from(failed)), FAILURE_WEIGHT);
-        self.out_time = Duration::ZERO;
-        self.out_until = Duration::ZERO;
-        self.served_at = Some(now);
+        self.ejection_time = Duration::ZERO;
+        self.ejected_until = Duration::ZERO;
+        self.responded_at = Some(now);
     }
 
-    pub(super) fn refused(&mut self, now: Duration, retry_after: Duration) {
+    pub(super) fn record_refused(&mut self, now: Duration, retry_after: Duration) {
         self.refused_until = now + retry_after.min(REFUSED_MAX);
-        self.served_at = Some(now);
-        self.out_time = Duration::ZERO;
+        self.responded_at = Some(now);
+        self.ejection_time = Duration::ZERO;
     }
 
-    /// Keeps work away as from one that can't be reached.
+    /// Ejects a member without a backend server, like one that can't be reached.
     ///
-    /// When a backend server is gone and the node beside it lives on, that node refuses
-    /// at once and holds nothing. It looks like the member with the least load, and each
-    /// refusal costs a request one of its few tries. It stays out for a time that
-    /// doubles; another start that is announced ends that at once.
-    pub(super) fn shut(&mut self, now: Duration) {
-        self.served_at = Some(now);
-        self.unreachable(now);
+    /// When a backend server is gone and its node is alive, that node refuses at once and
+    /// holds no requests. It looks like the member with the lowest load, and each refusal
+    /// costs a request one of its few tries. The ejection time doubles; an announcement of
+    /// another start ends the ejection at once.
+    pub(super) fn record_no_backend(&mut self, now: Duration) {
+        self.responded_at = Some(now);
+        self.record_unreachable(now);
     }
 
-    pub(super) fn link_refused(&mut self, now: Duration, retry_after: Duration) {
+    pub(super) fn record_link_refused(&mut self, now: Duration, retry_after: Duration) {
         self.link_refused_until = now + retry_after.min(LINK_REFUSED_MAX);
         self.remote_link_refused_until = now + LINK_REFUSED_REMOTE;
-        self.served_at = Some(now);
-        self.out_time = Duration::ZERO;
+        self.responded_at = Some(now);
+        self.ejection_time = Duration::ZERO;
     }
 
-    pub(super) fn broke(&mut self) {
+    pub(super) fn record_response_lost(&mut self) {
         self.failures.observe(1.0, FAILURE_WEIGHT);
     }
 
-    /// Keeps work away for a time that doubles with each failure in a row.
-    pub(super) fn unreachable(&mut self, now: Duration) {
-        if now < self.out_until {
+    /// Ejects the member for a time that doubles with each failure in a row.
+    pub(super) fn record_unreachable(&mut self, now: Duration) {
+        if now < self.ejected_until {
             return;
         }
-        self.out_time = (self.out_time * 2).clamp(OUT_FIRST, OUT_MAX);
-        self.out_until = now + self.out_time;
+        self.ejection_time = (self.ejection_time * 2).clamp(EJECTION_MIN, EJECTION_MAX);
+        self.ejected_until = now + self.ejection_time;
     }
 }
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -1,17 +1,17 @@
-//! Who is there, and who gets the next request.
+//! Membership of the mesh and load balancing.
 //!
-//! Each node announces its own backend server as a [`MemberRecord`]. A
-//! [`FleetView`] holds those of all nodes together with what this node has
-//! seen of them; how it picks stands in `member_choice`. Neither does I/O, and
-//! both take the time as an argument.
+//! Each node announces its own backend server as a [`MemberRecord`]. A [`FleetView`] holds
+//! the records of all nodes together with what this node has observed of them, and picks a
+//! member for each request (in the module `member_choice`). Nothing here does I/O, and the
+//! time is an argument.
 
 mod endpoint_start;
 mod fleet_view;
 mod load_report;
 mod member_choice;
 mod member_distance;
+mod member_estimate;
 mod member_key;
-mod member_outlook;
 mod member_record;
 mod member_update;
 mod member_view;
--- a/crates/node/src/member/moving_mean.rs
+++ b/crates/node/src/member/moving_mean.rs
@@ -1,13 +1,13 @@
 //! Exponentially weighted means.
 
-/// Exponentially weighted mean; the first value is taken as it is.
+/// Exponentially weighted moving mean, which starts at the first value.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MovingMean {
     mean: Option<f64>,
 }
 
 impl MovingMean {
-    /// Takes in a value with a weight from 0 to 1.
+    /// Adds a value with a weight from 0 to 1.
     ///
     /// # Examples
     ///
@@ -26,7 +26,7 @@
         });
     }
 
-    /// Returns the mean, if a value was seen.
+    /// Returns the mean, or none before the first value.
     pub const fn get(&self) -> Option<f64> {
         self.mean
     }
--- a/crates/node/src/member/pick_cost.rs
+++ b/crates/node/src/member/pick_cost.rs
@@ -1,54 +1,57 @@
-//! What a request would cost at each member.
+//! Cost of sending a request to each member.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-use super::{MemberKey, MemberView, PickQuery, service_pool::UsualRun};
+use super::{MemberKey, MemberView, PickQuery, service_pool::ServiceAverages};
 
-/// Cost of a kilobyte from another data centre, as waiting time: links between data
-/// centres are paid by the byte.
-const FAR_KB_COST_S: f64 = 0.003;
-/// Bytes assumed of an answer of unknown size.
-const BYTES_UNKNOWN: u64 = 5_000;
-/// Bytes a second in a megabit a second.
+/// Cost in seconds of waiting of a kilobyte from another data centre. Traffic between data
+/// centres is charged by the byte.
+const REMOTE_KB_COST_S: f64 = 0.003;
+/// Assumed length of a response of unknown length.
+const UNKNOWN_RESPONSE_BYTES: u64 = 5_000;
+/// Bytes per megabit.
 const BYTES_PER_MBIT: f64 = 125_000.0;
-/// Spread of the noise put on each cost: nodes that know the same must not all
-/// take the same member.
-const NOISE: f64 = 0.15;
-/// Members that are compared. Nodes hear of each member seldom, so the best of all they
-/// know would be the same few for every one of them. Drawn by what they can carry, all
-/// get their share, and comparing a few leaves out the worst.
-const COMPARED: usize = 3;
-
-/// A member that may be asked.
+/// Largest relative noise that is added to a cost, so that nodes with the same information
+/// don't all pick the same member.
+const NOISE_SHARE: f64 = 0.15;
+/// Number of members that are sampled and compared. A node seldom hears of any one member,
+/// so the best of all would be the same few members for every node. Sampling by throughput
+/// gives each member its share, and comparing a few avoids the worst.
+const COMPARED_MAX: usize = 3;
+
+/// A member that the request may be sent to.
 pub(super) type Candidate<'a> = (MemberKey, &'a MemberView);
 
-/// What a request sent now would cost at each member.
+/// Computes what a request that is sent now would cost at each member.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PickCost<'a> {
     pub(super) now: Duration,
     pub(super) query: &'a PickQuery<'a>,
-    pub(super) usual: UsualRun,
-    /// Whether a long answer is requested and a member in this data centre can be asked.
+    pub(super) averages: ServiceAverages,
+    /// Whether a long response is expected and this data centre has a member that can
+    /// provide it.
     pub(super) has_near_member: bool,
 }
 
 impl PickCost<'_> {
-    /// Whether nothing speaks against giving a member the request now.
-    pub(super) fn is_open(self, member: &MemberView) -> bool {
-        let doubtful = member
+    /// Whether the member can take the request now.
+    ///
+    /// A member whose announcement is missing must have responded since it disappeared.
+    pub(super) fn is_available(self, member: &MemberView) -> bool {
+        let unconfirmed = member
             .lapsed_at
-            .is_some_and(|at| member.served_at() < Some(at));
+            .is_some_and(|at| member.responded_at() < Some(at));
         let fits = !self.query.is_long() || self.link_wait(member).is_zero();
-        !doubtful && fits && member.is_open(self.now)
+        !unconfirmed && fits && member.is_available(self.now)
     }
 
-    /// Picks a member from `fresh` or `probed`, preferring open members of this data centre
-    /// in `fresh` that are likely to answer in time.
+    /// Picks a member from `fresh` or `probed`.
     ///
-    /// All of `probed` are compared, since their load is known. Members of `fresh` that
-    /// aren't open are compared only when there is no other candidate.
+    /// Available members of this data centre in `fresh` that are likely to respond in time
+    /// go first. All of `probed` are compared, since their load is known. Members of `fresh`
+    /// that aren't available are compared only if there is no other candidate.
     pub(super) fn pick(
         self,
         fresh: Vec<Candidate<'_>>,
@@ -57,11 +60,11 @@
     ) -> Option<MemberKey> {
         let (open, closed): (Vec<_>, Vec<_>) = fresh
             .into_iter()
-            .partition(|(_, member)| self.is_open(member));
-        if let Some(home) = self.home(&open, rng) {
-            return Some(home);
+            .partition(|(_, member)| self.is_available(member));
+        if let Some(near) = self.pick_near(&open, rng) {
+            return Some(near);
         }
-        let mut compared = self.draw(open, rng);
+        let mut compared = self.sample(open, rng);
         compared.extend(probed);
         if compared.is_empty() {
             compared = closed;
@@ -69,106 +72,106 @@
         self.cheapest(compared, rng)
     }
 
-    /// Time until long answers may be requested from a member again.
+    /// Returns the time until long responses may be requested from a member again.
     pub(super) fn link_wait(self, member: &MemberView) -> Duration {
         member.link_wait(self.now, self.has_near_member)
     }
 
-    /// Draws the members to be compared, each by the requests that it carries in a
-    /// given time.
-    pub(super) fn draw<'b>(
+    /// Samples the members to be compared, weighted by their throughput.
+    pub(super) fn sample<'b>(
         self,
         mut open: Vec<Candidate<'b>>,
         rng: &mut impl Rng,
     ) -> Vec<Candidate<'b>> {
-        if open.len() <= COMPARED {
+        if open.len() <= COMPARED_MAX {
             return open;
         }
-        // The least of exponential times with these rates is drawn in proportion
-        // to the rates.
+        // Of exponentially distributed times, each is the least with a probability in
+        // proportion to its rate.
         open.sort_by_cached_key(|(_, member)| {
             let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
             let rate = f64::from(member.record.slots.max(1))
-                / member.run_s(self.now, self.query.route_hash, self.usual);
+                / member.run_s(self.now, self.query.route_hash, self.averages);
             Duration::from_secs_f64(-uniform.ln() / rate.max(f64::EPSILON))
         });
-        open.truncate(COMPARED);
+        open.truncate(COMPARED_MAX);
         open
     }
 
-    /// Picks a member of this data centre that is likely to answer from a free slot in
-    /// time, if there is one.
+    /// Picks a member of this data centre that is likely to respond in time from a free
+    /// slot, if there is one.
     ///
-    /// Answers from another data centre are paid for by the byte. With dozens of members
-    /// most of those drawn are far ones, and small differences in load would send the
-    /// request there. A queue, a slow run or failures at home let it spill over.
-    fn home(self, open: &[Candidate<'_>], rng: &mut impl Rng) -> Option<MemberKey> {
+    /// Traffic from another data centre is charged by the byte. With dozens of members most
+    /// of a sample are in other data centres, and small differences in load would send the
+    /// request there. A queue, a slow run or failures in this data centre let the request
+    /// go to another one.
+    fn pick_near(self, open: &[Candidate<'_>], rng: &mut impl Rng) -> Option<MemberKey> {
         let near = open.iter().copied().filter(|(_, member)| member.is_near());
-        let compared = self.draw(near.collect(), rng);
+        let compared = self.sample(near.collect(), rng);
         let key = self.cheapest(compared.clone(), rng)?;
         let (_, member) = compared.into_iter().find(|(other, _)| *other == key)?;
-        let outlook = member.outlook(self.now, self.query.route_hash, self.usual);
-        outlook.is_prompt(self.query.target).then_some(key)
+        let estimate = member.estimate(self.now, self.query.route_hash, self.averages);
+        estimate.is_prompt(self.query.target).then_some(key)
     }
 
-    /// Returns the member that costs least.
+    /// Returns the member with the lowest cost, or none of an empty list.
     pub(super) fn cheapest(
         self,
         compared: Vec<Candidate<'_>>,
         rng: &mut impl Rng,
     ) -> Option<MemberKey> {
         let costs = compared.into_iter().map(|(key, member)| {
-            let noise = 1.0 + NOISE * (rng.random::<f64>() * 2.0 - 1.0);
-            let cost = self.cost_s(member) + self.far_cost(member);
+            let noise = 1.0 + NOISE_SHARE * (rng.random::<f64>() * 2.0 - 1.0);
+            let cost = self.cost_s(member) + self.distance_cost_s(member);
             (cost * noise, key)
         });
         let least = costs.min_by(|a, b| a.0.total_cmp(&b.0));
         least.map(|(_, key)| key)
     }
 
-    /// Seconds after which a request sent now would be answered.
+    /// Returns the expected response time in seconds.
     pub(super) fn expected_s(self, member: &MemberView) -> f64 {
-        let made = member
-            .outlook(self.now, self.query.route_hash, self.usual)
-            .made_s();
+        let ready_s = member
+            .estimate(self.now, self.query.route_hash, self.averages)
+            .response_ready_s();
         if !self.uses_link(member) {
-            return made;
+            return ready_s;
         }
-        made.max(member.link_s(self.now)) + self.carried_s(member)
+        ready_s.max(member.link_backlog_s(self.now)) + self.transfer_s(member)
     }
 
-    /// What a request sent now would cost, in seconds of waiting.
+    /// Returns the cost of the request without that of the distance, in seconds of waiting.
     fn cost_s(self, member: &MemberView) -> f64 {
-        let outlook = member.outlook(self.now, self.query.route_hash, self.usual);
-        let cost = outlook.cost_s(self.query.target);
+        let estimate = member.estimate(self.now, self.query.route_hash, self.averages);
+        let cost = estimate.cost_s(self.query.target);
         if !self.uses_link(member) {
             return cost;
         }
-        cost.max(member.link_s(self.now)) + self.carried_s(member)
+        cost.max(member.link_backlog_s(self.now)) + self.transfer_s(member)
     }
 
-    /// Whether a long answer goes over the member's link. An answer made on this instance
-    /// doesn't leave it.
+    /// Whether a long response uses the link of the member's instance. A response from this
+    /// node's own instance doesn't leave it.
     fn uses_link(self, member: &MemberView) -> bool {
         self.query.is_long() && !member.is_local()
     }
 
-    /// Seconds for which its instance's link carries a long answer.
-    fn carried_s(self, member: &MemberView) -> f64 {
+    /// Returns the seconds that the link of the member's instance needs for the response.
+    fn transfer_s(self, member: &MemberView) -> f64 {
         let rate = f64::from(member.record.link_mbps.max(1)) * BYTES_PER_MBIT;
         self.query.response_bytes as f64 / rate
     }
 
-    /// Price of the way to a member, in seconds of waiting.
-    fn far_cost(self, member: &MemberView) -> f64 {
+    /// Returns the cost of traffic from the member, in seconds of waiting.
+    fn distance_cost_s(self, member: &MemberView) -> f64 {
         if member.is_near() {
             return 0.0;
         }
         let bytes = if self.query.response_bytes == 0 {
-            BYTES_UNKNOWN
+            UNKNOWN_RESPONSE_BYTES
         } else {
             self.query.response_bytes
         };
-        bytes as f64 / 1_000.0 * FAR_KB_COST_S
+        bytes as f64 / 1_000.0 * REMOTE_KB_COST_S
     }
 }
--- a/crates/node/src/member/pick_query.rs
+++ b/crates/node/src/member/pick_query.rs
@@ -1,29 +1,29 @@
-//! What is asked of a pick.
+//! Criteria for picking a member.
 
 use std::time::Duration;
 
 use super::MemberKey;
 use crate::response_body::SHORT_RESPONSE_MAX_BYTES;
 
-/// What is asked of a pick.
+/// Criteria by which a member is picked for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct PickQuery<'a> {
-    /// Service that has to answer.
+    /// Name of the service that the member must provide.
     pub service: &'a str,
-    /// Hash of the route, by which times of runs are kept.
+    /// Hash of the route, by which run times are recorded.
     pub route_hash: u64,
-    /// Time within which the answer is of full use.
+    /// Target response time of the route.
     pub target: Duration,
     /// Members already tried for this request.
     pub tried: &'a [MemberKey],
-    /// Members that had no free slot for it.
+    /// Members that were probed for this request and had no free slot.
     pub probed: &'a [MemberKey],
-    /// Bytes of a usual answer on this route; 0 when unknown.
+    /// Mean response size of the route in bytes; 0 if unknown.
     pub response_bytes: u64,
 }
 
 impl PickQuery<'_> {
-    /// Whether a long answer is expected.
+    /// Whether a long response is expected, which uses the link of the member's instance.
     pub const fn is_long(&self) -> bool {
         self.response_bytes > SHORT_RESPONSE_MAX_BYTES
     }
