--- a/crates/node/src/outbound/caller_input.rs
+++ b/crates/node/src/outbound/caller_input.rs
@@ -1,4 +1,4 @@
-//! Reading of what callers send.
+//! Reads the host and the body of callers' requests.
 
 use crate::result_code::ResultCode;
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use super::LocalReply;
 use crate::config::MeshConfig;
 
-/// Returns the host that a request names, without its port.
+/// Returns the host of a request in lower case, without its port.
 pub(super) fn host_of(head: &Parts) -> Option<String> {
     let named = head
         .headers
@@ -21,7 +21,10 @@
     Some(host.to_ascii_lowercase())
 }
 
-/// Reads a request's body whole, within the configured limit.
+/// Reads the whole body of a request.
+///
+/// Fails if the body exceeds the configured limit, can't be read, or isn't complete at
+/// `ends_at`.
 pub(super) async fn read_body(
     body: Incoming,
     config: &MeshConfig,
--- a/crates/node/src/outbound/deadline_tracker.rs
+++ b/crates/node/src/outbound/deadline_tracker.rs
@@ -1,48 +1,52 @@
-//! How long ago a caller first asked.
+//! Detects callers' later attempts by their remaining time.
 
 use std::{collections::HashMap, time::Duration};
 
 use smallvec::SmallVec;
 
-/// Deadlines that are kept for each route. One value in five of a route's
-/// requests is found for certain among so many.
-const KEPT: usize = 5;
-/// Share of a route's requests from which on a deadline is a usual one.
+/// Number of deadlines that are counted for each route. With this number, a deadline that
+/// one in five of a route's requests has is certain to be found.
+const DEADLINES_MAX: usize = 5;
+/// Share of a route's requests from which on a deadline counts as one of first attempts.
 const USUAL_SHARE: f64 = 0.1;
-/// Deadlines that count as the same: the way to the node takes a millisecond,
-/// a caller on a busy machine some more.
-const SAME: Duration = Duration::from_millis(5);
-/// Requests of a route after which older ones count half: some seconds at the
-/// users' rates.
-const HALF_LIFE: f64 = 256.0;
+/// Largest difference between deadlines that count as the same. A request takes a
+/// millisecond to reach the node, and a few more on a busy machine.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(5);
+/// Number of a route's requests after which all counts are halved. It is reached within a
+/// few seconds at the users' request rates.
+const HALVE_AFTER_REQUESTS: f64 = 256.0;
 
+/// A deadline and the decaying number of requests that had it.
 #[derive(Debug, Clone, Copy)]
 struct SeenDeadline {
     deadline: Duration,
     count: f64,
 }
 
+/// The most frequent deadlines of a route.
 #[derive(Debug, Clone, Default)]
 struct RouteDeadlines {
-    seen: SmallVec<[SeenDeadline; KEPT]>,
+    seen: SmallVec<[SeenDeadline; DEADLINES_MAX]>,
     total: f64,
 }
 
-/// How long ago callers first asked, by the deadlines that they name.
+/// Estimates from the deadlines in requests how long ago callers made their first attempt.
 ///
-/// Callers that were refused come again with what is left of their time, and nothing else
-/// tells them from new ones. Given the whole of the target time anew, they would be
-/// served late in the place of others that could have been in time. First attempts on a
-/// route name the same few deadlines; one that is none of these is what is left of the
-/// next greater one.
+/// A caller that was refused sends its request again with its remaining time as the
+/// deadline, and nothing else distinguishes it from a new one. If it got the full target
+/// time again, it would be served late in place of others that could have been in time.
+/// First attempts on a route have the same few deadlines. Any other deadline is taken for
+/// the remaining time of the next greater one.
 #[derive(Debug, Default)]
 pub struct DeadlineTracker {
     routes: HashMap<u64, RouteDeadlines>,
 }
 
 impl DeadlineTracker {
-    /// Takes in the deadline of a request on the route with this hash, and
-    /// returns how long ago its caller first asked, as far as can be told.
+    /// Records the deadline of a request and returns the time since its first attempt.
+    ///
+    /// The request is one of the route with `route_hash`. The result is zero if the request
+    /// looks like a first attempt.
     ///
     /// # Examples
     ///
@@ -67,17 +71,18 @@
 impl RouteDeadlines {
     fn observe(&mut self, deadline: Duration) {
         self.total += 1.0;
-        if self.total > HALF_LIFE {
+        if self.total > HALVE_AFTER_REQUESTS {
             self.total /= 2.0;
             self.seen.iter_mut().for_each(|seen| seen.count /= 2.0);
         }
-        let same = |seen: &&mut SeenDeadline| seen.deadline.abs_diff(deadline) <= SAME;
+        let same =
+            |seen: &&mut SeenDeadline| seen.deadline.abs_diff(deadline) <= DEADLINE_TOLERANCE;
         if let Some(seen) = self.seen.iter_mut().find(same) {
             seen.count += 1.0;
             seen.deadline = seen.deadline.max(deadline);
             return;
         }
-        if self.seen.len() == KEPT {
+        if self.seen.len() == DEADLINES_MAX {
             self.seen.iter_mut().for_each(|seen| seen.count -= 1.0);
             self.seen.retain(|seen| seen.count > 0.0);
             return;
@@ -92,10 +97,12 @@
         let least = self.total * USUAL_SHARE;
         let usual = self.seen.iter().filter(|seen| seen.count >= least);
         let from = usual.map(|seen| seen.deadline);
-        let from = from.filter(|usual| *usual + SAME >= deadline).min();
+        let from = from
+            .filter(|usual| *usual + DEADLINE_TOLERANCE >= deadline)
+            .min();
         from.map_or(Duration::ZERO, |usual| {
             let time_since_first_attempt = usual.saturating_sub(deadline);
-            if time_since_first_attempt > SAME {
+            if time_since_first_attempt > DEADLINE_TOLERANCE {
                 time_since_first_attempt
             } else {
                 Duration::ZERO
--- a/crates/node/src/outbound/failed_try.rs
+++ b/crates/node/src/outbound/failed_try.rs
@@ -1,4 +1,4 @@
-//! What follows from a try that ended without an answer.
+//! Handling of tries that ended without a response of the backend server.
 
 use super::{
     TryFailure,
@@ -11,38 +11,38 @@
 };
 
 impl TryFlow<'_> {
-    /// Takes in how a try ended without an answer.
-    pub(super) fn note_failure(
+    /// Records why a try failed, in the request's record and in the view of the fleet.
+    pub(super) fn record_failure(
         self,
         tries: &mut TryRecord<'_>,
-        asked: &NextTry,
+        sent_try: &NextTry,
         failure: TryFailure,
     ) {
-        tries.under_way -= 1;
-        let record = &asked.record;
+        tries.in_flight -= 1;
+        let record = &sent_try.record;
         match failure {
             TryFailure::Refused(refusal) if refusal.reason == RefusalReason::Busy => {
-                tries.was_busy(asked.key);
-                tries.never_arrived();
+                tries.record_busy(sent_try.key);
+                tries.record_not_arrived();
             }
             TryFailure::Refused(refusal) => {
-                if let Some(end) = end_of(refusal) {
-                    self.judge(asked, end);
+                if let Some(outcome) = outcome_of(refusal) {
+                    self.record_outcome(sent_try, outcome);
                 }
                 if !refusal.reason.reached_endpoint() {
-                    tries.never_arrived();
+                    tries.record_not_arrived();
                 }
                 tries.crashes_servers |= refusal.reason == RefusalReason::Poisoned;
                 tries.refusal = Some(refusal);
                 self.core.record_refusal(self.request, record, &refusal);
             }
             TryFailure::Unreachable(reason) => {
-                self.judge(asked, TryOutcome::Unreachable);
-                tries.never_arrived();
+                self.record_outcome(sent_try, TryOutcome::Unreachable);
+                tries.record_not_arrived();
                 self.core.record_unreachable(self.request, record, &reason);
             }
             TryFailure::ResponseLost { reason, diagnosis } => {
-                self.judge(asked, TryOutcome::ResponseLost);
+                self.record_outcome(sent_try, TryOutcome::ResponseLost);
                 if let Some(diagnosis) = diagnosis {
                     tries.crashes_servers |= diagnosis.is_suspicious();
                     self.core
@@ -50,20 +50,22 @@
                 }
                 self.core.record_broken_try(self.request, record, &reason);
                 tries.ran = true;
-                tries.broke = Some(reason);
+                tries.failure_cause = Some(reason);
             }
         }
     }
 
-    fn judge(self, asked: &NextTry, end: TryOutcome) {
+    fn record_outcome(self, sent_try: &NextTry, outcome: TryOutcome) {
         let now = self.core.clock.now();
         let mut fleet = self.core.fleet.borrow_mut();
-        fleet.record_try_outcome(now, asked.key, end);
+        fleet.record_try_outcome(now, sent_try.key, outcome);
     }
 }
 
-/// Returns what a refusal says of the member; nothing where it concerns the request alone.
-const fn end_of(refusal: InboundRefusal) -> Option<TryOutcome> {
+/// Returns the outcome that a refusal is for the member.
+///
+/// The result is none if the refusal concerns only the request.
+const fn outcome_of(refusal: InboundRefusal) -> Option<TryOutcome> {
     let retry_after = refusal.retry_after;
     match refusal.reason {
         RefusalReason::LinkFull => Some(TryOutcome::LinkRefused { retry_after }),
--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -1,11 +1,12 @@
-//! The note of an open request at a member.
+//! Guard for a request in flight at a member.
 
 use std::rc::Rc;
 
 use crate::{member::MemberKey, node_core::NodeCore, transport::PooledSender};
 
-/// Counts a request as open at a member until dropped, and gives its
-/// connection back after a whole answer.
+/// Counts a request as outstanding at a member until the guard is dropped.
+///
+/// The guard also holds the connection and returns it to the pool after a whole response.
 #[derive(Debug)]
 pub struct InFlightGuard {
     core: Rc<NodeCore>,
@@ -14,7 +15,7 @@
 }
 
 impl InFlightGuard {
-    /// Notes that a request goes to `key`.
+    /// Counts a request as outstanding at `key`.
     pub fn new(core: &Rc<NodeCore>, key: MemberKey) -> Self {
         core.fleet.borrow_mut().request_sent(key);
         Self {
@@ -24,17 +25,17 @@
         }
     }
 
-    /// Returns the member.
+    /// Returns the key of the member that the request was sent to.
     pub const fn key(&self) -> MemberKey {
         self.key
     }
 
-    /// Holds the connection that carries the answer.
+    /// Holds the connection on which the response arrives.
     pub fn hold(&mut self, sender: PooledSender) {
         self.sender = Some(sender);
     }
 
-    /// Ends the note after a whole answer.
+    /// Ends the guard after a whole response and returns the connection to the pool.
     pub fn complete(mut self) {
         if let Some(sender) = self.sender.take() {
             self.core.peer_connections.give_back(sender);
--- a/crates/node/src/outbound/local_reply.rs
+++ b/crates/node/src/outbound/local_reply.rs
@@ -1,4 +1,4 @@
-//! Answers that a node gives of its own.
+//! Responses that the node itself generates.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 
 use crate::response_body::ResponseBody;
 
-/// An answer that a node gives of its own.
+/// A response that the node itself generates in place of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalReply {
-    /// Numbered reason.
+    /// Result code that states the reason.
     pub code: ResultCode,
-    /// Status.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// When the caller may come back.
+    /// Time after which the caller may retry, sent as `Retry-After`; none for no advice.
     pub retry_after: Option<Duration>,
 }
 
 impl LocalReply {
-    /// The request hasn't run and won't; the caller may come back.
+    /// Creates a 503 reply: the request hasn't run and won't, and the caller may retry.
     pub const fn not_run(code: ResultCode, retry_after: Duration) -> Self {
         Self {
             code,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The request may have run.
+    /// Creates a 502 reply: the request may have run.
     pub const fn maybe_run(code: ResultCode) -> Self {
         Self {
             code,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Time ran out, and the request may have run.
+    /// Creates a 504 reply: the time ran out, and the request may have run.
     pub const fn timed_out() -> Self {
         Self {
             code: ResultCode::DeadlineWhileRunning,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The request itself is at fault.
+    /// Creates a reply with `status` to a request that is itself at fault.
     pub const fn rejected(code: ResultCode, status: StatusCode) -> Self {
         Self {
             code,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Makes the HTTP answer.
+    /// Converts the reply to an HTTP response with a JSON body.
     pub fn into_response(self) -> Response<ResponseBody> {
         let name: &'static str = self.code.into();
         let text = format!("{{\"code\":{},\"error\":\"{name}\"}}", self.code.number());
--- a/crates/node/src/outbound/mod.rs
+++ b/crates/node/src/outbound/mod.rs
@@ -1,10 +1,12 @@
-//! Requests of callers on this machine, from arrival to answer.
+//! Proxy for the requests of callers on this machine.
 //!
 //! [`OutboundProxy`] reads a request, finds its route, sends it to the inbound proxy of a
-//! picked backend server and decides what to do when that fails. What it
-//! decides by is in the modules without I/O: routes in
-//! [`config`](crate::config), the choice in [`member`](crate::member), further
-//! tries in [`retry`](crate::retry).
+//! picked member and decides what to do when that fails. The decisions are made by modules
+//! without I/O: routing in [`config`](crate::config), load balancing in
+//! [`member`](crate::member), and the retry budget in [`retry`](crate::retry).
+//!
+//! A *try* sends the request to one member. An *attempt* is one request of the caller, which
+//! may make several; a route's `attempts` limit the tries that reach a backend server.
 
 mod caller_input;
 mod deadline_tracker;
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -1,4 +1,4 @@
-//! The path of a caller's request.
+//! Proxy for requests of callers on this machine.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,7 +10,7 @@
     LocalReply, OutboundRequest,
     caller_input::{host_of, read_body},
     try_flow::TryFlow,
-    try_record::{TryRecord, final_answer, late_answer},
+    try_record::{TryRecord, final_reply, timeout_reply},
     try_sender::path_only,
 };
 use crate::{
@@ -22,32 +22,34 @@
     result_code::ResultCode,
 };
 
-/// Time after a node's start in which its first configuration is expected.
-const FIRST_CONFIG_TIME: Duration = Duration::from_millis(1_200);
-/// Most requests that are held for the first configuration.
-const HELD_MAX: u32 = 128;
-/// Least advice before the first configuration. When it isn't there soon after the start
-/// the store is away.
-const RETRY_NOT_READY: Duration = Duration::from_millis(500);
-/// Advice while stopping: the process ends and is back within a second or so.
+/// Time after the node's start within which its first configuration is expected.
+const FIRST_CONFIG_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Number of open requests above which none waits for the first configuration.
+const WAITING_REQUESTS_MAX: u32 = 128;
+/// Least `Retry-After` before the first configuration. If there is none soon after the
+/// start, the store is unavailable.
+const RETRY_NOT_READY_MIN: Duration = Duration::from_millis(500);
+/// `Retry-After` while the node stops. A restarted process is back within about a second.
 const RETRY_STOPPING: Duration = Duration::from_millis(250);
-/// Time before the caller's own end at which it gets a final answer: the way
-/// back takes a millisecond, a busy machine a few more.
+/// Time before the caller's deadline at which it gets a final response. The response takes a
+/// millisecond to reach the caller, and a few more on a busy machine.
 const ANSWER_MARGIN: Duration = Duration::from_millis(8);
 
-/// The path of a caller's request.
+/// Handles the requests of callers on this machine.
 #[derive(Debug, Clone)]
 pub struct OutboundProxy {
     core: Rc<NodeCore>,
 }
 
 impl OutboundProxy {
-    /// Makes the path for the callers of a node.
+    /// Creates the proxy of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
-    /// Answers a request.
+    /// Handles a request and returns the response for the caller.
+    ///
+    /// The response carries the caller's request identifier.
     pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = Instant::now();
         let id = incoming
@@ -56,9 +58,9 @@
             .cloned();
         let mut response = match self.receive(incoming, arrived).await {
             Ok(request) => self.serve(&request).await,
-            Err(answer) => {
-                self.core.record_rejected(id.as_ref(), &answer);
-                answer.into_response()
+            Err(reply) => {
+                self.core.record_rejected(id.as_ref(), &reply);
+                reply.into_response()
             }
         };
         if let Some(id) = id {
@@ -103,7 +105,7 @@
         let fingerprint = request_fingerprint(&head.method, &head.uri, &head.headers, &body);
         self.check_fingerprint(fingerprint)?;
         let service = route.shares.draw();
-        let caller_end = deadline.map(|deadline| arrived + deadline);
+        let caller_deadline = deadline.map(|deadline| arrived + deadline);
         let first_attempt_at = self.first_attempt_at(arrived, &route, fingerprint, deadline);
         let target_deadline = first_attempt_at + route.target;
         let nested = self
@@ -120,7 +122,7 @@
             body,
             fingerprint,
             first_attempt_at,
-            caller_end,
+            caller_deadline,
             target_deadline,
             nested,
             route,
@@ -131,28 +133,27 @@
         })
     }
 
-    /// Returns the configuration in force. A node that has just started waits for the
-    /// first one.
+    /// Returns the configuration in force, after waiting for the first one if need be.
     ///
-    /// After a power cut callers ask again before any node has read its configuration,
-    /// and most of them ask no third time.
+    /// After a power cut, callers send their second attempt before any node has read its
+    /// configuration, and most of them make no third one.
     async fn current_config(&self) -> Result<Rc<MeshConfig>, LocalReply> {
         loop {
-            let heard = self.core.updates.notified();
+            let updated = self.core.updates.notified();
             let config = self.core.config.borrow().clone();
             if let Some(config) = config {
                 return Ok(config);
             }
-            let left = FIRST_CONFIG_TIME.saturating_sub(self.core.clock.now());
-            if left.is_zero() || self.core.open_requests.get() > HELD_MAX {
-                let retry_after = left.max(RETRY_NOT_READY);
+            let left = FIRST_CONFIG_TIMEOUT.saturating_sub(self.core.clock.now());
+            if left.is_zero() || self.core.open_requests.get() > WAITING_REQUESTS_MAX {
+                let retry_after = left.max(RETRY_NOT_READY_MIN);
                 return Err(LocalReply::not_run(ResultCode::NotReady, retry_after));
             }
-            let _timed_out = timeout(left, heard).await;
+            let _timed_out = timeout(left, updated).await;
         }
     }
 
-    /// Refuses a request that has crashed backend servers.
+    /// Refuses a request whose fingerprint has crashed backend servers.
     fn check_fingerprint(&self, fingerprint: u64) -> Result<(), LocalReply> {
         let now = self.core.clock.now();
         let refusal = self.core.crashes.borrow().refusal(now, fingerprint);
@@ -161,8 +162,10 @@
         })
     }
 
-    /// Returns when the caller first asked: by what it was refused here or, where it
-    /// wasn't, by what is left of its time.
+    /// Returns the time of the caller's first attempt, as far as it is known.
+    ///
+    /// It is taken from an earlier refusal of the request here or, without one, estimated
+    /// from the remaining time in the request.
     fn first_attempt_at(
         &self,
         arrived: Instant,
@@ -186,15 +189,19 @@
             .unwrap_or(arrived)
     }
 
-    /// Remembers a request that gets no answer: its caller may come again.
-    fn note_refused(&self, request: &OutboundRequest) {
-        let Some(caller_end) = request.caller_end else {
+    /// Records a request that gets no response of a backend server, as its caller may send
+    /// it again.
+    fn record_refused(&self, request: &OutboundRequest) {
+        let Some(caller_deadline) = request.caller_deadline else {
             return;
         };
         let clock = self.core.clock;
-        let (first, end) = (clock.at(request.first_attempt_at), clock.at(caller_end));
+        let (first_attempt_at, caller_deadline) = (
+            clock.at(request.first_attempt_at),
+            clock.at(caller_deadline),
+        );
         let mut resends = self.core.resends.borrow_mut();
-        resends.refused(request.fingerprint, first, end);
+        resends.refused(request.fingerprint, first_attempt_at, caller_deadline);
     }
 
     async fn serve(&self, request: &OutboundRequest) -> Response<ResponseBody> {
@@ -202,25 +209,31 @@
         self.core
             .retries
             .borrow_mut()
-            .requested(now, &request.service);
+            .record_request(now, &request.service);
         let mut tries = TryRecord::new(&self.core, request);
         let flow = TryFlow::new(&self.core, request);
-        let served = timeout_at(request.ends_at, flow.answer(&mut tries)).await;
+        let served = timeout_at(request.ends_at, flow.run(&mut tries)).await;
         tries.settled = true;
-        let answer = match served {
+        let result = match served {
             Ok(Some(response)) => Ok(response),
-            // What a backend server answered goes out, be it a failure.
-            Ok(None) => tries.kept.take().ok_or_else(|| final_answer(&tries)),
-            Err(_elapsed) => tries.kept.take().ok_or_else(|| late_answer(&tries)),
+            // A backend server's response goes to the caller even if it is a failure.
+            Ok(None) => tries
+                .fallback_response
+                .take()
+                .ok_or_else(|| final_reply(&tries)),
+            Err(_elapsed) => tries
+                .fallback_response
+                .take()
+                .ok_or_else(|| timeout_reply(&tries)),
         };
-        match answer {
+        match result {
             Ok(response) => {
                 let count = tries.count();
                 self.core
-                    .record_served(request, &response, tries.at.as_ref(), count);
+                    .record_served(request, &response, tries.last_member.as_ref(), count);
                 *response
             }
-            Err(answer) => {
+            Err(reply) => {
                 let now = self.core.clock.now();
                 let mut nested_calls = self.core.inbound.nested_calls().borrow_mut();
                 let learned = nested_calls.request_failed(now, request.route.route_hash);
@@ -228,11 +241,11 @@
                 if let Some(route_hash) = learned {
                     self.core.record_nested_calls(route_hash);
                 }
-                self.note_refused(request);
-                let cause = tries.broke.as_deref();
+                self.record_refused(request);
+                let cause = tries.failure_cause.as_deref();
                 self.core
-                    .record_failed(request, &answer, tries.count(), cause);
-                answer.into_response()
+                    .record_failed(request, &reply, tries.count(), cause);
+                reply.into_response()
             }
         }
     }
--- a/crates/node/src/outbound/outbound_request.rs
+++ b/crates/node/src/outbound/outbound_request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and routed.
+//! Requests of callers.
 
 use std::rc::Rc;
 
@@ -8,38 +8,37 @@
 
 use crate::config::{ConfigVersion, RouteRule};
 
-/// A caller's request, read and routed.
+/// A caller's request after it was read and routed.
 #[derive(Debug, Clone)]
 pub struct OutboundRequest {
-    /// Identifier of the caller's attempt, for the log.
+    /// Identifier of the caller's attempt, for the log; empty if the caller sent none.
     pub id: Rc<str>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the request line.
     pub uri: Uri,
-    /// Headers to pass on.
+    /// Headers to send to the backend server.
     pub headers: HeaderMap,
-    /// Body.
+    /// Whole body.
     pub body: Bytes,
-    /// Hash by which it is known when it comes again.
+    /// Hash of the request, by which a repeated one is recognised.
     pub fingerprint: u64,
-    /// Route.
+    /// Route of the request.
     pub route: Rc<RouteRule>,
-    /// Service that the route's weights gave.
+    /// Service that was selected by the route's weights.
     pub service: Rc<str>,
-    /// Version by which it was routed.
+    /// Version of the configuration by which the request was routed.
     pub version: ConfigVersion,
-    /// Whether it is a call of this machine's backend server, which belongs to
-    /// a run that has begun.
+    /// Whether this machine's backend server sent the request during a run of its own.
     pub nested: bool,
-    /// Arrival.
+    /// When the request arrived at the node.
     pub arrived: Instant,
-    /// When its caller first asked, as far as is known.
+    /// When the caller made its first attempt, as far as is known.
     pub first_attempt_at: Instant,
-    /// When its caller stops waiting, if it says so.
-    pub caller_end: Option<Instant>,
-    /// Time by which the answer is of full use.
+    /// When the caller stops waiting; none if it doesn't say.
+    pub caller_deadline: Option<Instant>,
+    /// When the target response time of the route is over, counted from the first attempt.
     pub target_deadline: Instant,
-    /// Time at which the caller gets a final answer.
+    /// When the caller gets a final response at the latest.
     pub ends_at: Instant,
 }
--- a/crates/node/src/outbound/resend_tracker.rs
+++ b/crates/node/src/outbound/resend_tracker.rs
@@ -1,55 +1,64 @@
-//! When callers that come again first asked.
+//! Recognises requests that were refused before.
 
 use std::{
     collections::{HashMap, VecDeque},
     time::Duration,
 };
 
-/// Refused requests that are remembered: three seconds' worth of a node that refuses
-/// everything that its machine's callers ask for at ten times today's rate.
-const KEPT: usize = 1_024;
-/// Difference of two attempts' ends that may be one caller's: the way to the node
-/// takes up to ten milliseconds, a caller on a busy machine some more.
-const SAME_END: Duration = Duration::from_millis(25);
+/// Number of refused requests that are remembered. It covers three seconds of a node that
+/// refuses all requests of its callers at ten times today's rate.
+const REFUSED_MAX: usize = 1_024;
+/// Largest difference between the deadlines of two attempts of one caller. A request takes up
+/// to ten milliseconds to reach the node, and some more on a busy machine.
+const CALLER_DEADLINE_TOLERANCE: Duration = Duration::from_millis(25);
 
-/// A request that was refused, and may come again.
+/// A refused request that may be sent again.
 #[derive(Debug, Clone, Copy)]
 struct RefusedRequest {
     first_attempt_at: Duration,
-    /// When its caller stops waiting.
-    caller_end: Duration,
+    /// When the caller stops waiting.
+    caller_deadline: Duration,
 }
 
-/// When callers that come again first asked, by what they were refused here.
+/// Remembers refused requests, to find the first attempt when they are sent again.
 ///
-/// Callers that were refused come again with what is left of their time, after pauses
-/// that differ from one to the next. If they are taken for new, files on full links go to
-/// callers who asked long before, who get them late, in the place of others that could
-/// have been in time. The same request whose caller stops waiting at the same moment is
-/// the same caller's; it is remembered until then.
+/// Callers that were refused send the request again with their remaining time, after pauses
+/// of different lengths. If such a request counted as new, long responses on full links
+/// would go to callers that have waited long and get them late, in place of others that
+/// could have been in time. A request with the same fingerprint and the same caller deadline
+/// is taken for one of the same caller. It is remembered until that deadline.
 #[derive(Debug, Default)]
 pub struct ResendTracker {
     refused: HashMap<u64, RefusedRequest>,
-    /// The same in the order in which they were refused.
+    /// Fingerprints and caller deadlines in the order of refusal.
     order: VecDeque<(u64, Duration)>,
 }
 
 impl ResendTracker {
-    /// Notes that the request with this hash got no answer.
-    pub fn refused(&mut self, fingerprint: u64, first_attempt_at: Duration, caller_end: Duration) {
-        while self.order.len() >= KEPT {
+    /// Records that the request with `fingerprint` got no response of a backend server.
+    ///
+    /// The oldest request is forgotten if too many are remembered.
+    pub fn refused(
+        &mut self,
+        fingerprint: u64,
+        first_attempt_at: Duration,
+        caller_deadline: Duration,
+    ) {
+        while self.order.len() >= REFUSED_MAX {
             self.forget_oldest();
         }
         let request = RefusedRequest {
             first_attempt_at,
-            caller_end,
+            caller_deadline,
         };
         self.refused.insert(fingerprint, request);
-        self.order.push_back((fingerprint, caller_end));
+        self.order.push_back((fingerprint, caller_deadline));
     }
 
-    /// Returns when the caller of the request with this hash first asked, if it was
-    /// refused here before.
+    /// Returns the time of the first attempt of a request that was refused here before.
+    ///
+    /// The result is none if no refused request has this fingerprint and about the same
+    /// caller deadline.
     ///
     /// # Examples
     ///
@@ -57,20 +66,24 @@
     /// use std::time::Duration;
     /// use geranium_node::outbound::ResendTracker;
     ///
-    /// let mut book = ResendTracker::default();
-    /// let (asked, end) = (Duration::from_millis(100), Duration::from_millis(1_100));
-    /// book.refused(7, asked, end);
-    /// assert_eq!(book.first_attempt_at(7, end + Duration::from_millis(3)), Some(asked));
-    /// // Another caller asks for the same.
-    /// assert_eq!(book.first_attempt_at(7, end + Duration::from_millis(400)), None);
+    /// let mut tracker = ResendTracker::default();
+    /// let (first, end) = (Duration::from_millis(100), Duration::from_millis(1_100));
+    /// tracker.refused(7, first, end);
+    /// assert_eq!(tracker.first_attempt_at(7, end + Duration::from_millis(3)), Some(first));
+    /// // Another caller sends the same request.
+    /// assert_eq!(tracker.first_attempt_at(7, end + Duration::from_millis(400)), None);
     /// ```
-    pub fn first_attempt_at(&self, fingerprint: u64, caller_end: Duration) -> Option<Duration> {
+    pub fn first_attempt_at(
+        &self,
+        fingerprint: u64,
+        caller_deadline: Duration,
+    ) -> Option<Duration> {
         let request = self.refused.get(&fingerprint)?;
-        let same = request.caller_end.abs_diff(caller_end) <= SAME_END;
+        let same = request.caller_deadline.abs_diff(caller_deadline) <= CALLER_DEADLINE_TOLERANCE;
         same.then_some(request.first_attempt_at)
     }
 
-    /// Forgets callers that have stopped waiting.
+    /// Forgets requests whose callers have stopped waiting.
     pub fn sweep(&mut self, now: Duration) {
         while self.order.front().is_some_and(|(_, end)| *end < now) {
             self.forget_oldest();
@@ -81,7 +94,7 @@
         let Some((fingerprint, end)) = self.order.pop_front() else {
             return;
         };
-        let is_latest = |request: &RefusedRequest| request.caller_end == end;
+        let is_latest = |request: &RefusedRequest| request.caller_deadline == end;
         if self.refused.get(&fingerprint).is_some_and(is_latest) {
             self.refused.remove(&fingerprint);
         }
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -1,4 +1,4 @@
-//! The tries of one request at members.
+//! Sequence of tries of one request.
 
 use std::rc::Rc;
 
@@ -21,15 +21,16 @@
     retry::RetryNeed,
 };
 
-/// A member to be asked.
+/// A member that the request is sent to next, or was sent to.
 #[derive(Debug, Clone)]
 pub(super) struct NextTry {
     pub(super) key: MemberKey,
     pub(super) record: MemberRecord,
+    /// Whether the request may wait in the member's queue; otherwise it is a probe.
     may_wait: bool,
 }
 
-/// The tries of one request at members.
+/// Sends one request to members until one responds or the request is given up.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TryFlow<'a> {
     pub(super) core: &'a Rc<NodeCore>,
@@ -41,28 +42,28 @@
         Self { core, request }
     }
 
-    /// Asks members until one answers; nothing when the request is given up.
-    pub(super) async fn answer(
+    /// Tries members until one responds. Returns none when the request is given up.
+    pub(super) async fn run(
         self,
         tries: &mut TryRecord<'_>,
     ) -> Option<Box<Response<ResponseBody>>> {
         loop {
             let next = self.next_try(tries)?;
             tries.begin(next.key);
-            let (asked, result) = self.send_watched(next, tries).await;
+            let (sent_try, result) = self.send_watched(next, tries).await;
             match result {
                 Ok(response) => {
-                    tries.under_way -= 1;
-                    tries.at = Some(asked.record);
-                    if let Some(response) = self.take_answer(tries, asked.key, response) {
+                    tries.in_flight -= 1;
+                    tries.last_member = Some(sent_try.record);
+                    if let Some(response) = self.accept_response(tries, sent_try.key, response) {
                         return Some(response);
                     }
                 }
                 Err(failure) => {
-                    let broke = matches!(failure, TryFailure::ResponseLost { .. });
-                    self.note_failure(tries, &asked, failure);
-                    tries.at = Some(asked.record);
-                    if broke && !self.request.route.kind.is_idempotent() {
+                    let response_lost = matches!(failure, TryFailure::ResponseLost { .. });
+                    self.record_failure(tries, &sent_try, failure);
+                    tries.last_member = Some(sent_try.record);
+                    if response_lost && !self.request.route.kind.is_idempotent() {
                         return None;
                     }
                 }
@@ -70,10 +71,11 @@
         }
     }
 
-    /// Takes in an answer, and returns it unless another member is to be asked
-    /// in place of a failure. The failure is kept: when the others can't do
-    /// better it is the answer.
-    fn take_answer(
+    /// Records a response, and returns it unless another member is to be tried.
+    ///
+    /// Another member is tried only after a failure. That failure is kept as the fallback
+    /// response in case the further tries fail, too.
+    fn accept_response(
         self,
         tries: &mut TryRecord<'_>,
         key: MemberKey,
@@ -81,29 +83,28 @@
     ) -> Option<Box<Response<ResponseBody>>> {
         let failed = response.status().is_server_error();
         let now = self.core.clock.now();
-        let end = TryOutcome::Answered { failed };
+        let outcome = TryOutcome::Answered { failed };
         self.core
             .fleet
             .borrow_mut()
-            .record_try_outcome(now, key, end);
+            .record_try_outcome(now, key, outcome);
         let whole = response.body().size_hint().exact().is_some();
         if !(failed && whole && self.may_retry(tries, key)) {
             return Some(response);
         }
         tries.ran = true;
-        tries.broke = Some(format!("status {}", response.status().as_u16()));
-        tries.kept = Some(response);
+        tries.failure_cause = Some(format!("status {}", response.status().as_u16()));
+        tries.fallback_response = Some(response);
         None
     }
 
-    /// Sends a try, and watches whether its member lives. Returns the try that the
-    /// outcome is of.
+    /// Sends the request to a member, and to a second one if the first is silent.
     ///
-    /// When a member freezes, loses power, or its connection goes silent for good,
-    /// nothing answers and nothing breaks. A member that has answered nobody here for
-    /// some runs since this was sent is left by others, and a request that may run twice
-    /// is sent to another one as well. The first try goes on until the second has an
-    /// answer: it may be the only one to get one.
+    /// Returns the try that ended last or responded, with its result. When a member freezes,
+    /// loses power or its connection stalls, no response arrives and no error either. A
+    /// member that sends this node nothing for the silence timeout is ejected, and an
+    /// idempotent request is sent to another member as well (hedging). The first try
+    /// continues until the second has a response, as it may be the only one to get one.
     async fn send_watched(self, next: NextTry, tries: &mut TryRecord<'_>) -> (NextTry, TryResult) {
         let sent_at = self.core.clock.now();
         let silence_timeout = {
@@ -140,11 +141,11 @@
             result = &mut second => match result {
                 Ok(response) => {
                     drop((first, second));
-                    tries.under_way -= 1;
+                    tries.in_flight -= 1;
                     (other, Ok(response))
                 }
                 Err(failure) => {
-                    self.note_failure(tries, &other, failure);
+                    self.record_failure(tries, &other, failure);
                     let result = first.await;
                     (next, result)
                 }
@@ -152,11 +153,11 @@
             result = &mut first => match result {
                 Ok(response) => {
                     drop((first, second));
-                    tries.under_way -= 1;
+                    tries.in_flight -= 1;
                     (next, Ok(response))
                 }
                 Err(failure) => {
-                    self.note_failure(tries, &next, failure);
+                    self.record_failure(tries, &next, failure);
                     let result = second.await;
                     (other, result)
                 }
@@ -172,8 +173,10 @@
         }
     }
 
-    /// Whether a silent try may be doubled: it may run twice, another member
-    /// has room, and the budget a further try.
+    /// Whether a silent try may be hedged with a second one.
+    ///
+    /// The request must be idempotent, another member available, and the retry budget not
+    /// used up.
     fn may_double(self, tries: &TryRecord<'_>) -> bool {
         let now = self.core.clock.now();
         let fleet = self.core.fleet.borrow();
@@ -183,7 +186,8 @@
             && self.may_run_again(fleet.len())
     }
 
-    /// Whether a failed answer may be replaced by another try.
+    /// Whether the request may be tried again after the member `failed` responded with a
+    /// failure.
     fn may_retry(self, tries: &TryRecord<'_>, failed: MemberKey) -> bool {
         let early = Instant::now() < self.request.target_deadline;
         let idempotent = self.request.route.kind.is_idempotent();
@@ -199,7 +203,7 @@
         tries.arrivals < self.request.route.attempts && tries.tried.len() < TRIES_MAX
     }
 
-    /// Whether the budget has room for a request that has run, or may have.
+    /// Whether the retry budget allows a further try of a request that may have run.
     fn may_run_again(self, nodes: usize) -> bool {
         let need = RetryNeed {
             service: &self.request.service,
@@ -210,7 +214,7 @@
         self.core.retries.borrow().has_room(now, need)
     }
 
-    /// Picks the next member, or none when the request is to be given up.
+    /// Picks the next member, or returns none when the request is to be given up.
     fn next_try(self, tries: &mut TryRecord<'_>) -> Option<NextTry> {
         if tries.tried.len() >= TRIES_MAX || tries.crashes_servers {
             return None;
@@ -218,8 +222,8 @@
         let now = self.core.clock.now();
         let query = self.query(tries);
         let fleet = self.core.fleet.borrow();
-        // All members that could be asked have just reported their links as full: asking
-        // again would only cost each of them a request.
+        // All members that could be tried have just reported that their links are full. Further
+        // tries would only cost each of them a request.
         if let Some(retry_after) = fleet.link_wait(now, &query) {
             tries.refusal = Some(InboundRefusal {
                 reason: RefusalReason::LinkFull,
@@ -231,19 +235,19 @@
             return None;
         }
         let rng = &mut rand::rng();
-        let home = fleet.pick_in_data_centre(now, &query, rng);
-        // A suspect has to wait for its turn at any inbound proxy.
+        let near = fleet.pick_in_data_centre(now, &query, rng);
+        // A request that is suspected of crashing servers must queue at every inbound proxy.
         let suspect = self
             .core
             .crashes
             .borrow()
             .is_suspect(now, self.request.fingerprint);
-        let probes = home.is_none()
+        let probes = near.is_none()
             && !suspect
             && tries.probed.len() < PROBES_MAX
             && fleet.may_probe(&query);
-        let key = match home {
-            Some(home) => home,
+        let key = match near {
+            Some(near) => near,
             None if probes => fleet.pick(now, &query, rng)?,
             None => fleet.pick_queue(now, &query, rng)?,
         };
@@ -259,7 +263,9 @@
         Some(next)
     }
 
-    /// Takes a further arrival out of the budget, if it has one.
+    /// Withdraws a further arrival at a backend server from the retry budget.
+    ///
+    /// Returns false if the route's attempts or the budget are used up.
     fn may_arrive_again(self, tries: &TryRecord<'_>) -> bool {
         if tries.arrivals >= self.request.route.attempts {
             return false;
--- a/crates/node/src/outbound/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -1,4 +1,4 @@
-//! What is known of a request's tries.
+//! State of the tries of one request.
 
 use std::time::Duration;
 
@@ -14,42 +14,45 @@
     result_code::ResultCode,
 };
 
-/// Members asked for one request, refusals of inbound proxies included. A third that is
-/// full says that the service is.
+/// Number of members tried for one request, with those whose inbound proxy refused. If a
+/// third one is full, so is the service.
 pub(super) const TRIES_MAX: usize = 3;
-/// Members probed for a free slot before one is waited for. Each costs both nodes a call.
+/// Number of members probed for a free slot before the request waits in a queue. Each probe
+/// costs both nodes a call.
 pub(super) const PROBES_MAX: usize = 1;
-/// Advice when no backend server takes work: one restarts, or is announced
-/// again, within a second or two.
+/// `Retry-After` when no backend server takes requests. A backend server restarts, or is
+/// announced again, within one or two seconds.
 const RETRY_NO_BACKEND: Duration = Duration::from_millis(250);
-/// Least advice on when to come back.
+/// Least `Retry-After`.
 pub(super) const RETRY_MIN: Duration = Duration::from_millis(30);
 
-/// What is known of a request's tries so far.
+/// State of the tries of one request so far.
 #[derive(Debug)]
 pub(super) struct TryRecord<'a> {
     pub(super) core: &'a NodeCore,
     pub(super) request: &'a OutboundRequest,
-    /// Whether the request has its answer.
+    /// Whether the request has its final response.
     pub(super) settled: bool,
     /// Member of the last try.
-    pub(super) at: Option<MemberRecord>,
+    pub(super) last_member: Option<MemberRecord>,
     pub(super) tried: SmallVec<[MemberKey; TRIES_MAX]>,
     /// Members that had no free slot.
     pub(super) probed: SmallVec<[MemberKey; PROBES_MAX]>,
-    /// Backend servers that it came to, or may have come to.
+    /// Number of backend servers that the request reached, or may have reached.
     pub(super) arrivals: u32,
-    /// Tries that are under way: a timeout in their middle must not promise
-    /// that they didn't run.
-    pub(super) under_way: u32,
+    /// Number of tries in flight. After a timeout during one, the caller must not be told
+    /// that the request didn't run.
+    pub(super) in_flight: u32,
     /// Whether a try that has ended may have run.
     pub(super) ran: bool,
+    /// Last refusal.
     pub(super) refusal: Option<InboundRefusal>,
-    pub(super) broke: Option<String>,
-    /// Whether it crashes backend servers, or may do so: no other one may be tried.
+    /// Cause of the last failure of a try that may have run, for the log.
+    pub(super) failure_cause: Option<String>,
+    /// Whether the request crashes backend servers, or may do so. No other may be tried then.
     pub(super) crashes_servers: bool,
-    /// A failure that a backend server answered, while another is tried.
-    pub(super) kept: Option<Box<Response<ResponseBody>>>,
+    /// A backend server's failure response, which is used if no other try succeeds.
+    pub(super) fallback_response: Option<Box<Response<ResponseBody>>>,
 }
 
 impl<'a> TryRecord<'a> {
@@ -58,55 +61,55 @@
             core,
             request,
             settled: false,
-            at: None,
+            last_member: None,
             tried: SmallVec::new(),
             probed: SmallVec::new(),
             arrivals: 0,
-            under_way: 0,
+            in_flight: 0,
             ran: false,
             refusal: None,
-            broke: None,
+            failure_cause: None,
             crashes_servers: false,
-            kept: None,
+            fallback_response: None,
         }
     }
 
-    /// Returns how many members were asked.
+    /// Returns the number of members that were tried or probed.
     pub(super) fn count(&self) -> usize {
         self.tried.len() + self.probed.len()
     }
 
-    /// Notes that a try goes to `key`.
+    /// Records the start of a try at `key`.
     pub(super) fn begin(&mut self, key: MemberKey) {
         self.tried.push(key);
         self.arrivals += 1;
-        self.under_way += 1;
+        self.in_flight += 1;
     }
 
-    /// Notes that a try didn't come to a backend server.
-    pub(super) fn never_arrived(&mut self) {
+    /// Records that a try didn't reach a backend server.
+    pub(super) fn record_not_arrived(&mut self) {
         self.arrivals = self.arrivals.saturating_sub(1);
     }
 
-    /// Notes that a member had no free slot; it may be waited for later.
-    pub(super) fn was_busy(&mut self, key: MemberKey) {
+    /// Records that a member had no free slot. It may be tried again with queueing.
+    pub(super) fn record_busy(&mut self, key: MemberKey) {
         self.tried.retain(|tried| *tried != key);
         self.probed.push(key);
     }
 
-    /// Whether the last refusal was for want of room.
+    /// Whether the last refusal was because of a lack of capacity.
     pub(super) fn is_full(&self) -> bool {
         self.refusal.is_some_and(|refusal| refusal.reason.is_full())
     }
 
-    /// Whether a try has run, or may have.
+    /// Whether the request has run, or may have.
     pub(super) fn may_have_run(&self) -> bool {
-        self.ran || self.under_way > 0
+        self.ran || self.in_flight > 0
     }
 }
 
 impl Drop for TryRecord<'_> {
-    /// A record that is dropped unsettled belongs to a caller that left.
+    /// Records that the caller left if the request has no final response yet.
     fn drop(&mut self) {
         if !self.settled {
             self.core.record_caller_left(self.request, self.count());
@@ -114,8 +117,8 @@
     }
 }
 
-/// Returns the answer for a request that is given up.
-pub(super) fn final_answer(tries: &TryRecord<'_>) -> LocalReply {
+/// Returns the reply to a request that is given up.
+pub(super) fn final_reply(tries: &TryRecord<'_>) -> LocalReply {
     if tries.may_have_run() {
         return LocalReply::maybe_run(ResultCode::BackendBroke);
     }
@@ -128,11 +131,11 @@
         return LocalReply::not_run(code, RETRY_NO_BACKEND);
     };
     let retry_after = refusal.retry_after.max(RETRY_MIN);
-    LocalReply::not_run(code_of(refusal.reason), retry_after)
+    LocalReply::not_run(result_code_of(refusal.reason), retry_after)
 }
 
-/// Returns the answer for a request whose time is over.
-pub(super) fn late_answer(tries: &TryRecord<'_>) -> LocalReply {
+/// Returns the reply to a request whose time ran out.
+pub(super) fn timeout_reply(tries: &TryRecord<'_>) -> LocalReply {
     if tries.may_have_run() {
         LocalReply::timed_out()
     } else {
@@ -140,7 +143,7 @@
     }
 }
 
-const fn code_of(reason: RefusalReason) -> ResultCode {
+const fn result_code_of(reason: RefusalReason) -> ResultCode {
     match reason {
         RefusalReason::Shut | RefusalReason::EndpointDown | RefusalReason::OtherInstance => {
             ResultCode::NoBackend
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one member.
+//! Sends a request to one member.
 
 use std::rc::Rc;
 
@@ -26,33 +26,34 @@
     transport::{ExchangeError, PeerRequestHeader},
 };
 
-/// How a try ended without an answer of the backend server.
+/// Why a try ended without a response of the backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TryFailure {
-    /// The request certainly didn't run there.
+    /// The member refused the request, which certainly didn't run there.
     Refused(InboundRefusal),
-    /// The node there couldn't be reached; nothing was sent.
+    /// The member's node couldn't be reached, and nothing was sent. The text is the reason.
     Unreachable(String),
-    /// The request may have run; there is no usable answer.
+    /// The request may have run, but there is no usable response.
     ResponseLost {
-        /// What was met.
+        /// Reason, for the log.
         reason: String,
-        /// What was found of the backend server, where its connection broke.
+        /// Diagnosis of the backend server if the connection to it broke.
         diagnosis: Option<BreakDiagnosis>,
     },
 }
 
-/// How a try ended: with the backend server's answer, good or not, or without.
+/// Result of a try: the backend server's response, which may be a failure, or why there is
+/// none.
 pub type TryResult = Result<Box<Response<ResponseBody>>, TryFailure>;
 
-/// Sends requests to inbound proxies, the own one or those of other nodes.
+/// Sends a request to the node's own inbound proxy or to that of another node.
 #[derive(Debug, Clone, Copy)]
 pub struct TrySender<'a> {
-    /// Node.
+    /// State of the node.
     pub core: &'a Rc<NodeCore>,
-    /// Request.
+    /// Request to send.
     pub request: &'a OutboundRequest,
-    /// Whether it may wait for a slot; it probes for a free one otherwise.
+    /// Whether the request may wait in the queue; otherwise it only probes for a free slot.
     pub may_wait: bool,
 }
 
@@ -61,17 +62,17 @@
     ///
     /// # Errors
     ///
-    /// How the try ended without an answer of the backend server.
+    /// Why the try ended without a response of the backend server.
     pub async fn send(self, key: MemberKey, record: &MemberRecord) -> TryResult {
         let guard = InFlightGuard::new(self.core, key);
         if record.peer_addr == self.core.settings.peer_addr {
-            self.send_home(guard, record).await
+            self.send_local(guard, record).await
         } else {
-            self.send_away(guard, key, record).await
+            self.send_to_peer(guard, key, record).await
         }
     }
 
-    async fn send_home(self, guard: InFlightGuard, record: &MemberRecord) -> TryResult {
+    async fn send_local(self, guard: InFlightGuard, record: &MemberRecord) -> TryResult {
         let request = self.request;
         let inbound_request = InboundRequest {
             origin: RequestOrigin::Caller,
@@ -89,11 +90,11 @@
             fingerprint: request.fingerprint,
         };
         let idempotent = request.route.kind.is_idempotent();
-        let answer = self.core.inbound.run(inbound_request, idempotent).await;
+        let result = self.core.inbound.run(inbound_request, idempotent).await;
         let route_hash = request.route.route_hash;
         let load = self.core.inbound.load(route_hash);
         self.core.record_load(guard.key(), route_hash, load);
-        match answer {
+        match result {
             Ok(response) => Ok(Box::new(
                 response.map(|body| body.with_in_flight_guard(guard)),
             )),
@@ -104,33 +105,33 @@
         }
     }
 
-    async fn send_away(
+    async fn send_to_peer(
         self,
         mut guard: InFlightGuard,
         key: MemberKey,
         record: &MemberRecord,
     ) -> TryResult {
-        let outgoing = self.outgoing(record);
-        let bytes = head_bytes(outgoing.headers()) + self.request.body.len() as u64;
+        let peer_request = self.peer_request(record);
+        let bytes = head_bytes(peer_request.headers()) + self.request.body.len() as u64;
         let link = &self.core.link;
         link.sent(self.core.clock.now(), LinkTraffic::Request, bytes);
         let idle_time = self.core.settings.peer_idle_timeout;
         let exchange = self
             .core
             .peer_connections
-            .exchange(record.peer_addr, outgoing, idle_time)
+            .exchange(record.peer_addr, peer_request, idle_time)
             .await;
         let (response, sender) = match exchange {
-            Ok(answer) => answer,
+            Ok(exchanged) => exchanged,
             Err(ExchangeError::NotSent { reason } | ExchangeError::Refused { reason }) => {
                 return Err(TryFailure::Unreachable(reason));
             }
-            Err(ExchangeError::ResponseLost { reason }) => return Err(unexplained(reason)),
+            Err(ExchangeError::ResponseLost { reason }) => return Err(undiagnosed(reason)),
         };
         guard.hold(sender);
-        self.learn(key, record, response.headers());
-        let refusal = parsed::<InboundRefusal>(response.headers(), &PEER_REFUSAL_HEADER);
-        let broke = header_text(response.headers(), &PEER_FAILURE_HEADER).map(ToOwned::to_owned);
+        self.record_peer_headers(key, record, response.headers());
+        let refusal = parse_header::<InboundRefusal>(response.headers(), &PEER_REFUSAL_HEADER);
+        let failure = header_text(response.headers(), &PEER_FAILURE_HEADER).map(ToOwned::to_owned);
         let diagnosis = header_text(response.headers(), &PEER_DIAGNOSIS_HEADER);
         let diagnosis = diagnosis.and_then(|text| serde_json::from_str(text).ok());
         let (mut head, body) = response.into_parts();
@@ -142,23 +143,23 @@
         }
         let whole = match whole(body, guard).await {
             Ok(whole) => whole,
-            Err(reason) => return Err(unexplained(reason)),
+            Err(reason) => return Err(undiagnosed(reason)),
         };
-        match (refusal, broke) {
+        match (refusal, failure) {
             (Some(refusal), _) => Err(TryFailure::Refused(refusal)),
             (None, Some(reason)) => Err(TryFailure::ResponseLost { reason, diagnosis }),
             (None, None) => {
-                let answer = Response::from_parts(head, ResponseBody::whole(whole));
-                Ok(Box::new(answer))
+                let response = Response::from_parts(head, ResponseBody::whole(whole));
+                Ok(Box::new(response))
             }
         }
     }
 
-    fn outgoing(self, record: &MemberRecord) -> Request<Full<Bytes>> {
+    fn peer_request(self, record: &MemberRecord) -> Request<Full<Bytes>> {
         let request = self.request;
         let names = &self.core.headers;
         let now = Instant::now();
-        let note = PeerRequestHeader {
+        let peer_header = PeerRequestHeader {
             rank: request.route.rank,
             route_hash: request.route.route_hash,
             nested: request.nested,
@@ -179,17 +180,17 @@
             &names.expected_instance,
             record.start.instance(),
         );
-        set_header(&mut headers, &PEER_REQUEST_HEADER, &note.to_string());
-        let mut outgoing = Request::new(Full::new(request.body.clone()));
-        *outgoing.method_mut() = request.method.clone();
-        *outgoing.uri_mut() = path_only(&request.uri);
-        *outgoing.headers_mut() = headers;
-        outgoing
+        set_header(&mut headers, &PEER_REQUEST_HEADER, &peer_header.to_string());
+        let mut peer_request = Request::new(Full::new(request.body.clone()));
+        *peer_request.method_mut() = request.method.clone();
+        *peer_request.uri_mut() = path_only(&request.uri);
+        *peer_request.headers_mut() = headers;
+        peer_request
     }
 
-    /// Takes in what the other node says of itself.
-    fn learn(self, key: MemberKey, record: &MemberRecord, headers: &HeaderMap) {
-        if let Some(load) = parsed::<LoadReport>(headers, &PEER_LOAD_HEADER) {
+    /// Records the load and the configuration version that the other node reports.
+    fn record_peer_headers(self, key: MemberKey, record: &MemberRecord, headers: &HeaderMap) {
+        if let Some(load) = parse_header::<LoadReport>(headers, &PEER_LOAD_HEADER) {
             self.core
                 .record_load(key, self.request.route.route_hash, load);
         }
@@ -202,14 +203,16 @@
     }
 }
 
-/// Returns the path and query alone, as a request line carries them.
+/// Returns only the path and query, as they stand in a request line.
 pub(super) fn path_only(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
 }
 
-/// A break of the connection to the other node, which says nothing of the backend server.
-const fn unexplained(reason: String) -> TryFailure {
+/// Returns the failure for a broken connection to the other node.
+///
+/// It has no diagnosis, since it says nothing about the backend server.
+const fn undiagnosed(reason: String) -> TryFailure {
     let diagnosis = None;
     TryFailure::ResponseLost { reason, diagnosis }
 }
@@ -224,6 +227,6 @@
     }
 }
 
-fn parsed<T: std::str::FromStr>(headers: &HeaderMap, name: &header::HeaderName) -> Option<T> {
+fn parse_header<T: std::str::FromStr>(headers: &HeaderMap, name: &header::HeaderName) -> Option<T> {
     header_text(headers, name)?.parse().ok()
 }
--- a/crates/node/src/retry/mod.rs
+++ b/crates/node/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! How many further tries a node may make.
+//! Budget that limits a node's retries.
 
 mod retry_budget;
 
--- a/crates/node/src/retry/retry_budget.rs
+++ b/crates/node/src/retry/retry_budget.rs
@@ -1,4 +1,4 @@
-//! One node's share of the retries that all nodes may make together.
+//! Retry budget of one node.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -6,61 +6,64 @@
     time::Duration,
 };
 
-/// Part of the allowance that is used. The rest covers requests that the
-/// bound doesn't see as this node does, on the edge of a window, and the calls that
-/// repeated runs make again.
-const USED_PART: f64 = 0.55;
-/// Part of the allowance that may go to requests that have run, or may have. Each
-/// makes its calls anew, and those count as repeats at the service that is called:
-/// two calls a run fill what is left there.
-const RERUN_PART: f64 = 0.25;
-/// Width of a bucket: a tenth of a usual window, so that at most a tenth of
-/// its requests are counted for too long.
-const BUCKET: Duration = Duration::from_secs(1);
-
-/// Terms of the bound that all nodes keep together.
+/// Share of the allowance that retries may use. The rest covers requests at the edges of a
+/// window, which the common limit may count differently from this node, and the calls that
+/// are repeated when a request runs again.
+const RETRY_SHARE: f64 = 0.55;
+/// Share of the allowance that may be used for requests that have run, or may have. Each of
+/// them repeats its calls, which count as retries at the called service. With two calls per
+/// run, they use up what `RETRY_SHARE` leaves there.
+const RERUN_SHARE: f64 = 0.25;
+/// Width of a bucket. It is a tenth of a usual window, so at most a tenth of the requests in
+/// a window are counted for too long.
+const BUCKET_WIDTH: Duration = Duration::from_secs(1);
+
+/// Limit on the retries of all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
-    /// Further arrivals allowed for each request.
+    /// Allowed retries per request.
     pub ratio: f64,
-    /// Further arrivals allowed besides, in all.
+    /// Allowed retries in addition, for all nodes together.
     pub slack: f64,
-    /// Window over which they are counted.
+    /// Sliding window over which requests and retries are counted.
     pub window: Duration,
 }
 
-/// A further try that is wanted.
+/// A further try for which the budget is asked.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryNeed<'a> {
-    /// Service that would get it.
+    /// Name of the service that would get the try.
     pub service: &'a str,
-    /// Nodes that share the slack.
+    /// Number of nodes that share the slack.
     pub nodes: usize,
-    /// Whether an earlier try has run, or may have.
+    /// Whether an earlier try of the request has run, or may have.
     pub runs_again: bool,
 }
 
+/// Requests and retries of one service within the window.
 #[derive(Debug, Default)]
 struct ServiceWindow {
     buckets: VecDeque<Bucket>,
 }
 
+/// Counts of one bucket's time.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
+    /// Index of the bucket, counted from time zero.
     number: u64,
     requests: u32,
     retries: u32,
-    /// Of the retries, those of requests that have run, or may have.
+    /// Number of the retries of requests that have run, or may have.
     reruns: u32,
 }
 
-/// One node's share of the retries that all nodes may make together.
+/// One node's share of the retries that all nodes together may make.
 ///
-/// When a whole service is full, every first try fails on every node, and unbounded
-/// second tries double the load just when it is too high. A node may use the ratio on
-/// requests of its own, and its part of the slack by the number of nodes it knows. Both
-/// add up to less than the common bound however the requests are spread, and when nodes
-/// come or go only the slack is dealt anew.
+/// When a whole service is full, every first try fails on every node, and unlimited second
+/// tries would double the load just when it is too high. A node may use the ratio on its own
+/// requests, and its part of the slack, which is divided by the number of nodes it knows.
+/// The shares of all nodes add up to less than the common limit, however the requests are
+/// spread over them. When nodes come or go, only the parts of the slack change.
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
@@ -68,7 +71,7 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget under `limits`.
+    /// Creates a budget under `limits`.
     ///
     /// # Examples
     ///
@@ -89,19 +92,19 @@
         }
     }
 
-    /// Changes the terms.
+    /// Replaces the limits; the counts stay.
     pub fn set_limits(&mut self, limits: RetryLimits) {
         self.limits = limits;
     }
 
-    /// Notes a request for a service.
-    pub fn requested(&mut self, now: Duration, service: &Rc<str>) {
+    /// Counts a new request for a service.
+    pub fn record_request(&mut self, now: Duration, service: &Rc<str>) {
         let window = self.limits.window;
         let entry = self.services.entry(Rc::clone(service)).or_default();
         entry.bucket(now, window).requests += 1;
     }
 
-    /// Takes a further try out of the budget, if it has one.
+    /// Takes a further try out of the budget, and returns whether it had one.
     pub fn withdraw(&mut self, now: Duration, need: RetryNeed<'_>) -> bool {
         let window = self.limits.window;
         let granted = self.has_room(now, need);
@@ -114,7 +117,7 @@
         granted
     }
 
-    /// Whether a further try would be granted.
+    /// Whether [`RetryBudget::withdraw`] would grant a further try.
     pub fn has_room(&self, now: Duration, need: RetryNeed<'_>) -> bool {
         let counts = match self.services.get(need.service) {
             Some(entry) => entry.counts(now, self.limits.window),
@@ -123,15 +126,15 @@
         let own = self.limits.ratio * f64::from(counts.requests);
         let allowance = own + self.limits.slack / need.nodes.max(1) as f64;
         let fits = |used: u32, part: f64| f64::from(used) + 1.0 <= part * allowance;
-        let rerun_fits = !need.runs_again || fits(counts.reruns, RERUN_PART);
-        rerun_fits && fits(counts.retries, USED_PART)
+        let rerun_fits = !need.runs_again || fits(counts.reruns, RERUN_SHARE);
+        rerun_fits && fits(counts.retries, RETRY_SHARE)
     }
 }
 
 impl ServiceWindow {
     fn bucket(&mut self, now: Duration, window: Duration) -> &mut Bucket {
-        let number = number_of(now);
-        let oldest = oldest_of(now, window);
+        let number = bucket_number(now);
+        let oldest = oldest_bucket(now, window);
         while self
             .buckets
             .front()
@@ -149,13 +152,14 @@
                 ..Bucket::default()
             });
         }
-        self.buckets.back_mut().expect("a bucket was just there")
+        self.buckets.back_mut().expect("the current bucket exists")
     }
 
-    /// Returns what is in the window, as one bucket. Of the oldest one, which the
-    /// window may cut, only the retries count.
+    /// Returns the sum of all buckets in the window.
+    ///
+    /// Of the oldest bucket, which may lie partly outside the window, only the retries count.
     fn counts(&self, now: Duration, window: Duration) -> Bucket {
-        let oldest = oldest_of(now, window);
+        let oldest = oldest_bucket(now, window);
         let recent = self.buckets.iter().filter(|bucket| bucket.number >= oldest);
         recent.fold(Bucket::default(), |mut sum, bucket| {
             if bucket.number > oldest {
@@ -168,10 +172,10 @@
     }
 }
 
-const fn number_of(now: Duration) -> u64 {
-    now.as_secs() / BUCKET.as_secs()
+const fn bucket_number(now: Duration) -> u64 {
+    now.as_secs() / BUCKET_WIDTH.as_secs()
 }
 
-fn oldest_of(now: Duration, window: Duration) -> u64 {
-    number_of(now).saturating_sub(window.as_secs() / BUCKET.as_secs())
+fn oldest_bucket(now: Duration, window: Duration) -> u64 {
+    bucket_number(now).saturating_sub(window.as_secs() / BUCKET_WIDTH.as_secs())
 }
--- a/crates/node/tests/all/budget.rs
+++ b/crates/node/tests/all/budget.rs
@@ -1,27 +1,27 @@
-//! The retries that nodes make together.
+//! Retry budgets of several nodes under one common limit.
 
 use std::{rc::Rc, time::Duration};
 
 use geranium_node::retry::{RetryBudget, RetryLimits, RetryNeed};
 
-const TERMS: RetryLimits = RetryLimits {
+const LIMITS: RetryLimits = RetryLimits {
     ratio: 0.2,
     slack: 60.0,
     window: Duration::from_secs(10),
 };
 
-/// Guards against nodes that together retry beyond their common bound in some window.
+/// Guards against nodes that together exceed the common retry limit in some window.
 #[test]
 fn all_nodes_together_stay_under_the_bound_in_every_window() {
     const NODES: usize = 12;
     const PER_SECOND: u64 = 40;
     let service: Rc<str> = "prices".into();
-    let mut budgets: Vec<RetryBudget> = (0..NODES).map(|_| RetryBudget::new(TERMS)).collect();
+    let mut budgets: Vec<RetryBudget> = (0..NODES).map(|_| RetryBudget::new(LIMITS)).collect();
     let mut retries_at = Vec::new();
     for step in 0..60 * PER_SECOND {
         let now = Duration::from_millis(step * 1_000 / PER_SECOND);
         for budget in &mut budgets {
-            budget.requested(now, &service);
+            budget.record_request(now, &service);
             let need = RetryNeed {
                 service: &service,
                 nodes: NODES,
@@ -33,24 +33,24 @@
         }
     }
     let requests = PER_SECOND as f64 * NODES as f64 * 10.0;
-    let bound = TERMS.ratio * requests + TERMS.slack;
+    let bound = LIMITS.ratio * requests + LIMITS.slack;
     for from in (0..500).map(|step| Duration::from_millis(step * 100)) {
-        let window = from..from + TERMS.window;
+        let window = from..from + LIMITS.window;
         let retries = retries_at.iter().filter(|&at| window.contains(at)).count();
         assert!((retries as f64) < 0.75 * bound, "{retries} from {from:?}");
         assert!(
-            (retries as f64) > 0.3 * bound || from < TERMS.window,
+            (retries as f64) > 0.3 * bound || from < LIMITS.window,
             "{retries} from {from:?}"
         );
     }
 }
 
-/// A node that has seen no request of a service may still use its part of the
-/// slack, and no more.
+/// Guards against a node without requests for a service that uses more or less than its part
+/// of the slack.
 #[test]
-fn slack_is_dealt_by_the_number_of_nodes() {
+fn slack_is_divided_by_the_number_of_nodes() {
     for (nodes, most) in [(1, 33), (10, 3), (1_000, 0)] {
-        let mut budget = RetryBudget::new(TERMS);
+        let mut budget = RetryBudget::new(LIMITS);
         let need = RetryNeed {
             service: "prices",
             nodes,
@@ -63,21 +63,21 @@
     }
 }
 
-/// Guards against repeated runs whose calls push the called service beyond its retry bound.
+/// Guards against repeated runs whose calls push the called service over its retry limit.
 #[test]
 fn runs_that_are_repeated_leave_room_for_their_calls() {
     const NODES: usize = 12;
     const LOOKUPS_PER_SECOND: u64 = 40;
     const CALLS: usize = 2;
     let (lookups, stock): (Rc<str>, Rc<str>) = ("lookups".into(), "stock".into());
-    let mut budgets: Vec<RetryBudget> = (0..NODES).map(|_| RetryBudget::new(TERMS)).collect();
+    let mut budgets: Vec<RetryBudget> = (0..NODES).map(|_| RetryBudget::new(LIMITS)).collect();
     let mut repeats = 0;
     for step in 0..10 * LOOKUPS_PER_SECOND {
         let now = Duration::from_millis(step * 1_000 / LOOKUPS_PER_SECOND);
         for budget in &mut budgets {
-            budget.requested(now, &lookups);
+            budget.record_request(now, &lookups);
             for _ in 0..CALLS {
-                budget.requested(now, &stock);
+                budget.record_request(now, &stock);
                 let need = RetryNeed {
                     service: &stock,
                     nodes: NODES,
@@ -94,6 +94,6 @@
         }
     }
     let calls = LOOKUPS_PER_SECOND as f64 * (CALLS * NODES) as f64 * 10.0;
-    let bound = TERMS.ratio * calls + TERMS.slack;
+    let bound = LIMITS.ratio * calls + LIMITS.slack;
     assert!((repeats as f64) < 0.9 * bound, "{repeats} of {bound}");
 }
