--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! The members, and the choice among them.
+//! The view of all members, and the selection among them.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -21,7 +21,7 @@
     announce_members(FleetView::new("hofdi"), near, far)
 }
 
-/// A view for a node whose own backend server is the first of the `near` members.
+/// Creates a view for a node whose own backend server is the first of the `near` members.
 fn view_with_local_first(near: u8, far: u8) -> FleetView {
     announce_members(
         FleetView::with_local_endpoint("hofdi", peer_addr(1)),
@@ -47,7 +47,7 @@
     response_bytes: 5_000,
 };
 
-/// A load of which every run takes `run`.
+/// Creates a load report in which every run takes `run`.
 const fn load(running: u32, waiting: u32, run: Duration) -> LoadReport {
     LoadReport {
         running,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Counts who gets a thousand requests when none ends.
+/// Counts the picks of each member over a thousand picks with an unchanged view.
 fn picks(fleet: &FleetView, now: Duration, query: &PickQuery<'_>) -> HashMap<MemberKey, usize> {
     let mut rng = StdRng::seed_from_u64(7);
     let mut counts = HashMap::new();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn equals_share_evenly() {
+fn equal_members_share_evenly() {
     let fleet = view(4, 0);
     let counts = picks(&fleet, at(0), &QUERY);
     assert_eq!(counts.len(), 4);
@@ -81,12 +81,12 @@
     );
 }
 
-/// Guards against fetching long answers from another data centre for a small gain in time.
+/// Guards against fetching long responses from another data centre for a small gain in time.
 #[test]
-fn long_answers_stay_at_home_longer() {
+fn long_responses_stay_in_the_data_centre_longer() {
     let mut fleet = view(1, 1);
-    let near = fleet.key_of(peer_addr(1)).expect("it is known");
-    let far = fleet.key_of(peer_addr(2)).expect("it is known");
+    let near = fleet.key_of(peer_addr(1)).expect("the member is known");
+    let far = fleet.key_of(peer_addr(2)).expect("the member is known");
     fleet.record_load(at(0), near, QUERY.route_hash, load(12, 4, at(100)));
     fleet.record_load(at(0), far, QUERY.route_hash, load(0, 0, at(100)));
     let long = PickQuery {
@@ -98,11 +98,12 @@
     assert!(!picks(&fleet, at(0), &long).contains_key(&far));
 }
 
-/// Guards against requesting long answers elsewhere before the own data centre has refused.
+/// Guards against requesting a long response from another data centre before a member of the
+/// node's own data centre has refused it.
 #[test]
 fn long_answers_are_asked_for_at_home_first() {
     let mut fleet = view(1, 7);
-    let near = fleet.key_of(peer_addr(1)).expect("it is known");
+    let near = fleet.key_of(peer_addr(1)).expect("the member is known");
     fleet.record_load(at(0), near, QUERY.route_hash, load(11, 0, at(100)));
     let long = PickQuery {
         response_bytes: 90_000,
@@ -127,8 +128,8 @@
     );
 }
 
-/// Guards against refusing a long answer because links are full when the node's own backend
-/// server can serve it.
+/// Guards against refusing a request with a long response because links are full when the
+/// node's own backend server can serve it.
 #[test]
 fn long_answers_from_the_same_instance_use_no_link() {
     let mut fleet = view_with_local_first(3, 1);
@@ -172,9 +173,9 @@
 }
 
 /// Guards against preferring another member of the data centre to the node's own backend
-/// server, whose answers use no link.
+/// server, whose responses use no link.
 #[test]
-fn long_answers_prefer_the_same_instance_when_links_are_busy() {
+fn long_responses_prefer_the_same_instance_when_links_are_busy() {
     let mut fleet = view_with_local_first(8, 0);
     for number in 1..=8 {
         let key = fleet
@@ -199,28 +200,31 @@
 
 /// Guards against sending requests to a member that is ten times slower than the others.
 #[test]
-fn a_slow_member_is_left() {
+fn a_slow_member_gets_no_requests() {
     let mut fleet = view(4, 0);
     for number in 1..=4 {
-        let key = fleet.key_of(peer_addr(number)).expect("it is known");
+        let key = fleet
+            .key_of(peer_addr(number))
+            .expect("the member is known");
         let service = if number == 1 { at(1_000) } else { at(100) };
         fleet.record_load(at(0), key, QUERY.route_hash, load(1, 0, service));
     }
-    let slow = fleet.key_of(peer_addr(1)).expect("it is known");
+    let slow = fleet.key_of(peer_addr(1)).expect("the member is known");
     assert!(!picks(&fleet, at(0), &QUERY).contains_key(&slow));
 }
 
-/// Guards against sending request after request to an unreachable member.
+/// Guards against sending request after request to an unreachable member, and against never
+/// trying it again.
 #[test]
-fn an_unreachable_member_stays_out_for_longer_each_time() {
+fn an_unreachable_member_is_ejected_for_longer_each_time() {
     let mut fleet = view(2, 0);
-    let dead = fleet.key_of(peer_addr(1)).expect("it is known");
+    let dead = fleet.key_of(peer_addr(1)).expect("the member is known");
     fleet.record_try_outcome(at(0), dead, TryOutcome::Unreachable);
     assert!(!picks(&fleet, at(100), &QUERY).contains_key(&dead));
     assert!(picks(&fleet, at(600), &QUERY).contains_key(&dead));
     fleet.record_try_outcome(at(600), dead, TryOutcome::Unreachable);
     assert!(!picks(&fleet, at(1_500), &QUERY).contains_key(&dead));
-    let other = fleet.key_of(peer_addr(2)).expect("it is known");
+    let other = fleet.key_of(peer_addr(2)).expect("the member is known");
     let alone = PickQuery {
         tried: &[other],
         ..QUERY
@@ -239,14 +243,15 @@
     };
     assert!(fleet.announce(at(0), leaving, Revision(9)));
     assert!(picks(&fleet, at(0), &QUERY).is_empty());
-    // The announcement from before comes by another way.
+    // The earlier announcement arrives late from another source.
     assert!(!fleet.announce(at(1), record(1, "hofdi"), Revision(1)));
     assert!(picks(&fleet, at(1), &QUERY).is_empty());
 }
 
-/// Guards against dropping a member whose announcement is briefly missing, and keeping it for good.
+/// Guards against dropping a member whose announcement is missing only briefly, and against
+/// keeping one whose announcement stays missing.
 #[test]
-fn a_missing_announcement_is_waited_for_and_then_believed() {
+fn a_member_without_an_announcement_is_dropped_after_a_grace_time() {
     let mut fleet = view(2, 0);
     let both: Vec<MemberKey> = (1..=2)
         .filter_map(|number| fleet.key_of(peer_addr(number)))
@@ -264,7 +269,7 @@
     assert_eq!(fleet.len(), 1);
 }
 
-/// Guards against second tries that only add load because all members fail alike.
+/// Guards against second tries that only add load because all members fail equally often.
 #[test]
 fn a_second_try_needs_a_healthier_member() {
     let mut fleet = view(3, 0);
@@ -322,9 +327,9 @@
     assert!(tried_again * 4 < failures, "{tried_again} of {failures}");
 }
 
-/// Guards against news that omit dropped members or repeat known changes.
+/// Guards against updates that omit dropped members or repeat known changes.
 #[test]
-fn news_hold_what_changed_since() {
+fn updates_hold_what_changed_since() {
     let mut fleet = view(3, 0);
     fleet.advance(Revision(3));
     assert!(fleet.update_since(Revision(3)).is_empty());
@@ -358,13 +363,17 @@
     assert_eq!(updates.lapsed.len(), 2);
 }
 
-/// Guards against vanished members that other nodes keep because a restarted node never saw them.
+/// Guards against dropped members that other nodes keep because a restarted node never saw
+/// them.
 #[test]
-fn a_list_taken_anew_is_told_as_a_whole() {
+fn updates_from_before_a_new_list_are_whole() {
     let mut fleet = view(3, 0);
     fleet.listed(at(0), Revision(70), |_| true);
     let updates = fleet.update_since(Revision(50));
-    assert!(updates.whole, "what vanished before the list isn't known");
+    assert!(
+        updates.whole,
+        "members dropped before the list aren't known"
+    );
     assert_eq!(updates.written.len(), 3);
     assert!(!fleet.update_since(Revision(70)).whole);
     fleet.remove(peer_addr(2), Revision(71));
@@ -373,12 +382,17 @@
     assert!(fleet.update_since(Revision(69)).whole);
 }
 
-/// Guards against counting a broken member as one with room when all other links are full.
+/// Guards against counting a member without a backend server as one with a free link when
+/// all other links are full.
 #[test]
 fn a_broken_member_draws_no_files_from_full_links() {
     let now = at(1_000);
     let mut fleet = view(3, 0);
-    let keys = [1, 2, 3].map(|number| fleet.key_of(peer_addr(number)).expect("it is known"));
+    let keys = [1, 2, 3].map(|number| {
+        fleet
+            .key_of(peer_addr(number))
+            .expect("the member is known")
+    });
     let query = PickQuery {
         response_bytes: 280_000,
         ..QUERY
@@ -389,17 +403,17 @@
     assert_eq!(
         fleet.link_wait(now, &query),
         None,
-        "the third may have room"
+        "the third link may have capacity"
     );
     fleet.record_try_outcome(now, keys[2], TryOutcome::NoBackend);
     assert_eq!(fleet.link_wait(now, &query), Some(retry_after));
 }
 
-/// Guards against members that are doubted after a start, before any has told how long
-/// its runs take.
+/// Guards against members that count as silent after a start, before any member has reported
+/// its run times.
 #[test]
 fn a_member_of_unknown_pace_is_given_the_target_time() {
     let fleet = view(1, 1);
-    let key = fleet.key_of(peer_addr(1)).expect("it is announced");
+    let key = fleet.key_of(peer_addr(1)).expect("the member is announced");
     assert!(fleet.silence_timeout(at(10), key, &QUERY) >= QUERY.target);
 }
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -1,5 +1,7 @@
-//! The choice among members under load, beside the best of all that a node
-//! knows, by what callers get.
+//! Simulations of the selection of members under load.
+//!
+//! The results for callers are compared with those of a naive picker, which picks the best of
+//! all members by the last reports.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -12,38 +14,40 @@
 
 use crate::support::start;
 
-const FRONTS: usize = 60;
-const DOORS: usize = 30;
+/// Number of nodes that send requests.
+const SENDERS: usize = 60;
+/// Number of nodes with a backend server.
+const RECEIVERS: usize = 30;
 const SLOTS: u32 = 9;
 const TARGET: Duration = Duration::from_millis(600);
 const STEP: Duration = Duration::from_millis(1);
-const LENGTH: Duration = Duration::from_secs(12);
-/// Part of the capacity that is asked for on a busy day.
-const BUSY: f64 = 0.86;
-/// Members probed, and members asked in all, as by the front of a node.
+const SIMULATED_TIME: Duration = Duration::from_secs(12);
+/// Load on a busy day, as a share of the capacity.
+const BUSY_LOAD: f64 = 0.86;
+/// Limits on members probed and members tried in all, as in the outbound proxy.
 const PROBES: usize = 1;
 const TRIES: usize = 3;
-const CLASS: u64 = 1;
+const ROUTE_HASH: u64 = 1;
 
-/// How a front chooses.
+/// How a sender picks a receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Picker {
-    /// As the node does.
+    /// The node's own selection.
     Node,
-    /// The least wait of all that it knows, asked to queue it.
+    /// The shortest waiting time by the last reports. The request may be queued there.
     BestKnown,
 }
 
-/// What callers got.
+/// Results for the callers.
 #[derive(Debug, Clone, Copy, Default)]
 struct LoadResult {
     offered: u32,
     in_time: u32,
     refused: u32,
-    /// Members asked, probes among them.
-    asked: u32,
-    /// Runs in another data centre than the caller's.
-    far: u32,
+    /// Tries at members, including probes.
+    attempts: u32,
+    /// Runs in a data centre other than the caller's.
+    remote_runs: u32,
 }
 
 impl LoadResult {
@@ -51,16 +55,16 @@
         f64::from(self.in_time) / f64::from(self.offered)
     }
 
-    fn asked_each(self) -> f64 {
-        f64::from(self.asked) / f64::from(self.offered)
+    fn attempts_per_request(self) -> f64 {
+        f64::from(self.attempts) / f64::from(self.offered)
     }
 
-    fn share_far(self) -> f64 {
-        f64::from(self.far) / f64::from(self.offered)
+    fn share_remote(self) -> f64 {
+        f64::from(self.remote_runs) / f64::from(self.offered)
     }
 }
 
-/// A request of one front.
+/// A request of one sender.
 #[derive(Debug, Clone, Copy)]
 struct Request {
     sender: usize,
@@ -76,23 +80,25 @@
     ends_at: Duration,
 }
 
-/// One backend server, and the queue of the node beside it.
-struct Door {
+/// A backend server with the queue of its node.
+struct Receiver {
     queue: AdmissionQueue,
+    /// Mean run time.
     work: Duration,
     running: Vec<Run>,
+    /// Queued requests, each with the time until which it may wait.
     waiting: HashMap<QueueKey, (Request, Duration)>,
-    /// Whether its backend server is gone, and the node beside it lives on.
-    shut: bool,
+    /// Whether the backend server is gone while its node is alive.
+    without_backend: bool,
 }
 
-impl Door {
+impl Receiver {
     fn report(&self) -> LoadReport {
         LoadReport {
             running: self.queue.running(),
             waiting: self.queue.waiting(),
             service: self.queue.service(),
-            run: self.queue.service_of(CLASS),
+            run: self.queue.service_of(ROUTE_HASH),
             link: Duration::ZERO,
         }
     }
@@ -102,8 +108,8 @@
     SocketAddr::from(([10, 1, 0, receiver as u8 + 1], 7600))
 }
 
-/// Returns the data centre of a front or door.
-fn place(number: usize, data_centres: usize) -> String {
+/// Returns the data centre of a sender or receiver.
+fn data_centre_name(number: usize, data_centres: usize) -> String {
     format!("dc-{}", number % data_centres)
 }
 
@@ -112,7 +118,7 @@
         peer_addr: peer_addr(receiver),
         start: start(format!("i-{receiver}")),
         service: "orders".to_owned(),
-        data_centre: place(receiver, data_centres),
+        data_centre: data_centre_name(receiver, data_centres),
         slots: SLOTS,
         state: MemberState::Ready,
         link_mbps: 100,
@@ -123,19 +129,19 @@
 
 struct Fleet {
     picker: Picker,
-    /// Part of the capacity of all servers that is asked for.
+    /// Load as a share of the capacity of all backend servers.
     load: f64,
     data_centres: usize,
-    /// Share of the requests that callers of the first data centre send beyond their
-    /// even part.
-    crowd: f64,
-    /// What fronts take a refusal of a node without a backend server for.
-    shut_end: TryOutcome,
+    /// Share of the requests that come from the first data centre in addition to its even
+    /// part.
+    first_data_centre_share: f64,
+    /// Outcome that senders record for a refusal of a node without a backend server.
+    no_backend_outcome: TryOutcome,
     rng: StdRng,
     senders: Vec<FleetView>,
-    /// What each front last heard of each door.
-    heard: Vec<HashMap<usize, LoadReport>>,
-    receivers: Vec<Door>,
+    /// Last report that each sender has of each receiver.
+    last_reports: Vec<HashMap<usize, LoadReport>>,
+    receivers: Vec<Receiver>,
     result: LoadResult,
 }
 
@@ -144,65 +150,66 @@
         Self::spread(picker, load, 1)
     }
 
-    /// Makes a fleet whose fronts and doors are spread over data centres evenly.
+    /// Creates a fleet whose senders and receivers are spread evenly over data centres.
     fn spread(picker: Picker, load: f64, data_centres: usize) -> Self {
         let mut rng = StdRng::seed_from_u64(23);
-        let senders = (0..FRONTS).map(|sender| {
-            let mut view = FleetView::new(place(sender, data_centres));
-            for receiver in 0..DOORS {
+        let senders = (0..SENDERS).map(|sender| {
+            let mut view = FleetView::new(data_centre_name(sender, data_centres));
+            for receiver in 0..RECEIVERS {
                 let record = record(receiver, data_centres);
                 view.announce(Duration::ZERO, record, Revision(receiver as u64 + 1));
             }
             view
         });
-        // The slowest takes three times as long as the fastest.
-        let receivers = (0..DOORS).map(|_| Door {
+        // The slowest backend server takes up to three times as long as the fastest.
+        let receivers = (0..RECEIVERS).map(|_| Receiver {
             queue: AdmissionQueue::new(SLOTS),
             work: Duration::from_millis(rng.random_range(120..360)),
             running: Vec::new(),
             waiting: HashMap::new(),
-            shut: false,
+            without_backend: false,
         });
         let (senders, receivers) = (senders.collect(), receivers.collect());
         Self {
             picker,
             load,
             data_centres,
-            crowd: 0.0,
-            shut_end: TryOutcome::NoBackend,
+            first_data_centre_share: 0.0,
+            no_backend_outcome: TryOutcome::NoBackend,
             senders,
-            heard: vec![HashMap::new(); FRONTS],
+            last_reports: vec![HashMap::new(); SENDERS],
             receivers,
             result: LoadResult::default(),
             rng,
         }
     }
 
-    /// Takes the backend servers of the last `count` doors away.
-    fn shut(mut self, count: usize, shut_end: TryOutcome) -> Self {
-        for receiver in &mut self.receivers[DOORS - count..] {
-            receiver.shut = true;
+    /// Removes the backend servers of the last `count` receivers.
+    fn without_backend(mut self, count: usize, no_backend_outcome: TryOutcome) -> Self {
+        for receiver in &mut self.receivers[RECEIVERS - count..] {
+            receiver.without_backend = true;
         }
-        self.shut_end = shut_end;
+        self.no_backend_outcome = no_backend_outcome;
         self
     }
 
-    /// Sends a part of the requests from the first data centre instead of evenly.
-    fn crowded(mut self, crowd: f64) -> Self {
-        self.crowd = crowd;
+    /// Lets a share of the requests come from the first data centre instead of evenly.
+    fn with_first_data_centre_share(mut self, first_data_centre_share: f64) -> Self {
+        self.first_data_centre_share = first_data_centre_share;
         self
     }
 
-    fn draw_front(&mut self) -> usize {
-        let sender = self.rng.random_range(0..FRONTS);
-        if self.crowd > 0.0 && self.rng.random_bool(self.crowd) {
+    fn draw_sender(&mut self) -> usize {
+        let sender = self.rng.random_range(0..SENDERS);
+        if self.first_data_centre_share > 0.0 && self.rng.random_bool(self.first_data_centre_share)
+        {
             sender - sender % self.data_centres
         } else {
             sender
         }
     }
 
-    fn per_second(&self) -> f64 {
+    fn requests_per_second(&self) -> f64 {
         let rates = self
             .receivers
             .iter()
@@ -210,15 +217,15 @@
         rates.sum::<f64>() * f64::from(SLOTS) * self.load
     }
 
-    fn play(mut self) -> LoadResult {
-        let arrivals = self.per_second() * STEP.as_secs_f64();
+    fn simulate(mut self) -> LoadResult {
+        let arrivals = self.requests_per_second() * STEP.as_secs_f64();
         let mut now = Duration::ZERO;
-        while now < LENGTH {
+        while now < SIMULATED_TIME {
             self.end_runs(now);
             let mut due = arrivals;
             while due > 0.0 {
                 if self.rng.random::<f64>() < due {
-                    self.ask(now);
+                    self.send_request(now);
                 }
                 due -= 1.0;
             }
@@ -228,17 +235,17 @@
     }
 
     fn end_runs(&mut self, now: Duration) {
-        for receiver in 0..DOORS {
+        for receiver in 0..RECEIVERS {
             let running = std::mem::take(&mut self.receivers[receiver].running);
-            let (request_ended, running): (Vec<_>, Vec<_>) =
+            let (ended, running): (Vec<_>, Vec<_>) =
                 running.into_iter().partition(|run| run.ends_at <= now);
             self.receivers[receiver].running = running;
-            for run in request_ended {
+            for run in ended {
                 self.result.in_time += u32::from(now <= run.request.target_at);
                 let took = now.saturating_sub(run.began);
                 let granted = self.receivers[receiver]
                     .queue
-                    .finish(now, CLASS, Some(took));
+                    .finish(now, ROUTE_HASH, Some(took));
                 self.observe(now, run.request);
                 let view = &mut self.senders[run.request.sender];
                 view.record_try_outcome(
@@ -251,7 +258,7 @@
                     let (request, _) = self.receivers[receiver]
                         .waiting
                         .remove(&key)
-                        .expect("it waited");
+                        .expect("the request was waiting");
                     self.begin(now, request);
                 }
             }
@@ -269,15 +276,18 @@
             .collect();
         for key in late {
             receiver.queue.expire(key);
-            let (request, _) = receiver.waiting.remove(&key).expect("it waited");
+            let (request, _) = receiver
+                .waiting
+                .remove(&key)
+                .expect("the request was waiting");
             self.senders[request.sender].request_ended(request.key);
             self.result.refused += 1;
         }
     }
 
     fn begin(&mut self, now: Duration, request: Request) {
-        let far = request.sender % self.data_centres != request.receiver % self.data_centres;
-        self.result.far += u32::from(far);
+        let remote = request.sender % self.data_centres != request.receiver % self.data_centres;
+        self.result.remote_runs += u32::from(remote);
         let spread = 0.5 + self.rng.random::<f64>();
         let receiver = &mut self.receivers[request.receiver];
         receiver.running.push(Run {
@@ -289,15 +299,15 @@
 
     fn observe(&mut self, now: Duration, request: Request) {
         let report = self.receivers[request.receiver].report();
-        self.senders[request.sender].record_load(now, request.key, CLASS, report);
-        self.heard[request.sender].insert(request.receiver, report);
+        self.senders[request.sender].record_load(now, request.key, ROUTE_HASH, report);
+        self.last_reports[request.sender].insert(request.receiver, report);
     }
 
-    /// Sends a request of a random front, as the node does: a probe where a slot
-    /// may be free, then a place in a queue.
-    fn ask(&mut self, now: Duration) {
+    /// Sends a request of a random sender like a node: first a probe if a slot may be free,
+    /// then a try that may wait in the queue.
+    fn send_request(&mut self, now: Duration) {
         self.result.offered += 1;
-        let sender = self.draw_front();
+        let sender = self.draw_sender();
         let (mut tried, mut probed) = (Vec::new(), Vec::new());
         while tried.len() + probed.len() < TRIES {
             let may_wait = self.picker == Picker::BestKnown
@@ -308,20 +318,20 @@
             };
             let address = self.senders[sender]
                 .get(key)
-                .expect("it is known")
+                .expect("the member is known")
                 .record
                 .peer_addr;
             let request = Request {
                 sender,
-                receiver: (0..DOORS)
+                receiver: (0..RECEIVERS)
                     .find(|&receiver| peer_addr(receiver) == address)
-                    .expect("it is one"),
+                    .expect("a receiver has this address"),
                 key,
                 target_at: now + TARGET,
             };
-            self.result.asked += 1;
-            if self.receivers[request.receiver].shut {
-                self.senders[sender].record_try_outcome(now, key, self.shut_end);
+            self.result.attempts += 1;
+            if self.receivers[request.receiver].without_backend {
+                self.senders[sender].record_try_outcome(now, key, self.no_backend_outcome);
                 tried.push(key);
                 continue;
             }
@@ -337,8 +347,8 @@
                     probed.push(key);
                 }
                 AdmissionDecision::Refuse { retry_after } => {
-                    let end = TryOutcome::Refused { retry_after };
-                    self.senders[sender].record_try_outcome(now, key, end);
+                    let outcome = TryOutcome::Refused { retry_after };
+                    self.senders[sender].record_try_outcome(now, key, outcome);
                     tried.push(key);
                 }
             }
@@ -351,7 +361,7 @@
     fn offer(&mut self, now: Duration, request: Request, may_wait: bool) -> AdmissionDecision {
         let offer = AdmissionRequest {
             rank: 1,
-            route_hash: CLASS,
+            route_hash: ROUTE_HASH,
             may_wait,
             nested: false,
             target_deadline: request.target_at,
@@ -376,13 +386,13 @@
         }
     }
 
-    /// The least time to an answer of all that a front knows.
+    /// Picks the receiver with the shortest response time by the sender's last reports.
     fn best_known(&mut self, sender: usize, tried: &[MemberKey]) -> Option<MemberKey> {
         let mut best: Option<(f64, MemberKey)> = None;
-        for receiver in 0..DOORS {
+        for receiver in 0..RECEIVERS {
             let key = self.senders[sender].key_of(peer_addr(receiver))?;
-            let heard = self.heard[sender].get(&receiver);
-            let wait = heard.map_or(0.0, |report| {
+            let report = self.last_reports[sender].get(&receiver);
+            let wait = report.map_or(0.0, |report| {
                 let held = f64::from(report.running + report.waiting) + 1.0;
                 let excess = (held - f64::from(SLOTS)).max(0.0) / f64::from(SLOTS);
                 report.service.as_secs_f64() * (1.0 + excess)
@@ -399,7 +409,7 @@
 fn query<'a>(tried: &'a [MemberKey], probed: &'a [MemberKey]) -> PickQuery<'a> {
     PickQuery {
         service: "orders",
-        route_hash: CLASS,
+        route_hash: ROUTE_HASH,
         target: TARGET,
         tried,
         probed,
@@ -411,52 +421,57 @@
     rng.random::<f64>() * 2.0 - 1.0
 }
 
-/// Guards against all nodes choosing the same few servers because their load reports are stale.
+/// Guards against all nodes picking the same few backend servers because their load reports
+/// are stale.
 #[test]
 fn stale_news_do_not_crowd_the_fastest() {
-    let node = Fleet::new(Picker::Node, BUSY).play();
-    let naive = Fleet::new(Picker::BestKnown, BUSY).play();
+    let node = Fleet::new(Picker::Node, BUSY_LOAD).simulate();
+    let naive = Fleet::new(Picker::BestKnown, BUSY_LOAD).simulate();
     assert!(node.share_in_time() > 0.95, "{node:?} {naive:?}");
     assert!(naive.share_in_time() < 0.9, "{node:?} {naive:?}");
 }
 
-/// Guards against probing for free slots in a shortage, when there are none.
+/// Guards against probing for free slots in a shortage, when there are no free slots.
 #[test]
 fn a_shortage_is_not_probed() {
-    let node = Fleet::new(Picker::Node, 1.5).play();
-    assert!(node.asked_each() < 2.2, "{node:?}");
+    let node = Fleet::new(Picker::Node, 1.5).simulate();
+    assert!(node.attempts_per_request() < 2.2, "{node:?}");
     assert!(node.share_in_time() > 0.55, "{node:?}");
 }
 
-/// Guards against nodes without a backend server that look idle and draw most tries.
+/// Guards against nodes without a backend server that look idle and attract most tries.
 #[test]
 fn nodes_without_a_server_draw_no_work() {
-    let load = BUSY * 0.75;
+    let load = BUSY_LOAD * 0.75;
     let node = Fleet::new(Picker::Node, load)
-        .shut(6, TryOutcome::NoBackend)
-        .play();
+        .without_backend(6, TryOutcome::NoBackend)
+        .simulate();
     let retry_after = Duration::from_millis(50);
     let naive = Fleet::new(Picker::Node, load)
-        .shut(6, TryOutcome::Refused { retry_after })
-        .play();
+        .without_backend(6, TryOutcome::Refused { retry_after })
+        .simulate();
     assert!(node.share_in_time() > 0.95, "{node:?} {naive:?}");
     assert!(
-        node.asked_each() + 0.2 < naive.asked_each(),
+        node.attempts_per_request() + 0.2 < naive.attempts_per_request(),
         "{node:?} {naive:?}"
     );
 }
 
-/// Guards against answers that cross data centres while servers at home are free.
+/// Guards against responses from another data centre while backend servers in the caller's
+/// data centre are free.
 #[test]
 fn requests_stay_at_home_while_it_has_room() {
-    let node = Fleet::spread(Picker::Node, 0.6, 5).play();
-    assert!(node.share_far() < 0.2, "{node:?}");
+    let node = Fleet::spread(Picker::Node, 0.6, 5).simulate();
+    assert!(node.share_remote() < 0.2, "{node:?}");
     assert!(node.share_in_time() > 0.97, "{node:?}");
 }
 
-/// Guards against a crowded data centre that keeps its callers in its queues.
+/// Guards against an overloaded data centre that keeps its callers in its queues while others
+/// have capacity.
 #[test]
 fn callers_of_a_crowded_data_centre_spill_over() {
-    let node = Fleet::spread(Picker::Node, 0.6, 5).crowded(0.3).play();
+    let node = Fleet::spread(Picker::Node, 0.6, 5)
+        .with_first_data_centre_share(0.3)
+        .simulate();
     assert!(node.share_in_time() > 0.95, "{node:?}");
 }
--- a/crates/node/tests/all/starts.rs
+++ b/crates/node/tests/all/starts.rs
@@ -1,4 +1,4 @@
-//! What names a start of a backend server.
+//! Starts of backend servers under the same and different identifiers.
 
 use std::time::Duration;
 
@@ -20,30 +20,30 @@
     }
 }
 
-/// Guards against counting several crashes under one identifier as one.
+/// Guards against counting several crashes under one identifier as one crash.
 #[test]
 fn each_crash_of_an_identifier_counts() {
-    let mut book = CrashHistory::default();
+    let mut history = CrashHistory::default();
     for crash in 0..2 {
-        assert_eq!(book.refusal(NOW, 7), None, "after {crash} crashes");
-        let row = CrashRecord {
+        assert_eq!(history.refusal(NOW, 7), None, "after {crash} crashes");
+        let crash_record = CrashRecord {
             fingerprint: 7,
             start: born("i-1", 1_000 * (crash + 1)),
         };
-        assert!(book.record(NOW, row, Revision(crash + 1)));
+        assert!(history.record(NOW, crash_record, Revision(crash + 1)));
     }
-    assert!(book.refusal(NOW, 7).is_some());
+    assert!(history.refusal(NOW, 7).is_some());
 }
 
-/// A member fails its requests, crashes and comes back under its identifier.
-/// What was held against it before isn't held against the next start.
+/// Guards against ejecting a member for failures of an earlier start. It crashes and comes
+/// back under the same identifier.
 #[test]
 fn evidence_ends_with_the_start() {
     let mut fleet = FleetView::new("hofdi");
     fleet.announce(NOW, record(born("i-1", 1_000)), Revision(1));
     let key = fleet
         .key_of(record(start("i-1")).peer_addr)
-        .expect("announced");
+        .expect("the member is announced");
     fleet.record_try_outcome(NOW, key, geranium_node::member::TryOutcome::Unreachable);
     let query = geranium_node::member::PickQuery {
         service: "prices",
@@ -67,11 +67,11 @@
 }
 
 proptest! {
-    /// Two nodes that compare the same starts never call both of them later.
+    /// Guards against an order in which each of two starts is later than the other.
     #[test]
     fn order_is_the_same_from_both_sides(a in any_input(), b in any_input()) {
-        let a = EndpointStart::try_from(a).expect("usable");
-        let b = EndpointStart::try_from(b).expect("usable");
+        let a = EndpointStart::try_from(a).expect("a valid start");
+        let b = EndpointStart::try_from(b).expect("a valid start");
         let mirrored = match b.order(&a) {
             StartOrder::Earlier => StartOrder::Later,
             StartOrder::Later => StartOrder::Earlier,
@@ -80,20 +80,20 @@
         prop_assert_eq!(a.order(&b), mirrored);
     }
 
-    /// Another writer's bytes in place of an announcement or a crash: they are
-    /// refused or read, and never stop the node.
+    /// Guards against panics on bytes that another writer stored in place of an announcement
+    /// or of crash records.
     #[test]
     fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _record = serde_json::from_slice::<MemberRecord>(&bytes);
-        let _rows = serde_json::from_slice::<Vec<CrashRecord>>(&bytes);
+        let _records = serde_json::from_slice::<Vec<CrashRecord>>(&bytes);
     }
 
-    /// An announcement with a field missing or of another type names nobody. What
-    /// may be missing is the time of the start.
+    /// Guards against accepting an announcement in which a field is missing or of another
+    /// type. Only the time of the start may be missing.
     #[test]
     fn a_damaged_announcement_is_refused(field in 0_usize..9, of_type in 0_usize..4) {
-        let whole = serde_json::to_value(record(born("i-1", 1_000))).expect("it is text");
-        let mut fields = whole.as_object().expect("it has fields").clone();
+        let whole = serde_json::to_value(record(born("i-1", 1_000))).expect("a serialisable record");
+        let mut fields = whole.as_object().expect("a JSON object").clone();
         let mut required = fields.keys().filter(|name| *name != "born_ms");
         let name = required.nth(field).expect("nine fields").clone();
         match of_type {
@@ -105,8 +105,8 @@
         prop_assert!(serde_json::from_value::<MemberRecord>(fields.into()).is_err());
     }
 
-    /// Identifiers come from others: they are read or refused, and what is read
-    /// fits in a header and in a key of the store.
+    /// Guards against accepting an identifier that doesn't fit in a header or in a key of the
+    /// store.
     #[test]
     fn identifiers_are_read_or_refused(instance in any::<String>()) {
         let input = StartInput { instance, born_ms: None };
