--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -16,9 +16,11 @@
 };
 use crate::store::Revision;
 
-/// Time for which a member is kept after its announcement disappeared from the store
-/// without being deleted by its node. A node that is alive and reaches the store announces
-/// the member again within about two seconds.
+/// Time for which a member is kept after its announcement lapsed.
+///
+/// An announcement lapses when it disappears from the store without being deleted by its
+/// node. A node that is alive and reaches the store announces the member again within about
+/// two seconds. In the meantime the member gets requests only if it has responded since.
 const LAPSE_GRACE: Duration = Duration::from_secs(2);
 
 /// Number of dropped members that are remembered for nodes that ask for updates. A node
@@ -47,7 +49,7 @@
         /// Time after which the link is expected to have capacity.
         retry_after: Duration,
     },
-    /// No response arrived within the silence timeout.
+    /// The member sent this node nothing within the silence timeout.
     Silent,
     /// The request was sent, but the connection broke or the response was unusable.
     ResponseLost,
@@ -354,7 +356,7 @@
         (member.generation == key.generation).then_some(member)
     }
 
-    /// Returns the member of `key` with the pool of its service, or none if it was dropped.
+    /// Returns the member of `key` and its service's pool, or none if it was dropped.
     fn get_with_pool(
         &mut self,
         key: MemberKey,
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -18,10 +18,13 @@
 /// Shortest silence timeout. A machine that has used up its CPU quota stands still for a
 /// tenth of a second.
 const SILENCE_TIMEOUT_MIN: Duration = Duration::from_millis(300);
-/// Others count as healthier if the mean failure rate of the service is at most this share
-/// of the member's own.
+/// Largest share of a member's failure rate at which the service counts as healthier.
+///
+/// It is compared with the mean failure rate of the service.
 const HEALTHIER_FACTOR: f64 = 0.5;
 
+/// Selection of a member for a request.
+///
 /// Members differ in speed, are slow after a start, become slow, fail a share of their
 /// requests, or disappear, and are spread unevenly over data centres. A node hears of a
 /// member's load only with its own requests, so most of what it knows is seconds old. The
@@ -126,7 +129,7 @@
         candidates.any(|(_, member)| cost.is_available(member))
     }
 
-    /// Returns the time until a long response may be requested, if all links are full now.
+    /// Returns the time until a long response may be requested, if all links are full.
     ///
     /// Members that can't be reached, or whose backend server is down or breaks its runs,
     /// are ejected. They don't count as members with a free link, as they would attract
--- a/crates/node/src/member/member_estimate.rs
+++ b/crates/node/src/member/member_estimate.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Cost of using the last slot rather than the first, as a share of the run time. Backend
-/// servers slow down when they are nearly full.
+/// Cost of using the last slot rather than the first, per run time. Backend servers slow
+/// down when they are nearly full.
 const OCCUPANCY_COST: f64 = 0.2;
 /// Cost of a second in a queue, in seconds. Reports of queues are out of date, and a
 /// request in a queue delays those that come after it.
--- a/crates/node/src/member/member_record.rs
+++ b/crates/node/src/member/member_record.rs
@@ -37,8 +37,8 @@
     pub slots: u32,
     /// Whether the backend server takes new requests.
     pub state: MemberState,
-    /// Milliseconds, from the announcement on, for which the backend server is still slow
-    /// after its start.
+    /// Milliseconds for which the backend server is still slow after its start, counted from
+    /// the announcement.
     pub cold_ms: u32,
     /// Capacity of the instance's link in megabits a second. Relays are selected by it, too.
     pub link_mbps: u32,
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -14,7 +14,7 @@
 const FAILURE_WEIGHT: f64 = 0.1;
 /// Run time that is assumed while no member has reported one.
 const UNKNOWN_RUN_TIME: Duration = Duration::from_millis(100);
-/// Weight of one report in the ratio of a member's run times to the mean ones.
+/// Weight of one report in the ratio of a member's run times.
 const RUN_RATIO_WEIGHT: f64 = 0.2;
 /// Time constant of the decay of a reported load, in mean run times: after it, the report
 /// weighs about one third. By then the member's requests have been replaced by others.
@@ -29,11 +29,12 @@
 /// Longest ejection. With it, a machine without power costs each node one request in four
 /// seconds.
 const EJECTION_MAX: Duration = Duration::from_secs(4);
-/// Longest time for which no long responses are requested after a refusal because of a full
-/// link. A full link transfers two or three long responses in that time.
+/// Longest pause of long responses after a refusal because of a full link. A full link
+/// transfers two or three long responses in that time.
 const LINK_REFUSED_MAX: Duration = Duration::from_millis(300);
-/// Time for which no long responses are requested from a member in another data centre after
-/// a refusal because of a full link, while a member in this data centre can be asked.
+/// Pause of long responses from another data centre after such a refusal.
+///
+/// It applies while a member in this data centre can be asked.
 const LINK_REFUSED_REMOTE: Duration = Duration::from_secs(5);
 /// Longest time for which a refusal keeps new requests away. The requests in a queue are
 /// replaced by others within about one mean run time.
@@ -46,8 +47,7 @@
     pub record: MemberRecord,
     distance: MemberDistance,
     pub(super) generation: u32,
-    /// When the announcement disappeared from the store without being deleted by its node;
-    /// none while it is there.
+    /// When the announcement lapsed; none while it is in the store.
     pub(super) lapsed_at: Option<Duration>,
     /// Revision of the last change of the announcement.
     pub(super) revision: Revision,
@@ -57,15 +57,16 @@
     load: Option<ObservedLoad>,
     /// Run times in seconds that the member reported, by route hash.
     runs: SmallVec<[(u64, f64); 4]>,
-    /// Ratio of the member's run times to the mean of the same routes over all members.
+    /// Ratio of the member's run times to the mean ones of all members.
     run_time_ratio: MovingMean,
     failures: MovingMean,
     ejected_until: Duration,
     ejection_time: Duration,
     refused_until: Duration,
     link_refused_until: Duration,
-    /// End of the longer pause that applies to a member in another data centre while one in
-    /// this data centre can be asked.
+    /// End of the longer pause for a member in another data centre.
+    ///
+    /// It applies while a member in this data centre can be asked.
     remote_link_refused_until: Duration,
     /// Time of the last response or refusal.
     responded_at: Option<Duration>,
--- a/crates/node/src/member/pick_cost.rs
+++ b/crates/node/src/member/pick_cost.rs
@@ -13,8 +13,8 @@
 const UNKNOWN_RESPONSE_BYTES: u64 = 5_000;
 /// Bytes per megabit.
 const BYTES_PER_MBIT: f64 = 125_000.0;
-/// Largest relative noise that is added to a cost, so that nodes with the same information
-/// don't all pick the same member.
+/// Largest relative noise that is added to a cost. Without it, nodes with the same
+/// information would all pick the same member.
 const NOISE_SHARE: f64 = 0.15;
 /// Number of members that are sampled and compared. A node seldom hears of any one member,
 /// so the best of all would be the same few members for every node. Sampling by throughput
@@ -30,8 +30,7 @@
     pub(super) now: Duration,
     pub(super) query: &'a PickQuery<'a>,
     pub(super) averages: ServiceAverages,
-    /// Whether a long response is expected and this data centre has a member that can
-    /// provide it.
+    /// Whether a near member can provide the expected long response.
     pub(super) has_near_member: bool,
 }
 
@@ -58,16 +57,16 @@
         probed: Vec<Candidate<'_>>,
         rng: &mut impl Rng,
     ) -> Option<MemberKey> {
-        let (open, closed): (Vec<_>, Vec<_>) = fresh
+        let (available, unavailable): (Vec<_>, Vec<_>) = fresh
             .into_iter()
             .partition(|(_, member)| self.is_available(member));
-        if let Some(near) = self.pick_near(&open, rng) {
+        if let Some(near) = self.pick_near(&available, rng) {
             return Some(near);
         }
-        let mut compared = self.sample(open, rng);
+        let mut compared = self.sample(available, rng);
         compared.extend(probed);
         if compared.is_empty() {
-            compared = closed;
+            compared = unavailable;
         }
         self.cheapest(compared, rng)
     }
@@ -80,33 +79,37 @@
     /// Samples the members to be compared, weighted by their throughput.
     pub(super) fn sample<'b>(
         self,
-        mut open: Vec<Candidate<'b>>,
+        mut available: Vec<Candidate<'b>>,
         rng: &mut impl Rng,
     ) -> Vec<Candidate<'b>> {
-        if open.len() <= COMPARED_MAX {
-            return open;
+        if available.len() <= COMPARED_MAX {
+            return available;
         }
         // Of exponentially distributed times, each is the least with a probability in
         // proportion to its rate.
-        open.sort_by_cached_key(|(_, member)| {
+        available.sort_by_cached_key(|(_, member)| {
             let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
             let rate = f64::from(member.record.slots.max(1))
                 / member.run_s(self.now, self.query.route_hash, self.averages);
             Duration::from_secs_f64(-uniform.ln() / rate.max(f64::EPSILON))
         });
-        open.truncate(COMPARED_MAX);
-        open
+        available.truncate(COMPARED_MAX);
+        available
     }
 
-    /// Picks a member of this data centre that is likely to respond in time from a free
-    /// slot, if there is one.
+    /// Picks a member of this data centre, if one is likely to respond in time.
+    ///
+    /// The member is expected to run the request in a free slot.
     ///
     /// Traffic from another data centre is charged by the byte. With dozens of members most
     /// of a sample are in other data centres, and small differences in load would send the
     /// request there. A queue, a slow run or failures in this data centre let the request
     /// go to another one.
-    fn pick_near(self, open: &[Candidate<'_>], rng: &mut impl Rng) -> Option<MemberKey> {
-        let near = open.iter().copied().filter(|(_, member)| member.is_near());
+    fn pick_near(self, available: &[Candidate<'_>], rng: &mut impl Rng) -> Option<MemberKey> {
+        let near = available
+            .iter()
+            .copied()
+            .filter(|(_, member)| member.is_near());
         let compared = self.sample(near.collect(), rng);
         let key = self.cheapest(compared.clone(), rng)?;
         let (_, member) = compared.into_iter().find(|(other, _)| *other == key)?;
--- a/crates/node/src/outbound/deadline_tracker.rs
+++ b/crates/node/src/outbound/deadline_tracker.rs
@@ -7,7 +7,7 @@
 /// Number of deadlines that are counted for each route. With this number, a deadline that
 /// one in five of a route's requests has is certain to be found.
 const DEADLINES_MAX: usize = 5;
-/// Share of a route's requests from which on a deadline counts as one of first attempts.
+/// Least share of a route's requests for a deadline of first attempts.
 const USUAL_SHARE: f64 = 0.1;
 /// Largest difference between deadlines that count as the same. A request takes a
 /// millisecond to reach the node, and a few more on a busy machine.
--- a/crates/node/src/outbound/failed_try.rs
+++ b/crates/node/src/outbound/failed_try.rs
@@ -11,7 +11,7 @@
 };
 
 impl TryFlow<'_> {
-    /// Records why a try failed, in the request's record and in the view of the fleet.
+    /// Records why a try failed, in its request's record and the fleet view.
     pub(super) fn record_failure(
         self,
         tries: &mut TryRecord<'_>,
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -189,8 +189,8 @@
             .unwrap_or(arrived)
     }
 
-    /// Records a request that gets no response of a backend server, as its caller may send
-    /// it again.
+    /// Remembers a request without a response of a backend server. Its caller may send it
+    /// again.
     fn record_refused(&self, request: &OutboundRequest) {
         let Some(caller_deadline) = request.caller_deadline else {
             return;
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -98,12 +98,14 @@
         None
     }
 
-    /// Sends the request to a member, and to a second one if the first is silent.
+    /// Sends the request to a member, and hedges it if that one is silent.
     ///
-    /// Returns the try that ended last or responded, with its result. When a member freezes,
+    /// Returns the try that responded or ended last, with its result.
+    ///
+    /// When a member freezes,
     /// loses power or its connection stalls, no response arrives and no error either. A
     /// member that sends this node nothing for the silence timeout is ejected, and an
-    /// idempotent request is sent to another member as well (hedging). The first try
+    /// idempotent request is sent to another member as well. The first try
     /// continues until the second has a response, as it may be the only one to get one.
     async fn send_watched(self, next: NextTry, tries: &mut TryRecord<'_>) -> (NextTry, TryResult) {
         let sent_at = self.core.clock.now();
@@ -125,7 +127,7 @@
             self.core
                 .record_silent(self.request, &next.record, silence_timeout);
         }
-        let other = if silent && self.may_double(tries) {
+        let other = if silent && self.may_hedge(tries) {
             self.next_try(tries)
         } else {
             None
@@ -177,7 +179,7 @@
     ///
     /// The request must be idempotent, another member available, and the retry budget not
     /// used up.
-    fn may_double(self, tries: &TryRecord<'_>) -> bool {
+    fn may_hedge(self, tries: &TryRecord<'_>) -> bool {
         let now = self.core.clock.now();
         let fleet = self.core.fleet.borrow();
         self.request.route.kind.is_idempotent()
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -53,7 +53,7 @@
     pub core: &'a Rc<NodeCore>,
     /// Request to send.
     pub request: &'a OutboundRequest,
-    /// Whether the request may wait in the queue; otherwise it only probes for a free slot.
+    /// Whether the request may wait in the queue. Otherwise it probes for a free slot.
     pub may_wait: bool,
 }
 
--- a/crates/node/src/retry/retry_budget.rs
+++ b/crates/node/src/retry/retry_budget.rs
@@ -10,9 +10,9 @@
 /// window, which the common limit may count differently from this node, and the calls that
 /// are repeated when a request runs again.
 const RETRY_SHARE: f64 = 0.55;
-/// Share of the allowance that may be used for requests that have run, or may have. Each of
-/// them repeats its calls, which count as retries at the called service. With two calls per
-/// run, they use up what `RETRY_SHARE` leaves there.
+/// Share of the allowance for requests that have run, or may have. Each of them repeats its
+/// calls, which count as retries at the called service. With two calls per run, they use up
+/// what `RETRY_SHARE` leaves there.
 const RERUN_SHARE: f64 = 0.25;
 /// Width of a bucket. It is a tenth of a usual window, so at most a tenth of the requests in
 /// a window are counted for too long.
