--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -31,7 +31,7 @@
     rank: u8,
     /// Whether the response can't arrive by its target time any more.
     late: bool,
-    useful_until: Duration,
+    target_deadline: Duration,
     order: u64,
 }
 
@@ -47,7 +47,7 @@
     /// Whether the request may wait; otherwise it runs at once or not at all.
     pub may_wait: bool,
     /// Target time: the response is of full use until then.
-    pub useful_until: Duration,
+    pub target_deadline: Duration,
     /// Time at which the caller gets a final response.
     pub ends_at: Duration,
 }
@@ -175,7 +175,7 @@
         }
         self.statistics.record_request(now, route);
         let run_time = self.statistics.mean_run_time_of(route);
-        let late = !request.nested && now + run_time > request.useful_until;
+        let late = !request.nested && now + run_time > request.target_deadline;
         if self.running < self.slots {
             self.running += 1;
             self.record_decision(route, late, true);
@@ -189,13 +189,13 @@
             is_new: !request.nested,
             rank: request.rank,
             late,
-            useful_until: request.useful_until,
+            target_deadline: request.target_deadline,
             order: self.order,
         };
         let end = if request.nested || late {
             request.ends_at
         } else {
-            request.useful_until
+            request.target_deadline
         };
         let mut latest = end.saturating_sub(run_time.mul_f64(RUN_MARGIN));
         if let Some(longest) = self.longest_wait(run_time).filter(|_| !request.nested) {
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -48,13 +48,13 @@
             Err(ExchangeError::NotSent { .. } | ExchangeError::Refused { .. }) => {
                 return refused(RefusalReason::EndpointDown, RETRY_OTHER_NODE_AFTER);
             }
-            Err(ExchangeError::Broke { reason }) => {
+            Err(ExchangeError::ResponseLost { reason }) => {
                 // The backend server's slot is free, whatever the diagnosis.
                 drop(slot);
                 let record = CrashRecord { fingerprint, start };
                 let now = self.inner.clock.now();
                 let diagnosis = self.broken.push(now, began, record).await.ok();
-                return Err(InboundError::Broke { reason, diagnosis });
+                return Err(InboundError::ResponseLost { reason, diagnosis });
             }
         };
         self.check_response(&response, id.as_ref())?;
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -68,7 +68,7 @@
     },
     /// The request may have run, but there is no usable response.
     #[snafu(display("broke: {reason}"))]
-    Broke {
+    ResponseLost {
         /// Description of the failure, for the log.
         reason: String,
         /// Diagnosis of the backend server, if its connection broke.
@@ -282,7 +282,7 @@
         let mut breaker = self.breaker.borrow_mut();
         match result {
             Ok(_) => breaker.record_response(),
-            Err(InboundError::Broke { .. }) => breaker.record_break(self.inner.clock.now()),
+            Err(InboundError::ResponseLost { .. }) => breaker.record_break(self.inner.clock.now()),
             Err(InboundError::Refused { .. }) => {}
         }
     }
@@ -309,5 +309,5 @@
 pub(super) fn broke<T>(reason: impl Into<String>) -> Result<T, InboundError> {
     let reason = reason.into();
     let diagnosis = None;
-    Err(InboundError::Broke { reason, diagnosis })
+    Err(InboundError::ResponseLost { reason, diagnosis })
 }
--- a/crates/node/src/inbound/inbound_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -28,7 +28,7 @@
     /// Whether the request may wait for a slot.
     pub may_wait: bool,
     /// Target time: the response is of full use until then.
-    pub useful_until: Instant,
+    pub target_deadline: Instant,
     /// Time at which the caller gets a final response.
     pub ends_at: Instant,
     /// Hash by which the request is recognised when it is sent again.
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -17,7 +17,7 @@
 pub(super) struct UnscheduledResponse {
     /// Identifier of the request, for the log.
     id: Option<HeaderValue>,
-    useful_until: Instant,
+    target_deadline: Instant,
     ends_at: Instant,
 }
 
@@ -40,7 +40,7 @@
                 .queue
                 .borrow()
                 .mean_run_time_of(request.route_hash),
-            useful_until: clock.at(request.useful_until),
+            target_deadline: clock.at(request.target_deadline),
             ends_at: clock.at(request.ends_at),
         };
         match link.reserve(clock, self.request_id_of(request), link_request) {
@@ -65,7 +65,7 @@
         let link_request = LinkRequest {
             bytes,
             ready_in: Duration::ZERO,
-            useful_until: clock.at(response.useful_until),
+            target_deadline: clock.at(response.target_deadline),
             ends_at: clock.at(response.ends_at),
         };
         Some(link.reserve_unchecked(clock, response.id, link_request))
@@ -79,7 +79,7 @@
     ) -> Option<UnscheduledResponse> {
         (request.origin == RequestOrigin::Node).then(|| UnscheduledResponse {
             id: self.request_id_of(request),
-            useful_until: request.useful_until,
+            target_deadline: request.target_deadline,
             ends_at: request.ends_at,
         })
     }
--- a/crates/node/src/link/link_reporter.rs
+++ b/crates/node/src/link/link_reporter.rs
@@ -57,7 +57,7 @@
                 "bytes" => transfer.bytes,
                 "bytes_promised" => transfer.link_request.bytes,
                 "sent" => transfer.sent,
-                "target_ms" => transfer.millis_since_request(Some(transfer.link_request.useful_until)),
+                "target_ms" => transfer.millis_since_request(Some(transfer.link_request.target_deadline)),
                 "deadline_ms" => transfer.millis_since_request(Some(transfer.link_request.ends_at)),
                 "made_ms" => transfer.millis_since_request(transfer.response_ready_at),
                 "postponed_ms" => transfer.millis_since_request(transfer.postponed_at),
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -42,7 +42,7 @@
     /// Time until the backend server has the response ready.
     pub ready_in: Duration,
     /// Target time: the response is of full use until then.
-    pub useful_until: Duration,
+    pub target_deadline: Duration,
     /// Time at which the caller gets a final response.
     pub ends_at: Duration,
 }
@@ -147,7 +147,7 @@
             return LinkDecision::Refused { retry_after };
         }
         let due = if self.can_be_in_time(now, request) {
-            request.useful_until
+            request.target_deadline
         } else {
             request.ends_at
         };
@@ -159,7 +159,7 @@
         let free = self.backlog(now);
         let sent_at = now + free.max(request.ready_in) + self.transfer_time(request.bytes as f64);
         let excess = if self.can_be_in_time(now, request) {
-            sent_at.saturating_sub(due_by(now, request.useful_until))
+            sent_at.saturating_sub(due_by(now, request.target_deadline))
         } else {
             let past_end = sent_at.saturating_sub(due_by(now, request.ends_at));
             free.saturating_sub(request.ready_in + LATE_WAIT_MAX)
@@ -170,7 +170,7 @@
 
     /// Whether a response could arrive by its target time on an idle link.
     fn can_be_in_time(&self, now: Duration, request: LinkRequest) -> bool {
-        now + request.ready_in + self.transfer_time(request.bytes as f64) <= request.useful_until
+        now + request.ready_in + self.transfer_time(request.bytes as f64) <= request.target_deadline
     }
 
     /// Reserves the link for a long response without checking its capacity. Such a response is
--- a/crates/node/src/link/link_scheduler.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -79,7 +79,7 @@
     ) -> LinkReservation {
         let key = self.schedule().reserve_unchecked(
             link_request.bytes,
-            link_request.useful_until,
+            link_request.target_deadline,
             link_request.ends_at,
         );
         let transfer = TransferRecord::new(request_id, clock.now(), link_request);
--- a/crates/node/src/link/transfer_record.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -84,7 +84,7 @@
 
     /// Returns the outcome, given that nothing more is sent.
     pub fn outcome(&self) -> TransferOutcome {
-        let in_time = self.sent_at <= Some(self.link_request.useful_until);
+        let in_time = self.sent_at <= Some(self.link_request.target_deadline);
         match (self.response_ready_at, self.is_complete) {
             (None, _) => TransferOutcome::Unmade,
             (Some(_), false) => TransferOutcome::Cut,
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -87,7 +87,7 @@
         let mut response = match self.core.inbound.run(request, peer_header.idempotent).await {
             Ok(response) => response,
             Err(InboundError::Refused { refusal }) => refusal_response(&refusal),
-            Err(InboundError::Broke { reason, diagnosis }) => {
+            Err(InboundError::ResponseLost { reason, diagnosis }) => {
                 failure_response(&reason, diagnosis.as_ref())
             }
         };
@@ -122,7 +122,7 @@
             route_hash: peer_header.route_hash,
             nested: peer_header.nested,
             may_wait: peer_header.may_wait,
-            useful_until: now + peer_header.useful,
+            target_deadline: now + peer_header.target_remaining,
             ends_at: now + remaining,
             instance,
         }
--- a/crates/node/src/transport/exchange_error.rs
+++ b/crates/node/src/transport/exchange_error.rs
@@ -19,7 +19,7 @@
     },
     /// Some or all of the request may have arrived at the peer.
     #[snafu(display("connection broke after sending: {reason}"))]
-    Broke {
+    ResponseLost {
         /// Text of the underlying error.
         reason: String,
     },
--- a/crates/node/src/transport/peer_request_header.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -25,7 +25,7 @@
     /// Whether the request may queue for a slot; if not, it is refused unless one is free.
     pub may_wait: bool,
     /// Time left until the route's target latency has passed.
-    pub useful: Duration,
+    pub target_remaining: Duration,
     /// Version of the sender's configuration; 0 when it has none.
     pub version: ConfigVersion,
     /// Address at which the sender accepts requests of other nodes.
@@ -54,7 +54,7 @@
 
 impl std::fmt::Display for PeerRequestHeader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let useful_ms = self.useful.as_millis();
+        let useful_ms = self.target_remaining.as_millis();
         let flags = [self.nested, self.idempotent, self.may_wait];
         let [nested, idempotent, may_wait] = flags.map(u8::from);
         write!(
@@ -92,7 +92,7 @@
             nested: flag()?,
             idempotent: flag()?,
             may_wait: flag()?,
-            useful: Duration::from_millis(next()?.parse()?),
+            target_remaining: Duration::from_millis(next()?.parse()?),
             version: ConfigVersion(next()?.parse()?),
             from: next()?.parse()?,
         })
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -188,7 +188,7 @@
         let link_request = LinkRequest {
             bytes: FILE_BYTES as u64,
             ready_in: RUN,
-            useful_until: first_attempt_at + TARGET,
+            target_deadline: first_attempt_at + TARGET,
             ends_at: caller.end,
         };
         match self.link.reserve(now, link_request) {
