--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -156,10 +156,10 @@
     /// use geranium_node::inbound::{AdmissionQueue, AdmissionRequest, AdmissionDecision};
     ///
     /// let mut queue = AdmissionQueue::new(1);
-    /// let useful_until = Duration::from_millis(400);
+    /// let target_deadline = Duration::from_millis(400);
     /// let ends_at = Duration::from_millis(1_000);
     /// let request =
-    ///     AdmissionRequest { rank: 1, route_hash: 7, nested: false, may_wait: true, useful_until, ends_at };
+    ///     AdmissionRequest { rank: 1, route_hash: 7, nested: false, may_wait: true, target_deadline, ends_at };
     /// assert_eq!(queue.admit(Duration::ZERO, request), AdmissionDecision::Run);
     /// assert!(matches!(queue.admit(Duration::ZERO, request), AdmissionDecision::Wait { .. }));
     /// let freed = queue.finish(Duration::from_millis(100), 7, Some(Duration::from_millis(100)));
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -134,7 +134,7 @@
     /// let request = LinkRequest {
     ///     bytes: 90_000,
     ///     ready_in: Duration::from_millis(100),
-    ///     useful_until: Duration::from_millis(400),
+    ///     target_deadline: Duration::from_millis(400),
     ///     ends_at: Duration::from_millis(400),
     /// };
     /// let reserved = (0..9).filter(|_| {
