--- a/crates/burn/src/burn_error.rs
+++ b/crates/burn/src/burn_error.rs
@@ -22,7 +22,7 @@
     },
     /// A node's page answered with something unexpected.
     #[snafu(display("the node at {addr} answered with something unexpected: {reason}"))]
-    NodeBadAnswer {
+    UnexpectedResponse {
         /// Address of its page.
         addr: SocketAddr,
         /// What is wrong with it.
@@ -38,7 +38,7 @@
     },
     /// An objective leaves nothing to spare, or promises nothing.
     #[snafu(display("the objective of {service} needs shares above 0 and below 1, and a latency"))]
-    UnsoundObjective {
+    InvalidObjective {
         /// The service.
         service: String,
     },
@@ -80,11 +80,11 @@
     /// ```
     pub const fn code(&self) -> ResultCode {
         match self {
-            Self::NoNode | Self::UnsoundObjective { .. } | Self::BadObjectives { .. } => {
+            Self::NoNode | Self::InvalidObjective { .. } | Self::BadObjectives { .. } => {
                 ResultCode::BadSetting
             }
             Self::NodeUnreachable { .. } => ResultCode::NodePageUnreachable,
-            Self::NodeBadAnswer { .. } => ResultCode::NodePageMalformed,
+            Self::UnexpectedResponse { .. } => ResultCode::NodePageMalformed,
             Self::File { .. } | Self::BadSample { .. } | Self::Picture { .. } => {
                 ResultCode::FileUnreadable
             }
--- a/crates/burn/src/burning/alert_rule.rs
+++ b/crates/burn/src/burn_rate/alert_rule.rs
@@ -76,11 +76,11 @@
     /// use geranium_burn::{ALERT_RULES, Urgency};
     ///
     /// let page = ALERT_RULES[0];
-    /// assert_eq!(page.judge(Some(20.0), Some(15.0)), Urgency::Page);
-    /// assert_eq!(page.judge(Some(20.0), Some(0.0)), Urgency::Fine);
-    /// assert_eq!(page.judge(None, None), Urgency::NoTraffic);
+    /// assert_eq!(page.evaluate(Some(20.0), Some(15.0)), Urgency::Page);
+    /// assert_eq!(page.evaluate(Some(20.0), Some(0.0)), Urgency::Fine);
+    /// assert_eq!(page.evaluate(None, None), Urgency::NoTraffic);
     /// ```
-    pub fn judge(&self, slow: Option<f64>, fast: Option<f64>) -> Urgency {
+    pub fn evaluate(&self, slow: Option<f64>, fast: Option<f64>) -> Urgency {
         let Some(slow) = slow else {
             return Urgency::NoTraffic;
         };
--- a/crates/burn/src/burning/burn_interval.rs
+++ b/crates/burn/src/burn_rate/burn_interval.rs
@@ -19,7 +19,7 @@
     /// Services that got requests and have no objective.
     pub without_objective: BTreeSet<String>,
     /// Services whose objective changed.
-    pub changed: BTreeSet<String>,
+    pub changed_objectives: BTreeSet<String>,
     /// Instances whose node restarted; what it counted between its last
     /// sample and its end is lost.
     pub restarted: BTreeSet<String>,
@@ -27,7 +27,7 @@
 
 impl BurnInterval {
     /// Takes in the interval that follows this one.
-    pub fn absorb(&mut self, later: Self) {
+    pub fn append(&mut self, later: Self) {
         self.end_ms = later.end_ms;
         for (service, tallies) in later.tallies {
             let sums = self.tallies.entry(service).or_default();
@@ -36,7 +36,7 @@
             }
         }
         self.without_objective.extend(later.without_objective);
-        self.changed.extend(later.changed);
+        self.changed_objectives.extend(later.changed_objectives);
         self.restarted.extend(later.restarted);
     }
 }
--- a/crates/burn/src/burning/burn_tally.rs
+++ b/crates/burn/src/burn_rate/burn_tally.rs
@@ -6,11 +6,11 @@
 
 /// One of the two promises of an objective, weighed.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct BudgetPart {
+pub struct ErrorBudget {
     /// Answers that break the promise.
-    pub broken: u64,
+    pub violations: u64,
     /// Answers that the promise is about.
-    pub of: u64,
+    pub total: u64,
     /// Answers that might have broken it: the budget.
     pub allowed: f64,
 }
@@ -22,26 +22,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct BurnTally {
     /// Answers that aren't good, of all that aren't the caller's fault.
-    pub availability: BudgetPart,
+    pub availability: ErrorBudget,
     /// Good answers that are slow, of all good ones.
-    pub latency: BudgetPart,
+    pub latency: ErrorBudget,
     /// Answers that are the caller's own fault and in neither part.
     pub caller_faults: u64,
 }
 
-impl BudgetPart {
-    fn new(broken: u64, of: u64, promised_share: f64) -> Self {
+impl ErrorBudget {
+    fn new(violations: u64, total: u64, promised_share: f64) -> Self {
         Self {
-            broken,
-            of,
-            allowed: of as f64 * (1.0 - promised_share),
+            violations,
+            total,
+            allowed: total as f64 * (1.0 - promised_share),
         }
     }
 
     /// Returns the burn: 1 breaks exactly as many as allowed; `None` without
     /// answers.
     pub fn burn(&self) -> Option<f64> {
-        (self.of > 0).then(|| self.broken as f64 / self.allowed)
+        (self.total > 0).then(|| self.violations as f64 / self.allowed)
     }
 
     /// Returns the share of the budget that is left, below 0 when overspent.
@@ -60,24 +60,24 @@
     ///     ///
     /// let objective = ServiceObjective { availability: 0.75, ..Default::default() };
     /// let counts = TrafficCounts { good: 6, bad: 2, ..Default::default() };
-    /// let tally = BurnTally::weigh(&counts, &objective);
+    /// let tally = BurnTally::from_counts(&counts, &objective);
     /// assert_eq!(tally.availability.burn(), Some(1.0));
     /// ```
-    pub fn weigh(counts: &TrafficCounts, objective: &ServiceObjective) -> Self {
+    pub fn from_counts(counts: &TrafficCounts, objective: &ServiceObjective) -> Self {
         let answers = counts.good + counts.bad;
         let slow = counts.slow(objective.latency_ms);
         Self {
-            availability: BudgetPart::new(counts.bad, answers, objective.availability),
-            latency: BudgetPart::new(slow, counts.good, objective.latency_share),
+            availability: ErrorBudget::new(counts.bad, answers, objective.availability),
+            latency: ErrorBudget::new(slow, counts.good, objective.latency_share),
             caller_faults: counts.caller_faults,
         }
     }
 }
 
-impl AddAssign for BudgetPart {
+impl AddAssign for ErrorBudget {
     fn add_assign(&mut self, other: Self) {
-        self.broken += other.broken;
-        self.of += other.of;
+        self.violations += other.violations;
+        self.total += other.total;
         self.allowed += other.allowed;
     }
 }
--- a/crates/burn/src/burning/burn_ledger.rs
+++ b/crates/burn/src/burn_rate/burn_tracker.rs
@@ -18,7 +18,7 @@
 /// nothing unless it restarted: its next reading holds the missed counts, which
 /// then belong to the interval of that reading.
 #[derive(Debug)]
-pub struct BurnLedger {
+pub struct BurnTracker {
     history: IntervalHistory,
     last: BTreeMap<String, NodeReading>,
     /// Nodes with lost or unread counts, and when that was found.
@@ -35,7 +35,7 @@
     nodes: usize,
 }
 
-impl BurnLedger {
+impl BurnTracker {
     /// Keeps the intervals of so long a budget window.
     pub const fn new(budget_window: Duration) -> Self {
         Self {
@@ -55,7 +55,7 @@
             // The operator's clock may have been set back between two runs.
             start_ms: start_ms.unwrap_or(sample.at_ms).min(sample.at_ms),
             end_ms: sample.at_ms,
-            changed: changed(&former, &sample.objectives),
+            changed_objectives: changed_objectives(&former, &sample.objectives),
             ..BurnInterval::default()
         };
         self.forget_old_losses(sample.at_ms);
@@ -188,7 +188,7 @@
                 kind: traffic.kind,
             };
             let tallies = interval.tallies.entry(traffic.service).or_default();
-            *tallies.entry(key).or_default() += BurnTally::weigh(&counts, objective);
+            *tallies.entry(key).or_default() += BurnTally::from_counts(&counts, objective);
         }
         self.last.insert(reading.instance.clone(), reading);
     }
@@ -202,7 +202,7 @@
     }
 }
 
-fn changed(former: &Objectives, current: &Objectives) -> BTreeSet<String> {
+fn changed_objectives(former: &Objectives, current: &Objectives) -> BTreeSet<String> {
     let differs = |name| {
         let before = former.get(name);
         before.is_some() && before != current.get(name)
--- a/crates/burn/src/burning/interval_history.rs
+++ b/crates/burn/src/burn_rate/interval_history.rs
@@ -72,7 +72,7 @@
             let longest_ms = longest_ms(self.budget_window, now_ms - interval.end_ms.min(now_ms));
             match merged.back_mut() {
                 Some(last) if interval.end_ms.saturating_sub(last.start_ms) <= longest_ms => {
-                    last.absorb(interval);
+                    last.append(interval);
                 }
                 _ => merged.push_back(interval),
             }
--- a/crates/burn/src/burn_run.rs
+++ b/crates/burn/src/burn_run.rs
@@ -9,7 +9,7 @@
 use snafu::ResultExt;
 
 use crate::{
-    BurnError, BurnLedger, BurnReport, Command, FleetSample, FleetSampler, Invocation,
+    BurnError, BurnReport, BurnTracker, Command, FleetSample, FleetSampler, Invocation,
     ObjectiveSource, SampleFile, burn_error::FileSnafu, burn_picture,
 };
 
@@ -19,7 +19,7 @@
     invocation: &'a Invocation,
     sampler: FleetSampler,
     file: Option<SampleFile>,
-    ledger: BurnLedger,
+    tracker: BurnTracker,
     kept_at_ms: Option<u64>,
 }
 
@@ -38,15 +38,15 @@
             path: invocation.objectives.clone(),
         };
         let file = invocation.samples.as_ref().map(SampleFile::new);
-        let mut ledger = BurnLedger::new(invocation.window.duration());
+        let mut tracker = BurnTracker::new(invocation.window.duration());
         if let Some(file) = &file {
-            file.read(|sample| ledger.add(sample))?;
+            file.read(|sample| tracker.add(sample))?;
         }
         Ok(Self {
             invocation,
             sampler: FleetSampler::new(seeds, source),
             file,
-            ledger,
+            tracker,
             kept_at_ms: None,
         })
     }
@@ -90,8 +90,8 @@
     fn sample(&mut self, is_edge: bool) -> Result<ResultCode, BurnError> {
         let sample = self.sampler.sample()?;
         self.keep(&sample, is_edge)?;
-        self.ledger.add(sample);
-        let is_whole = self.ledger.losses().0.is_empty();
+        self.tracker.add(sample);
+        let is_whole = self.tracker.losses().0.is_empty();
         Ok(if is_whole {
             ResultCode::Ok
         } else {
@@ -114,7 +114,7 @@
     }
 
     fn report(&self, show: &mut impl FnMut(&BurnReport)) -> Result<(), BurnError> {
-        let report = BurnReport::from(&self.ledger);
+        let report = BurnReport::from(&self.tracker);
         if let Some(path) = &self.invocation.picture {
             let svg = burn_picture(&report)?;
             fs::write(path, svg).context(FileSnafu { path })?;
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -3,7 +3,7 @@
 //! Nodes keep nothing and count since their own start, so this program takes
 //! samples. A [`NodeReading`] is one node's page of counters in checked form;
 //! a [`FleetSampler`] reads all nodes into a [`FleetSample`], and a
-//! [`SampleFile`] keeps samples between runs. The [`BurnLedger`] turns them
+//! [`SampleFile`] keeps samples between runs. The [`BurnTracker`] turns them
 //! into intervals, minding restarts and missing nodes, and a [`BurnReport`]
 //! weighs those against the objectives by [`ALERT_RULES`].
 //!
@@ -11,8 +11,8 @@
 //! some nodes names them and has its own result code and [`exit_status`].
 
 mod burn_error;
+mod burn_rate;
 mod burn_run;
-mod burning;
 mod exit_status;
 mod invocation;
 mod json_text;
@@ -22,11 +22,11 @@
 mod sampling;
 
 pub use burn_error::BurnError;
-pub use burn_run::BurnRun;
-pub use burning::{
-    ALERT_RULES, AlertRule, BudgetPart, BurnInterval, BurnLedger, BurnTally, IntervalHistory,
+pub use burn_rate::{
+    ALERT_RULES, AlertRule, BurnInterval, BurnTally, BurnTracker, ErrorBudget, IntervalHistory,
     ServiceTallies, TallyKey, Urgency,
 };
+pub use burn_run::BurnRun;
 pub use exit_status::exit_status;
 pub use invocation::{Command, Invocation};
 pub use output_format::OutputFormat;
@@ -35,8 +35,8 @@
     TrafficKey,
 };
 pub use report::{
-    BudgetLine, BurnReport, PartBurn, RuleBurn, ServiceBurn, WindowLength, WindowLengthError,
-    burn_picture,
+    BreakdownRow, BurnReport, IndicatorBurn, RuleBurn, ServiceBurn, WindowLength,
+    WindowLengthError, burn_picture,
 };
 pub use sampling::{
     AdminClient, FleetSample, FleetSampler, MissingNode, ObjectiveSource, Objectives, SampleFile,
--- a/crates/burn/src/report/budget_line.rs
+++ b/crates/burn/src/report/breakdown_row.rs
@@ -6,7 +6,7 @@
 
 /// Burn of one data centre or kind over the budget window.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct BudgetLine {
+pub struct BreakdownRow {
     /// Data centre or kind.
     pub name: String,
     /// Answers that aren't the caller's fault.
@@ -17,12 +17,12 @@
     pub latency_burn: Option<f64>,
 }
 
-impl BudgetLine {
+impl BreakdownRow {
     /// Sums up one name's tally.
     pub fn new(name: impl Into<String>, tally: &BurnTally) -> Self {
         Self {
             name: name.into(),
-            answers: tally.availability.of,
+            answers: tally.availability.total,
             availability_burn: tally.availability.burn(),
             latency_burn: tally.latency.burn(),
         }
--- a/crates/burn/src/report/burn_picture.rs
+++ b/crates/burn/src/report/burn_picture.rs
@@ -4,7 +4,7 @@
 
 use plotters::{coord::Shift, prelude::*};
 
-use super::{BurnReport, PartBurn, ServiceBurn};
+use super::{BurnReport, IndicatorBurn, ServiceBurn};
 use crate::{BurnError, Urgency};
 
 const WIDTH: u32 = 900;
@@ -60,7 +60,7 @@
 struct Panel {
     title: String,
     max: f64,
-    value: fn(&PartBurn) -> Option<f64>,
+    value: fn(&IndicatorBurn) -> Option<f64>,
 }
 
 fn bars<DB: DrawingBackend>(
--- a/crates/burn/src/report/burn_report.rs
+++ b/crates/burn/src/report/burn_report.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::ServiceBurn;
-use crate::{BurnLedger, MissingNode};
+use crate::{BurnTracker, MissingNode};
 
 /// Service-level burn of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -49,35 +49,35 @@
     }
 }
 
-impl From<&BurnLedger> for BurnReport {
-    fn from(ledger: &BurnLedger) -> Self {
-        let history = ledger.history();
+impl From<&BurnTracker> for BurnReport {
+    fn from(tracker: &BurnTracker) -> Self {
+        let history = tracker.history();
         let window = history.budget_window();
-        let (missing, older_losses) = ledger.losses();
+        let (missing, older_losses) = tracker.losses();
         let covered = history
             .within(window)
             .map(|interval| interval.end_ms - interval.start_ms);
-        let objectives = ledger.objectives().into_iter().flatten();
+        let objectives = tracker.objectives().into_iter().flatten();
         let mut services: Vec<_> = objectives
             .map(|(name, objective)| ServiceBurn::new(name, objective, history))
             .collect();
         services.sort_by(|a, b| {
             let burn = |service: &ServiceBurn| {
                 let lines = service.kinds.first();
-                lines.map_or(0.0, super::BudgetLine::worst_burn)
+                lines.map_or(0.0, super::BreakdownRow::worst_burn)
             };
             let by_urgency = b.urgency.cmp(&a.urgency);
             by_urgency.then_with(|| burn(b).total_cmp(&burn(a)))
         });
         let partial = !missing.is_empty();
         let mut report = Self {
-            at_ms: ledger.at_ms(),
-            version: ledger.version(),
+            at_ms: tracker.at_ms(),
+            version: tracker.version(),
             code: 0,
             partial,
             window_ms: window.as_millis() as u64,
             covered_ms: covered.sum(),
-            nodes_read: ledger.nodes_read(),
+            nodes_read: tracker.nodes_read(),
             missing: missing.into_iter().cloned().collect(),
             older_losses,
             restarted: BTreeSet::new(),
--- a/crates/burn/src/report/part_burn.rs
+++ b/crates/burn/src/report/indicator_burn.rs
@@ -3,17 +3,19 @@
 use serde::Serialize;
 
 use super::RuleBurn;
-use crate::{BudgetPart, Urgency};
+use crate::{ErrorBudget, Urgency};
 
 /// Availability or latency of a service.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct PartBurn {
+pub struct IndicatorBurn {
     /// Promised share.
     pub promised: f64,
     /// Answers over the budget window that break the promise.
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub violations: u64,
     /// Answers over the budget window that it is about.
-    pub of: u64,
+    #[serde(rename = "of")]
+    pub total: u64,
     /// Share of the budget left for these answers, below 0 when overspent;
     /// `null` without answers.
     pub budget_left: Option<f64>,
@@ -23,14 +25,14 @@
     pub urgency: Urgency,
 }
 
-impl PartBurn {
+impl IndicatorBurn {
     /// Sums up a promise.
-    pub fn new(promised: f64, budget: BudgetPart, rules: Vec<RuleBurn>) -> Self {
+    pub fn new(promised: f64, budget: ErrorBudget, rules: Vec<RuleBurn>) -> Self {
         let most = rules.iter().map(|rule| rule.urgency).max();
         Self {
             promised,
-            broken: budget.broken,
-            of: budget.of,
+            violations: budget.violations,
+            total: budget.total,
             budget_left: budget.budget_left(),
             rules,
             urgency: most.unwrap_or(Urgency::NoTraffic),
--- a/crates/burn/src/report/report_text.rs
+++ b/crates/burn/src/report/report_text.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::{self, Display, Formatter};
 
-use super::{BudgetLine, BurnReport, PartBurn, ServiceBurn, WindowLength};
+use super::{BreakdownRow, BurnReport, IndicatorBurn, ServiceBurn, WindowLength};
 use crate::Urgency;
 
 impl Display for BurnReport {
@@ -66,7 +66,7 @@
     }
 }
 
-fn part(f: &mut Formatter<'_>, name: &str, broken: &str, part: &PartBurn) -> fmt::Result {
+fn part(f: &mut Formatter<'_>, name: &str, violations: &str, part: &IndicatorBurn) -> fmt::Result {
     // Rounded past the digits in which binary fractions show.
     let promised = (part.promised * 1e8).round() / 1e6;
     let left = part.budget_left.map_or_else(
@@ -75,8 +75,8 @@
     );
     writeln!(
         f,
-        "  {name} {promised}%: {} of {} {broken}, budget left {left}",
-        part.broken, part.of
+        "  {name} {promised}%: {} of {} {violations}, budget left {left}",
+        part.violations, part.total
     )?;
     for rule in &part.rules {
         let (slow, fast) = (
@@ -97,12 +97,12 @@
     Ok(())
 }
 
-fn lines(f: &mut Formatter<'_>, title: &str, lines: &[BudgetLine]) -> fmt::Result {
+fn lines(f: &mut Formatter<'_>, title: &str, lines: &[BreakdownRow]) -> fmt::Result {
     if lines.is_empty() {
         return Ok(());
     }
     let texts = lines.iter().map(|line| {
-        let BudgetLine { name, answers, .. } = line;
+        let BreakdownRow { name, answers, .. } = line;
         let availability = number(line.availability_burn);
         let latency = number(line.latency_burn);
         format!("{name} {availability}/{latency} ({answers} answers)")
--- a/crates/burn/src/report/rule_burn.rs
+++ b/crates/burn/src/report/rule_burn.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::{AlertRule, BudgetPart, Urgency};
+use crate::{AlertRule, ErrorBudget, Urgency};
 
 /// Burn over a rule's two windows.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -25,7 +25,7 @@
 
 impl RuleBurn {
     /// Judges a promise by its tallies over both windows.
-    pub fn new(rule: &AlertRule, budget: Duration, slow: BudgetPart, fast: BudgetPart) -> Self {
+    pub fn new(rule: &AlertRule, budget: Duration, slow: ErrorBudget, fast: ErrorBudget) -> Self {
         let (slow_burn, fast_burn) = (slow.burn(), fast.burn());
         Self {
             threshold: rule.threshold,
@@ -33,7 +33,7 @@
             slow_burn,
             fast_ms: rule.fast(budget).as_millis() as u64,
             fast_burn,
-            urgency: rule.judge(slow_burn, fast_burn),
+            urgency: rule.evaluate(slow_burn, fast_burn),
         }
     }
 }
--- a/crates/burn/src/report/service_burn.rs
+++ b/crates/burn/src/report/service_burn.rs
@@ -4,10 +4,10 @@
 
 use serde::Serialize;
 
-use super::{BudgetLine, PartBurn, RuleBurn};
+use super::{BreakdownRow, IndicatorBurn, RuleBurn};
 use crate::{
-    ALERT_RULES, AlertRule, BudgetPart, BurnInterval, BurnTally, IntervalHistory, ServiceObjective,
-    TallyKey, Urgency,
+    ALERT_RULES, AlertRule, BurnInterval, BurnTally, ErrorBudget, IntervalHistory,
+    ServiceObjective, TallyKey, Urgency,
 };
 
 /// Data centres shown for a service, the worst first: one at fault stands out,
@@ -29,13 +29,13 @@
     /// Answers left out as the caller's own fault.
     pub caller_faults: u64,
     /// Availability.
-    pub availability: PartBurn,
+    pub availability: IndicatorBurn,
     /// Latency of good answers.
-    pub latency: PartBurn,
+    pub latency: IndicatorBurn,
     /// Data centres of the callers' nodes with the highest burn.
-    pub worst_data_centres: Vec<BudgetLine>,
+    pub worst_data_centres: Vec<BreakdownRow>,
     /// Kinds of callers' requests, the highest burn first.
-    pub kinds: Vec<BudgetLine>,
+    pub kinds: Vec<BreakdownRow>,
 }
 
 impl ServiceBurn {
@@ -47,22 +47,22 @@
             .iter()
             .map(|rule| (rule, tally(rule.slow(budget)), tally(rule.fast(budget))))
             .collect();
-        let judge = |part: fn(&BurnTally) -> BudgetPart| {
+        let evaluate = |part: fn(&BurnTally) -> ErrorBudget| {
             let judged = rules.iter().map(|(rule, slow, fast): &(&AlertRule, _, _)| {
                 RuleBurn::new(rule, budget, part(slow), part(fast))
             });
             judged.collect()
         };
         let whole = tally(budget);
-        let availability = PartBurn::new(
+        let availability = IndicatorBurn::new(
             objective.availability,
             whole.availability,
-            judge(|tally| tally.availability),
+            evaluate(|tally| tally.availability),
         );
-        let latency = PartBurn::new(
+        let latency = IndicatorBurn::new(
             objective.latency_share,
             whole.latency,
-            judge(|tally| tally.latency),
+            evaluate(|tally| tally.latency),
         );
         let all = || history.within(budget);
         let mut worst = lines(service, all(), |key| key.data_centre.clone());
@@ -71,7 +71,7 @@
             service: service.to_owned(),
             urgency: availability.urgency.max(latency.urgency),
             latency_ms: objective.latency_ms,
-            objective_changed: all().any(|interval| interval.changed.contains(service)),
+            objective_changed: all().any(|interval| interval.changed_objectives.contains(service)),
             caller_faults: whole.caller_faults,
             availability,
             latency,
@@ -101,14 +101,16 @@
     service: &'a str,
     intervals: impl Iterator<Item = &'a BurnInterval>,
     name: impl Fn(&TallyKey) -> String,
-) -> Vec<BudgetLine> {
+) -> Vec<BreakdownRow> {
     let mut sums: BTreeMap<String, BurnTally> = BTreeMap::new();
     for (key, tally) in of_service(service, intervals) {
         *sums.entry(name(key)).or_default() += *tally;
     }
-    let with_answers = sums.iter().filter(|(_, tally)| tally.availability.of > 0);
+    let with_answers = sums
+        .iter()
+        .filter(|(_, tally)| tally.availability.total > 0);
     let mut lines: Vec<_> = with_answers
-        .map(|(name, tally)| BudgetLine::new(name, tally))
+        .map(|(name, tally)| BreakdownRow::new(name, tally))
         .collect();
     lines.sort_by(|a, b| b.worst_burn().total_cmp(&a.worst_burn()));
     lines
--- a/crates/burn/src/sampling/admin_client.rs
+++ b/crates/burn/src/sampling/admin_client.rs
@@ -35,24 +35,25 @@
     ///
     /// # Errors
     ///
-    /// [`BurnError::NodeUnreachable`] or [`BurnError::NodeBadAnswer`].
+    /// [`BurnError::NodeUnreachable`] or [`BurnError::UnexpectedResponse`].
     pub fn reading(self) -> Result<NodeReading, BurnError> {
         let page = self.get(METRICS_PATH)?;
-        NodeReading::try_from(page.as_str()).map_err(|error| self.bad_answer(error.to_string()))
+        NodeReading::try_from(page.as_str())
+            .map_err(|error| self.unexpected_response(error.to_string()))
     }
 
     /// Asks the node for every member that it knows.
     ///
     /// # Errors
     ///
-    /// [`BurnError::NodeUnreachable`] or [`BurnError::NodeBadAnswer`].
+    /// [`BurnError::NodeUnreachable`] or [`BurnError::UnexpectedResponse`].
     pub fn members(self) -> Result<Vec<MemberRecord>, BurnError> {
         self.get_json(MEMBERS_PATH)
     }
 
     fn get_json<T: DeserializeOwned>(self, path: &str) -> Result<T, BurnError> {
         let text = self.get(path)?;
-        serde_json::from_str(&text).map_err(|error| self.bad_answer(error.to_string()))
+        serde_json::from_str(&text).map_err(|error| self.unexpected_response(error.to_string()))
     }
 
     fn get(self, path: &str) -> Result<String, BurnError> {
@@ -71,11 +72,11 @@
         if status.is_success() {
             return Ok(text);
         }
-        Err(self.bad_answer(format!("status {}: {}", status.as_u16(), text.trim())))
+        Err(self.unexpected_response(format!("status {}: {}", status.as_u16(), text.trim())))
     }
 
-    fn bad_answer(self, reason: String) -> BurnError {
-        BurnError::NodeBadAnswer {
+    fn unexpected_response(self, reason: String) -> BurnError {
+        BurnError::UnexpectedResponse {
             addr: self.addr,
             reason,
         }
--- a/crates/burn/src/sampling/objective_source.rs
+++ b/crates/burn/src/sampling/objective_source.rs
@@ -41,9 +41,9 @@
             serde_json::from_slice(&text).context(BadObjectivesSnafu { path })?;
         match objectives
             .iter()
-            .find(|(_, objective)| !objective.is_sound())
+            .find(|(_, objective)| !objective.is_valid())
         {
-            Some((service, _)) => Err(BurnError::UnsoundObjective {
+            Some((service, _)) => Err(BurnError::InvalidObjective {
                 service: service.clone(),
             }),
             None => Ok(objectives),
--- a/crates/burn/src/sampling/service_objective.rs
+++ b/crates/burn/src/sampling/service_objective.rs
@@ -16,7 +16,7 @@
 
 impl ServiceObjective {
     /// Whether both shares leave something to spare, and something to promise.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let open = |share: f64| share > 0.0 && share < 1.0;
         open(self.availability) && open(self.latency_share) && self.latency_ms > 0
     }
--- a/crates/burn/tests/all/reports.rs
+++ b/crates/burn/tests/all/reports.rs
@@ -3,23 +3,23 @@
 use std::collections::BTreeSet;
 
 use clap::CommandFactory;
-use geranium_burn::{BurnLedger, BurnReport, Invocation, OutputFormat, burn_picture};
+use geranium_burn::{BurnReport, BurnTracker, Invocation, OutputFormat, burn_picture};
 use serde_json::Value;
 
 use crate::support::{MONTH, counts, missing, node, sample};
 
 fn report() -> BurnReport {
-    let mut ledger = BurnLedger::new(MONTH);
+    let mut tracker = BurnTracker::new(MONTH);
     let reading =
         |instance, started, good, bad, slow| node(instance, started, counts(good, bad, slow));
-    ledger.add(sample(
+    tracker.add(sample(
         0,
         [
             reading("hofdi-1", 1, 100, 0, 0),
             reading("hofdi-2", 1, 50, 0, 0),
         ],
     ));
-    ledger.add(sample(
+    tracker.add(sample(
         5,
         [
             reading("hofdi-1", 1, 300, 80, 10),
@@ -28,8 +28,8 @@
     ));
     let mut last = sample(10, [reading("hofdi-1", 1, 310, 160, 10)]);
     last.missing.push(missing("hofdi-2"));
-    ledger.add(last);
-    BurnReport::from(&ledger)
+    tracker.add(last);
+    BurnReport::from(&tracker)
 }
 
 /// Collects the path and type of every field.
@@ -75,6 +75,6 @@
     let svg = burn_picture(&report()).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("verdskra") && svg.contains("PARTIAL"));
     assert!(!svg.contains("pantanir"), "it had no traffic");
-    let nothing = BurnReport::from(&BurnLedger::new(MONTH));
+    let nothing = BurnReport::from(&BurnTracker::new(MONTH));
     assert!(burn_picture(&nothing).unwrap().starts_with("<svg"));
 }
--- a/crates/burn/tests/all/resets.rs
+++ b/crates/burn/tests/all/resets.rs
@@ -1,6 +1,6 @@
 //! Burn from cumulative counters against a count of single events.
 
-use geranium_burn::{BurnLedger, BurnReport, NodeReading, TrafficCounts};
+use geranium_burn::{BurnReport, BurnTracker, NodeReading, TrafficCounts};
 
 use crate::support::{MONTH, counts, missing, node, sample};
 
@@ -82,7 +82,7 @@
 fn burn_from_counters_equals_a_count_of_single_answers() {
     for seed in 0..HISTORIES {
         let mut draw = Draw(seed);
-        let mut ledger = BurnLedger::new(MONTH);
+        let mut tracker = BurnTracker::new(MONTH);
         let mut nodes: Vec<_> = (0..3)
             .map(|number| LoggedNode {
                 name: format!("hofdi-{number}"),
@@ -109,9 +109,9 @@
                     seen.extend(node.take_new());
                 }
             }
-            ledger.add(next);
+            tracker.add(next);
         }
-        let report = BurnReport::from(&ledger);
+        let report = BurnReport::from(&tracker);
         let prices = report
             .services
             .iter()
@@ -119,18 +119,18 @@
         let prices = prices.expect("it is promised");
         let count = |event| seen.iter().filter(|found| **found == event).count() as u64;
         let (bad, slow) = (count(Event::Bad), count(Event::Slow));
-        let of = seen.len() as u64;
+        let total = seen.len() as u64;
         assert_eq!(
-            (prices.availability.broken, prices.availability.of),
-            (bad, of),
+            (prices.availability.violations, prices.availability.total),
+            (bad, total),
             "seed {seed}"
         );
         assert_eq!(
-            (prices.latency.broken, prices.latency.of),
-            (slow, of - bad),
+            (prices.latency.violations, prices.latency.total),
+            (slow, total - bad),
             "seed {seed}"
         );
-        let naive = (of > 0).then(|| 1.0 - bad as f64 / (of as f64 * 0.1));
+        let naive = (total > 0).then(|| 1.0 - bad as f64 / (total as f64 * 0.1));
         let left = prices.availability.budget_left;
         let is_close = match (left, naive) {
             (Some(left), Some(naive)) => (left - naive).abs() < 1e-9 * naive.abs().max(1.0),
