--- a/crates/burn/src/burn_rate/alert_rule.rs
+++ b/crates/burn/src/burn_rate/alert_rule.rs
@@ -59,12 +59,12 @@
 
 impl AlertRule {
     /// Returns the slow window.
-    pub fn slow(&self, budget_window: Duration) -> Duration {
+    pub fn slow_window(&self, budget_window: Duration) -> Duration {
         budget_window / self.slow_divisor
     }
 
     /// Returns the fast window.
-    pub fn fast(&self, budget_window: Duration) -> Duration {
+    pub fn fast_window(&self, budget_window: Duration) -> Duration {
         budget_window / self.fast_divisor
     }
 
--- a/crates/burn/src/burn_rate/burn_tally.rs
+++ b/crates/burn/src/burn_rate/burn_tally.rs
@@ -65,7 +65,7 @@
     /// ```
     pub fn from_counts(counts: &TrafficCounts, objective: &ServiceObjective) -> Self {
         let answers = counts.good + counts.bad;
-        let slow = counts.slow(objective.latency_ms);
+        let slow = counts.slow_responses(objective.latency_ms);
         Self {
             availability: ErrorBudget::new(counts.bad, answers, objective.availability),
             latency: ErrorBudget::new(slow, counts.good, objective.latency_share),
--- a/crates/burn/src/burn_rate/burn_tracker.rs
+++ b/crates/burn/src/burn_rate/burn_tracker.rs
@@ -110,7 +110,7 @@
         let window = self.history.budget_window();
         let newest = self.history.within(Duration::ZERO).last();
         let span_ms = newest.map_or(0, |interval| interval.end_ms - interval.start_ms);
-        let lately_ms = span_ms.max(ALERT_RULES[0].slow(window).as_millis() as u64);
+        let lately_ms = span_ms.max(ALERT_RULES[0].slow_window(window).as_millis() as u64);
         let age_ms = |at_ms: u64| self.at_ms().saturating_sub(at_ms);
         let (late, early): (Vec<_>, Vec<_>) = self
             .losses
--- a/crates/burn/src/burn_rate/interval_history.rs
+++ b/crates/burn/src/burn_rate/interval_history.rs
@@ -85,8 +85,8 @@
 fn longest_ms(budget_window: Duration, age_ms: u64) -> u64 {
     let left = ALERT_RULES
         .iter()
-        .rfind(|rule| age_ms > millis(rule.slow(budget_window)));
-    left.map_or(0, |rule| millis(rule.fast(budget_window)))
+        .rfind(|rule| age_ms > millis(rule.slow_window(budget_window)));
+    left.map_or(0, |rule| millis(rule.fast_window(budget_window)))
 }
 
 fn millis(duration: Duration) -> u64 {
--- a/crates/burn/src/reading/metric_line.rs
+++ b/crates/burn/src/reading/metric_line.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether a label has this value.
-    pub fn has(&self, label: &str, value: &str) -> bool {
+    pub fn has_label(&self, label: &str, value: &str) -> bool {
         self.labels.get(label).is_some_and(|found| found == value)
     }
 
--- a/crates/burn/src/reading/node_reading.rs
+++ b/crates/burn/src/reading/node_reading.rs
@@ -92,7 +92,7 @@
         let lines = page.lines().map(str::trim);
         for text in lines.filter(|line| !line.is_empty() && !line.starts_with('#')) {
             let line = MetricLine::try_from(text)?;
-            if line.has("service", NO_SERVICE) {
+            if line.has_label("service", NO_SERVICE) {
                 continue;
             }
             match line.name() {
--- a/crates/burn/src/reading/traffic_counts.rs
+++ b/crates/burn/src/reading/traffic_counts.rs
@@ -66,10 +66,10 @@
     /// let bucket = |bound_s, count| LatencyBucket { bound_s, count };
     /// let buckets = vec![bucket(0.1, 6), bucket(0.25, 9)];
     /// let counts = TrafficCounts { good: 10, timed: 10, buckets, ..Default::default() };
-    /// assert_eq!(counts.slow(250), 1);
-    /// assert_eq!(counts.slow(249), 4);
+    /// assert_eq!(counts.slow_responses(250), 1);
+    /// assert_eq!(counts.slow_responses(249), 4);
     /// ```
-    pub fn slow(&self, latency_ms: u32) -> u64 {
+    pub fn slow_responses(&self, latency_ms: u32) -> u64 {
         let threshold = f64::from(latency_ms) / 1_000.0;
         let reached = self
             .buckets
--- a/crates/burn/src/report/breakdown_row.rs
+++ b/crates/burn/src/report/breakdown_row.rs
@@ -10,7 +10,8 @@
     /// Data centre or kind.
     pub name: String,
     /// Answers that aren't the caller's fault.
-    pub answers: u64,
+    #[serde(rename = "answers")]
+    pub responses: u64,
     /// Burn of the availability budget; `null` without answers.
     pub availability_burn: Option<f64>,
     /// Burn of the latency budget; `null` without good answers.
@@ -22,7 +23,7 @@
     pub fn new(name: impl Into<String>, tally: &BurnTally) -> Self {
         Self {
             name: name.into(),
-            answers: tally.availability.total,
+            responses: tally.availability.total,
             availability_burn: tally.availability.burn(),
             latency_burn: tally.latency.burn(),
         }
--- a/crates/burn/src/report/report_text.rs
+++ b/crates/burn/src/report/report_text.rs
@@ -102,10 +102,12 @@
         return Ok(());
     }
     let texts = lines.iter().map(|line| {
-        let BreakdownRow { name, answers, .. } = line;
+        let BreakdownRow {
+            name, responses, ..
+        } = line;
         let availability = number(line.availability_burn);
         let latency = number(line.latency_burn);
-        format!("{name} {availability}/{latency} ({answers} answers)")
+        format!("{name} {availability}/{latency} ({responses} answers)")
     });
     let texts: Vec<_> = texts.collect();
     writeln!(
--- a/crates/burn/src/report/rule_burn.rs
+++ b/crates/burn/src/report/rule_burn.rs
@@ -29,9 +29,9 @@
         let (slow_burn, fast_burn) = (slow.burn(), fast.burn());
         Self {
             threshold: rule.threshold,
-            slow_ms: rule.slow(budget).as_millis() as u64,
+            slow_ms: rule.slow_window(budget).as_millis() as u64,
             slow_burn,
-            fast_ms: rule.fast(budget).as_millis() as u64,
+            fast_ms: rule.fast_window(budget).as_millis() as u64,
             fast_burn,
             urgency: rule.evaluate(slow_burn, fast_burn),
         }
--- a/crates/burn/src/report/service_burn.rs
+++ b/crates/burn/src/report/service_burn.rs
@@ -45,7 +45,13 @@
         let tally = |window: Duration| sum(service, history.within(window));
         let rules: Vec<_> = ALERT_RULES
             .iter()
-            .map(|rule| (rule, tally(rule.slow(budget)), tally(rule.fast(budget))))
+            .map(|rule| {
+                (
+                    rule,
+                    tally(rule.slow_window(budget)),
+                    tally(rule.fast_window(budget)),
+                )
+            })
             .collect();
         let evaluate = |part: fn(&BurnTally) -> ErrorBudget| {
             let judged = rules.iter().map(|(rule, slow, fast): &(&AlertRule, _, _)| {
--- a/crates/burn/tests/all/pages.rs
+++ b/crates/burn/tests/all/pages.rs
@@ -42,7 +42,7 @@
         (92, 3 + 4 + 5 + 6, 7)
     );
     // Between two bounds the lower one counts, and below all every answer.
-    let slow = [99, 100, 249, 250, 60_000].map(|latency_ms| counts.slow(latency_ms));
+    let slow = [99, 100, 249, 250, 60_000].map(|latency_ms| counts.slow_responses(latency_ms));
     assert_eq!(slow, [92, 15, 15, 4, 4]);
 }
 
