--- a/crates/burn/src/burn_rate/alert_rule.rs
+++ b/crates/burn/src/burn_rate/alert_rule.rs
@@ -1,41 +1,43 @@
-//! At which burn somebody must act.
+//! Multi-window alert rules on the burn rate of an error budget.
 //!
-//! Load pattern: a service fails in part, either fast and hard or slowly for
-//! days. One window alone either pages for a blip of seconds (a short one) or
-//! goes on paging for an hour after the repair (a long one). So each rule asks
-//! two windows at once: the slow one shows that the loss matters, the fast one,
-//! a twelfth of it, that it still goes on.
+//! A service may lose a large share of its requests at once, or a small share
+//! for days. An alert on a single window fails either way: a short window pages
+//! for a fault of a few seconds, and a long one goes on paging for an hour after
+//! the repair. Each rule therefore requires its threshold in two windows. The
+//! slow window shows that the loss is significant; the fast window, a twelfth as
+//! long, shows that it continues.
 //!
-//! Grounds: the figures are those usual in the field for a budget of 30 days.
-//! A burn of 1 spends exactly the whole budget by the end of the budget window.
-//! A threshold is the share of the budget that may be lost unseen, divided by
-//! the slow window's share of the budget window:
+//! The thresholds are the usual ones for a budget window of 30 days. A burn of 1
+//! spends exactly the whole budget by the end of the budget window. A threshold
+//! is the share of the budget that may be spent before the alert, divided by the
+//! slow window's share of the budget window:
 //!
-//! - 14.4 over 1 h (1/720): 2% of the budget is gone; two days would end it
-//! - 6 over 6 h (1/120): 5% is gone; five days would end it
-//! - 1 over 3 d (1/10): 10% is gone; it won't last much longer than promised
+//! - 14.4 over 1 h (1/720): 2% of the budget is spent; all of it would be in two
+//!   days
+//! - 6 over 6 h (1/120): 5% is spent; all of it would be in five days
+//! - 1 over 3 d (1/10): 10% is spent; the budget lasts no longer than its window
 //!
-//! With another budget window all windows keep these proportions, so the same
-//! thresholds stand for the same losses.
+//! All windows scale with the budget window, so a threshold stands for the same
+//! share of the budget at any length.
 
 use std::time::Duration;
 
 use super::Urgency;
 
-/// A threshold over a slow and a fast window.
+/// Alert rule with one threshold for a slow and a fast window.
 #[derive(Debug, Clone, Copy)]
 pub struct AlertRule {
-    /// Burn from which the rule holds, in both windows.
+    /// Lowest burn at which the rule fires, reached in both windows.
     pub threshold: f64,
-    /// The budget window divided by this is the slow window.
+    /// Divisor of the budget window that yields the slow window.
     pub slow_divisor: u32,
-    /// The budget window divided by this is the fast window.
+    /// Divisor of the budget window that yields the fast window.
     pub fast_divisor: u32,
-    /// What it calls for.
+    /// Urgency that the rule reports when it fires.
     pub urgency: Urgency,
 }
 
-/// The rules, the most urgent first.
+/// Rules of every report, the most urgent first.
 pub const ALERT_RULES: [AlertRule; 3] = [
     AlertRule {
         threshold: 14.4,
@@ -58,17 +60,20 @@
 ];
 
 impl AlertRule {
-    /// Returns the slow window.
+    /// Returns the length of the slow window.
     pub fn slow_window(&self, budget_window: Duration) -> Duration {
         budget_window / self.slow_divisor
     }
 
-    /// Returns the fast window.
+    /// Returns the length of the fast window.
     pub fn fast_window(&self, budget_window: Duration) -> Duration {
         budget_window / self.fast_divisor
     }
 
-    /// Judges the burn of both windows; `None` is a window without traffic.
+    /// Returns the urgency for the burn of both windows.
+    ///
+    /// `None` stands for a window without responses. The result is `NoTraffic`
+    /// when the slow window has none.
     ///
     /// # Examples
     ///
--- a/crates/burn/src/burn_rate/burn_interval.rs
+++ b/crates/burn/src/burn_rate/burn_interval.rs
@@ -1,32 +1,33 @@
-//! What happened between two samples.
+//! Response tallies of the time between two samples.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{BurnTally, TallyKey};
 
-/// Tallies of one service.
+/// Tallies of one service by data centre and request kind.
 pub type ServiceTallies = BTreeMap<TallyKey, BurnTally>;
 
-/// Tallies of the time between two samples, or of several such times.
+/// Tallies of the time between two samples, or of several adjacent intervals.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct BurnInterval {
-    /// Earlier sample, in milliseconds since the Unix epoch.
+    /// Time of the earlier sample, in milliseconds since the Unix epoch.
     pub start_ms: u64,
-    /// Later sample.
+    /// Time of the later sample, in milliseconds since the Unix epoch.
     pub end_ms: u64,
-    /// Tallies of services that have an objective.
+    /// Tallies by service, only of services with an objective.
     pub tallies: BTreeMap<String, ServiceTallies>,
-    /// Services that got requests and have no objective.
+    /// Services that received requests but have no objective.
     pub without_objective: BTreeSet<String>,
-    /// Services whose objective changed.
+    /// Services whose objective changed or was removed.
     pub changed_objectives: BTreeSet<String>,
-    /// Instances whose node restarted; what it counted between its last
-    /// sample and its end is lost.
+    /// Instances whose node restarted.
+    ///
+    /// The counts between the old process's last sample and its end are lost.
     pub restarted: BTreeSet<String>,
 }
 
 impl BurnInterval {
-    /// Takes in the interval that follows this one.
+    /// Extends this interval by the one that follows it, adding up the tallies.
     pub fn append(&mut self, later: Self) {
         self.end_ms = later.end_ms;
         for (service, tallies) in later.tallies {
--- a/crates/burn/src/burn_rate/burn_tally.rs
+++ b/crates/burn/src/burn_rate/burn_tally.rs
@@ -1,31 +1,31 @@
-//! Answers weighed against what was promised.
+//! Response counts compared with the objectives of a service.
 
 use std::ops::AddAssign;
 
 use crate::{ServiceObjective, TrafficCounts};
 
-/// One of the two promises of an objective, weighed.
+/// Error budget of one indicator, with the responses that spend it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ErrorBudget {
-    /// Answers that break the promise.
+    /// Responses that violate the objective.
     pub violations: u64,
-    /// Answers that the promise is about.
+    /// Responses that the objective applies to.
     pub total: u64,
-    /// Answers that might have broken it: the budget.
+    /// Number of violations that the objective allows: the budget.
     pub allowed: f64,
 }
 
-/// Answers of some time, with the budgets that belong to them.
+/// Availability and latency budgets of the responses in some time.
 ///
-/// Budgets are added up answer by answer, so that a change of the objective
-/// weighs each answer by what was promised at its time.
+/// The allowed violations are added up with the responses, so when an objective
+/// changes, each response still counts by the objective of its own time.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct BurnTally {
-    /// Answers that aren't good, of all that aren't the caller's fault.
+    /// Bad responses out of all that aren't caller faults.
     pub availability: ErrorBudget,
-    /// Good answers that are slow, of all good ones.
+    /// Slow responses out of all good ones.
     pub latency: ErrorBudget,
-    /// Answers that are the caller's own fault and in neither part.
+    /// Responses that are the caller's fault; neither budget includes them.
     pub caller_faults: u64,
 }
 
@@ -38,36 +38,40 @@
         }
     }
 
-    /// Returns the burn: 1 breaks exactly as many as allowed; `None` without
-    /// answers.
+    /// Returns the burn, or `None` without responses.
+    ///
+    /// The burn is the ratio of violations to allowed violations: 1 spends
+    /// exactly the budget.
     pub fn burn(&self) -> Option<f64> {
         (self.total > 0).then(|| self.violations as f64 / self.allowed)
     }
 
-    /// Returns the share of the budget that is left, below 0 when overspent.
+    /// Returns the share of the budget that is left, or `None` without responses.
+    ///
+    /// The share is below 0 when the budget is overspent.
     pub fn budget_left(&self) -> Option<f64> {
         self.burn().map(|burn| 1.0 - burn)
     }
 }
 
 impl BurnTally {
-    /// Weighs counts by an objective.
+    /// Computes both budgets from counts and the service's objective.
     ///
     /// # Examples
     ///
     /// ```
     /// use geranium_burn::{BurnTally, ServiceObjective, TrafficCounts};
-    ///     ///
+    ///
     /// let objective = ServiceObjective { availability: 0.75, ..Default::default() };
     /// let counts = TrafficCounts { good: 6, bad: 2, ..Default::default() };
     /// let tally = BurnTally::from_counts(&counts, &objective);
     /// assert_eq!(tally.availability.burn(), Some(1.0));
     /// ```
     pub fn from_counts(counts: &TrafficCounts, objective: &ServiceObjective) -> Self {
-        let answers = counts.good + counts.bad;
+        let responses = counts.good + counts.bad;
         let slow = counts.slow_responses(objective.latency_ms);
         Self {
-            availability: ErrorBudget::new(counts.bad, answers, objective.availability),
+            availability: ErrorBudget::new(counts.bad, responses, objective.availability),
             latency: ErrorBudget::new(slow, counts.good, objective.latency_share),
             caller_faults: counts.caller_faults,
         }
--- a/crates/burn/src/burn_rate/burn_tracker.rs
+++ b/crates/burn/src/burn_rate/burn_tracker.rs
@@ -1,4 +1,4 @@
-//! Turns cumulative samples into intervals, and notes what was lost.
+//! Turns cumulative samples into intervals and records lost counts.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,25 +8,26 @@
 use super::{ALERT_RULES, BurnInterval, BurnTally, IntervalHistory, TallyKey};
 use crate::{FleetSample, MissingNode, NodeReading, Objectives};
 
-/// Reason noted for an instance that left after it had been read.
-const LEFT: &str = "left the fleet; its counts since its last sample are lost";
+/// Reason recorded for an instance that is gone after it was read.
+const LEFT_FLEET_REASON: &str = "left the fleet; its counts since its last sample are lost";
 
-/// Everything that reports are made from.
+/// State from which reports are built: intervals, last readings and losses.
 ///
-/// The first reading of a node is only a base: what it counted before isn't
-/// taken for part of the window. A node that couldn't be read for a while loses
-/// nothing unless it restarted: its next reading holds the missed counts, which
-/// then belong to the interval of that reading.
+/// The first reading of a node only serves as a baseline, since its counts may
+/// precede the budget window. A node that couldn't be read for a while loses no
+/// counts unless it restarted: its next reading includes them, and they are
+/// added to the interval that ends with that reading.
 #[derive(Debug)]
 pub struct BurnTracker {
     history: IntervalHistory,
-    last: BTreeMap<String, NodeReading>,
-    /// Nodes with lost or unread counts, and when that was found.
+    last_readings: BTreeMap<String, NodeReading>,
+    /// Nodes with lost or unread counts, with the time of the sample in which
+    /// this was found. The key is the instance or else the admin address.
     losses: BTreeMap<String, (u64, MissingNode)>,
     newest: Option<NewestSample>,
 }
 
-/// What is kept of the newest sample.
+/// Fields of the newest sample that reports need.
 #[derive(Debug)]
 struct NewestSample {
     at_ms: u64,
@@ -36,30 +37,30 @@
 }
 
 impl BurnTracker {
-    /// Keeps the intervals of so long a budget window.
+    /// Creates an empty tracker for a budget window of this length.
     pub const fn new(budget_window: Duration) -> Self {
         Self {
             history: IntervalHistory::new(budget_window),
-            last: BTreeMap::new(),
+            last_readings: BTreeMap::new(),
             losses: BTreeMap::new(),
             newest: None,
         }
     }
 
-    /// Takes in the next sample.
+    /// Adds the next sample.
     pub fn add(&mut self, sample: FleetSample) {
         let before = self.newest.take();
         let start_ms = before.as_ref().map(|newest| newest.at_ms);
-        let former = before.map(|newest| newest.objectives).unwrap_or_default();
+        let previous = before.map(|newest| newest.objectives).unwrap_or_default();
         let mut interval = BurnInterval {
-            // The operator's clock may have been set back between two runs.
+            // The machine's clock may have been set back between two runs.
             start_ms: start_ms.unwrap_or(sample.at_ms).min(sample.at_ms),
             end_ms: sample.at_ms,
-            changed_objectives: changed_objectives(&former, &sample.objectives),
+            changed_objectives: changed_objectives(&previous, &sample.objectives),
             ..BurnInterval::default()
         };
-        self.forget_old_losses(sample.at_ms);
-        self.note_losses(&sample);
+        self.drop_expired_losses(sample.at_ms);
+        self.record_losses(&sample);
         self.newest = Some(NewestSample {
             at_ms: sample.at_ms,
             version: sample.version,
@@ -67,74 +68,75 @@
             objectives: sample.objectives,
         });
         for reading in sample.nodes {
-            self.add_reading(&mut interval, reading, &former);
+            self.add_reading(&mut interval, reading, &previous);
         }
         if start_ms.is_some() {
             self.history.push(interval);
         }
     }
 
-    /// Returns the intervals.
+    /// Returns the intervals of the budget window.
     pub const fn history(&self) -> &IntervalHistory {
         &self.history
     }
 
-    /// Returns when the newest sample was taken, 0 before the first.
+    /// Returns the time of the newest sample, or 0 before the first.
+    ///
+    /// The time is in milliseconds since the Unix epoch.
     pub fn at_ms(&self) -> u64 {
         self.newest.as_ref().map_or(0, |newest| newest.at_ms)
     }
 
-    /// Returns the version of the newest sample.
+    /// Returns the configuration version of the newest sample, or 0.
     pub fn version(&self) -> u64 {
         let newest = self.newest.as_ref();
         newest.map_or(0, |newest| newest.version)
     }
 
-    /// Returns the objectives of the newest sample.
+    /// Returns the objectives of the newest sample, `None` before the first.
     pub fn objectives(&self) -> Option<&Objectives> {
         self.newest.as_ref().map(|newest| &newest.objectives)
     }
 
-    /// Returns how many nodes the newest sample holds.
+    /// Returns how many nodes were read in the newest sample.
     pub fn nodes_read(&self) -> usize {
         self.newest.as_ref().map_or(0, |newest| newest.nodes)
     }
 
-    /// Returns the nodes with counts lost lately, and how many more lost some
-    /// earlier in the budget window.
+    /// Returns the nodes with recent losses and the number with older ones.
     ///
-    /// Lately is the slow window of the first rule, or the newest interval if
-    /// that is longer. Instances fail daily; if one of last week made today's
-    /// report partial, every report would be.
+    /// A loss is recent within the slow window of the first rule, or within the
+    /// newest interval if that is longer. Older losses of the budget window are
+    /// only counted: instances fail daily, so reports would always be partial.
     pub fn losses(&self) -> (Vec<&MissingNode>, usize) {
         let window = self.history.budget_window();
         let newest = self.history.within(Duration::ZERO).last();
         let span_ms = newest.map_or(0, |interval| interval.end_ms - interval.start_ms);
-        let lately_ms = span_ms.max(ALERT_RULES[0].slow_window(window).as_millis() as u64);
+        let recent_ms = span_ms.max(ALERT_RULES[0].slow_window(window).as_millis() as u64);
         let age_ms = |at_ms: u64| self.at_ms().saturating_sub(at_ms);
-        let (late, early): (Vec<_>, Vec<_>) = self
+        let (recent, older): (Vec<_>, Vec<_>) = self
             .losses
             .values()
             .filter(|(at_ms, _)| u128::from(age_ms(*at_ms)) <= window.as_millis())
-            .partition(|(at_ms, _)| age_ms(*at_ms) <= lately_ms);
-        let late = late.into_iter().map(|(_, node)| node).collect();
-        (late, early.len())
+            .partition(|(at_ms, _)| age_ms(*at_ms) <= recent_ms);
+        let recent = recent.into_iter().map(|(_, node)| node).collect();
+        (recent, older.len())
     }
 
-    /// Forgets instances that left a whole budget window ago.
-    fn forget_old_losses(&mut self, now_ms: u64) {
+    /// Drops losses older than the budget window, with their last readings.
+    fn drop_expired_losses(&mut self, now_ms: u64) {
         let window = self.history.budget_window();
-        let last = &mut self.last;
+        let last_readings = &mut self.last_readings;
         self.losses.retain(|_, (at_ms, node)| {
-            let is_old = u128::from(now_ms.saturating_sub(*at_ms)) > window.as_millis();
-            if let Some(instance) = node.instance.as_ref().filter(|_| is_old) {
-                last.remove(instance);
+            let is_expired = u128::from(now_ms.saturating_sub(*at_ms)) > window.as_millis();
+            if let Some(instance) = node.instance.as_ref().filter(|_| is_expired) {
+                last_readings.remove(instance);
             }
-            !is_old
+            !is_expired
         });
     }
 
-    fn note_losses(&mut self, sample: &FleetSample) {
+    fn record_losses(&mut self, sample: &FleetSample) {
         let read: BTreeSet<_> = sample.nodes.iter().map(|node| &node.instance).collect();
         let unread: BTreeSet<_> = sample
             .missing
@@ -142,20 +144,21 @@
             .filter_map(|node| node.instance.as_ref())
             .collect();
         for node in &sample.missing {
-            self.losses.insert(key(node), (sample.at_ms, node.clone()));
+            self.losses
+                .insert(loss_key(node), (sample.at_ms, node.clone()));
         }
-        for instance in self.last.keys() {
+        for instance in self.last_readings.keys() {
             if read.contains(instance) {
                 self.losses.remove(instance.as_str());
             } else if !unread.contains(instance) {
                 let node = MissingNode {
                     instance: Some(instance.clone()),
                     admin_addr: None,
-                    reason: LEFT.to_owned(),
+                    reason: LEFT_FLEET_REASON.to_owned(),
                 };
                 let known = self.losses.get(instance.as_str());
-                if known.is_none_or(|(_, known)| known.reason != LEFT) {
-                    self.losses.insert(key(&node), (sample.at_ms, node));
+                if known.is_none_or(|(_, known)| known.reason != LEFT_FLEET_REASON) {
+                    self.losses.insert(loss_key(&node), (sample.at_ms, node));
                 }
             }
         }
@@ -165,10 +168,10 @@
         &mut self,
         interval: &mut BurnInterval,
         reading: NodeReading,
-        former: &Objectives,
+        previous: &Objectives,
     ) {
-        let Some(earlier) = self.last.get(&reading.instance) else {
-            self.last.insert(reading.instance.clone(), reading);
+        let Some(earlier) = self.last_readings.get(&reading.instance) else {
+            self.last_readings.insert(reading.instance.clone(), reading);
             return;
         };
         let (added, restarted) = reading.since(earlier);
@@ -178,8 +181,9 @@
         let current = self.newest.as_ref().map(|newest| &newest.objectives);
         for (traffic, counts) in added {
             let now = current.and_then(|objectives| objectives.get(&traffic.service));
-            // A service that the newest preset dropped was promised until then.
-            let Some(objective) = now.or_else(|| former.get(&traffic.service)) else {
+            // The objective of a service that is no longer listed applied until
+            // this sample.
+            let Some(objective) = now.or_else(|| previous.get(&traffic.service)) else {
                 interval.without_objective.insert(traffic.service);
                 continue;
             };
@@ -190,11 +194,11 @@
             let tallies = interval.tallies.entry(traffic.service).or_default();
             *tallies.entry(key).or_default() += BurnTally::from_counts(&counts, objective);
         }
-        self.last.insert(reading.instance.clone(), reading);
+        self.last_readings.insert(reading.instance.clone(), reading);
     }
 }
 
-fn key(node: &MissingNode) -> String {
+fn loss_key(node: &MissingNode) -> String {
     match (&node.instance, node.admin_addr) {
         (Some(instance), _) => instance.clone(),
         (None, Some(addr)) => addr.to_string(),
@@ -202,14 +206,14 @@
     }
 }
 
-fn changed_objectives(former: &Objectives, current: &Objectives) -> BTreeSet<String> {
+fn changed_objectives(previous: &Objectives, current: &Objectives) -> BTreeSet<String> {
     let differs = |name| {
-        let before = former.get(name);
+        let before = previous.get(name);
         before.is_some() && before != current.get(name)
     };
     current
         .keys()
-        .chain(former.keys())
+        .chain(previous.keys())
         .filter(|name| differs(*name))
         .cloned()
         .collect()
--- a/crates/burn/src/burn_rate/mod.rs
+++ b/crates/burn/src/burn_rate/mod.rs
@@ -1,4 +1,4 @@
-//! Burn from samples: pure, without I/O or a clock.
+//! Burn calculation from samples, without I/O and without reading a clock.
 
 mod alert_rule;
 mod burn_interval;
--- a/crates/burn/src/burn_rate/tally_key.rs
+++ b/crates/burn/src/burn_rate/tally_key.rs
@@ -1,12 +1,13 @@
-//! What a service's tallies are kept apart by.
+//! Key of a service's tallies.
 
 use geranium_node::config::RequestKind;
 
-/// The data centre of the caller's node, and the route's kind.
+/// Data centre of the caller's node and request kind of the route.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TallyKey {
-    /// Data centre of the node that gave the final answer.
+    /// Data centre of the node that sent the caller the final response.
     pub data_centre: String,
-    /// What may be repeated.
+    /// Kind of the requests: how long their responses are, and whether they may
+    /// be repeated.
     pub kind: RequestKind,
 }
--- a/crates/burn/src/burn_rate/urgency.rs
+++ b/crates/burn/src/burn_rate/urgency.rs
@@ -1,19 +1,19 @@
-//! How soon somebody must act.
+//! Urgency of an alert.
 
 use serde::Serialize;
 use strum::{Display, IntoStaticStr};
 
-/// Urgency of a service's burn, the least first.
+/// Urgency of a service's burn, in rising order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// No answers in any window, so nothing is known.
+    /// The slow windows hold no responses, so the burn is unknown.
     NoTraffic,
-    /// The budget lasts.
+    /// No rule fires.
     Fine,
-    /// Look into it within a working day.
+    /// An operator should look into it within a working day.
     Ticket,
-    /// Look into it now.
+    /// An operator must look into it now.
     Page,
 }
