--- a/crates/burn/src/reading/latency_bucket.rs
+++ b/crates/burn/src/reading/latency_bucket.rs
@@ -1,17 +1,17 @@
-//! Buckets of the latency histogram.
+//! Bucket of the latency histogram.
 
 use serde::{Deserialize, Serialize};
 
-/// Answers up to one bound.
+/// Cumulative count of responses up to one latency bound.
 ///
-/// Kept samples are mostly buckets, so they are written as pairs without field
-/// names.
+/// Sample files consist mostly of buckets, so a bucket is written as a pair
+/// without field names.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, u64)", into = "(f64, u64)")]
 pub struct LatencyBucket {
-    /// Bound in seconds, inclusive.
+    /// Upper bound in seconds, inclusive.
     pub bound_s: f64,
-    /// Answers since the node's start that took at most so long.
+    /// Responses that took at most `bound_s`.
     pub count: u64,
 }
 
--- a/crates/burn/src/reading/metric_line.rs
+++ b/crates/burn/src/reading/metric_line.rs
@@ -1,13 +1,13 @@
-//! One sample line of the nodes' metrics page.
+//! One line of a metrics page in the Prometheus text format.
 
 use std::collections::BTreeMap;
 
 use snafu::{OptionExt, Snafu, ensure};
 
-/// A named value with its labels.
+/// Metric name with its labels and value.
 ///
-/// Reads only what nodes write themselves: label values follow the naming rule
-/// and hold neither quotes nor escapes, and no line has a time stamp.
+/// The parser accepts only the subset of the format that nodes write: label
+/// values contain no quotes, commas or escapes, and lines have no timestamp.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MetricLine {
     name: String,
@@ -15,11 +15,11 @@
     value: f64,
 }
 
-/// A line that isn't of the expected form.
+/// Reason why a line or its value can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum MetricLineError {
-    /// There is no value after the last space, or it isn't a number.
-    #[snafu(display("no value in `{line}`"))]
+    /// The line doesn't end with a space and a number.
+    #[snafu(display("no numeric value at the end of `{line}`"))]
     NoValue {
         /// The line.
         line: String,
@@ -30,14 +30,14 @@
         /// The line.
         line: String,
     },
-    /// A count is negative, broken or beyond exact range.
-    #[snafu(display("`{name}` isn't a count"))]
+    /// A count is negative, fractional or above 2^53.
+    #[snafu(display("the value of `{name}` isn't a whole number from 0 to 2^53"))]
     NotACount {
         /// The metric.
         name: String,
     },
-    /// A label that counts are kept apart by is missing or malformed.
-    #[snafu(display("`{name}` has no usable label `{label}`"))]
+    /// A required label is missing, or its value can't be parsed.
+    #[snafu(display("label `{label}` of `{name}` is missing or invalid"))]
     BadLabel {
         /// The metric.
         name: String,
@@ -46,7 +46,7 @@
     },
 }
 
-/// Largest count that a 64-bit float holds exactly.
+/// Largest count up to which a 64-bit float is exact: 2^53.
 const EXACT_MAX: f64 = 9_007_199_254_740_992.0;
 
 impl MetricLine {
@@ -55,11 +55,11 @@
         &self.name
     }
 
-    /// Returns the value as a count.
+    /// Returns the value as a whole number.
     ///
     /// # Errors
     ///
-    /// [`MetricLineError::NotACount`].
+    /// Returns [`MetricLineError::NotACount`] for any other value.
     pub fn count(&self) -> Result<u64, MetricLineError> {
         let value = self.value;
         let is_count = (0.0..=EXACT_MAX).contains(&value) && value.fract() == 0.0;
@@ -67,16 +67,17 @@
         Ok(value as u64)
     }
 
-    /// Whether a label has this value.
+    /// Returns whether a label is present with this value.
     pub fn has_label(&self, label: &str, value: &str) -> bool {
         self.labels.get(label).is_some_and(|found| found == value)
     }
 
-    /// Returns a label's value in its checked form.
+    /// Returns the parsed value of a label.
     ///
     /// # Errors
     ///
-    /// [`MetricLineError::BadLabel`].
+    /// Returns [`MetricLineError::BadLabel`] when the label is missing or its
+    /// value can't be parsed as `T`.
     ///
     /// # Examples
     ///
--- a/crates/burn/src/reading/mod.rs
+++ b/crates/burn/src/reading/mod.rs
@@ -1,4 +1,4 @@
-//! One node's `GET /metrics`, read into checked counts.
+//! Parser of a node's metrics page.
 
 mod latency_bucket;
 mod metric_line;
--- a/crates/burn/src/reading/node_reading.rs
+++ b/crates/burn/src/reading/node_reading.rs
@@ -1,4 +1,4 @@
-//! What one page of metrics says of callers' requests.
+//! Request counts from one node's metrics page.
 
 use std::collections::BTreeMap;
 
@@ -14,59 +14,62 @@
 const REQUESTS: &str = "geranium_requests_total";
 const LATENCY_BUCKET: &str = "geranium_request_seconds_bucket";
 const LATENCY_COUNT: &str = "geranium_request_seconds_count";
-/// Label of requests that were refused before they had a route.
+/// Service label of requests that were rejected before a route was found.
 const NO_SERVICE: &str = "";
 
-/// A node's counts at one moment, since its start.
+/// Counts of one node from its start to the time of the reading.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeReading {
-    /// Instance beside which the node runs.
+    /// Instance on which the node runs.
     pub instance: String,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: String,
-    /// Start of the process; counts of two starts have nothing in common.
+    /// Start time of the process, in milliseconds since the Unix epoch.
+    ///
+    /// Counts of two processes with different start times can't be compared.
     pub started: u64,
-    /// Version of the configuration that it follows.
+    /// Version of the configuration in force at the node, or 0 without one.
     pub version: u64,
-    /// Counts by service and kind.
+    /// Counts by service and request kind.
     #[serde(with = "traffic_rows")]
     pub traffic: BTreeMap<TrafficKey, TrafficCounts>,
 }
 
-/// A page that can't be used; nothing of it is.
+/// Reason why a metrics page is rejected as a whole.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ReadingError {
-    /// A line that is needed isn't of the expected form.
+    /// A line is malformed.
     #[snafu(transparent)]
     Line {
-        /// What is wrong with it.
+        /// Reason from the parser of the line.
         source: MetricLineError,
     },
-    /// A metric that every node shows is absent.
-    #[snafu(display("the page lacks `{name}`"))]
+    /// A metric that every node exports is absent.
+    #[snafu(display("the metrics page has no `{name}`"))]
     Missing {
-        /// The metric.
+        /// Name of the metric.
         name: &'static str,
     },
 }
 
 impl NodeReading {
-    /// Returns what was added since `earlier`, and whether the node restarted.
+    /// Returns the counts added since `earlier`, and whether the node restarted.
     ///
-    /// Counters of a restarted node begin at zero. Without this guard the
-    /// difference would be negative, or too small by all that was counted
-    /// before. A restart shows as a changed start, and as any fallen counter
-    /// should two starts ever share a millisecond; all counts are then new.
+    /// Counters of a restarted node begin at zero, so the difference would be
+    /// negative, or too small by the counts of the old process. A restart is
+    /// detected by a changed start time, or by any counter that decreased in
+    /// case two processes started in the same millisecond. All counts are then
+    /// new.
     pub fn since(&self, earlier: &Self) -> (BTreeMap<TrafficKey, TrafficCounts>, bool) {
         let same_process = self.started == earlier.started;
-        match self.added(earlier).filter(|_| same_process) {
+        match self.added_since(earlier).filter(|_| same_process) {
             Some(added) => (added, false),
             None => (self.traffic.clone(), true),
         }
     }
 
-    fn added(&self, earlier: &Self) -> Option<BTreeMap<TrafficKey, TrafficCounts>> {
+    fn added_since(&self, earlier: &Self) -> Option<BTreeMap<TrafficKey, TrafficCounts>> {
         let has_all = |key| self.traffic.contains_key(key);
         if !earlier.traffic.keys().all(has_all) {
             return None;
@@ -74,8 +77,8 @@
         let none = TrafficCounts::default();
         let rows = self.traffic.iter();
         rows.map(|(key, counts)| {
-            let former = earlier.traffic.get(key).unwrap_or(&none);
-            Some((key.clone(), counts.since(former)?))
+            let previous = earlier.traffic.get(key).unwrap_or(&none);
+            Some((key.clone(), counts.since(previous)?))
         })
         .collect()
     }
@@ -99,9 +102,9 @@
                 INFO => info = Some((line.label("instance")?, line.label("data_centre")?)),
                 VERSION => version = line.count()?,
                 STARTED => started = Some(line.count()?),
-                REQUESTS => add_answers(counts(&mut traffic, &line)?, &line)?,
-                LATENCY_COUNT => counts(&mut traffic, &line)?.timed = line.count()?,
-                LATENCY_BUCKET => add_bucket(counts(&mut traffic, &line)?, &line)?,
+                REQUESTS => add_responses(counts_of(&mut traffic, &line)?, &line)?,
+                LATENCY_COUNT => counts_of(&mut traffic, &line)?.timed = line.count()?,
+                LATENCY_BUCKET => add_bucket(counts_of(&mut traffic, &line)?, &line)?,
                 _ => {}
             }
         }
@@ -116,7 +119,7 @@
     }
 }
 
-fn counts<'a>(
+fn counts_of<'a>(
     traffic: &'a mut BTreeMap<TrafficKey, TrafficCounts>,
     line: &MetricLine,
 ) -> Result<&'a mut TrafficCounts, MetricLineError> {
@@ -127,7 +130,7 @@
     Ok(traffic.entry(key).or_default())
 }
 
-fn add_answers(counts: &mut TrafficCounts, line: &MetricLine) -> Result<(), MetricLineError> {
+fn add_responses(counts: &mut TrafficCounts, line: &MetricLine) -> Result<(), MetricLineError> {
     let result: RequestResult = line.label("result")?;
     let count = line.count()?;
     match result {
@@ -142,17 +145,17 @@
     let bound_s: f64 = line.label("le")?;
     if bound_s.is_finite() {
         let count = line.count()?;
-        let place = counts
+        let index = counts
             .buckets
             .partition_point(|bucket| bucket.bound_s < bound_s);
         counts
             .buckets
-            .insert(place, LatencyBucket { bound_s, count });
+            .insert(index, LatencyBucket { bound_s, count });
     }
     Ok(())
 }
 
-/// Writes the map as rows, since JSON's keys can only be text.
+/// Serializes the map as a list of pairs, since JSON keys must be strings.
 mod traffic_rows {
     use std::collections::BTreeMap;
 
--- a/crates/burn/src/reading/traffic_counts.rs
+++ b/crates/burn/src/reading/traffic_counts.rs
@@ -1,31 +1,30 @@
-//! Counts of final answers.
+//! Counts of the final responses to callers.
 
 use serde::{Deserialize, Serialize};
 
 use super::LatencyBucket;
 
-/// Final answers, by what they say of the service.
+/// Counts of final responses by outcome and latency.
 ///
-/// On a node's page they run since its start; [`TrafficCounts::since`] gives
-/// those between two pages of one process.
+/// The counts of a metrics page run from the node's start;
+/// [`TrafficCounts::since`] returns those between two pages of one process.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficCounts {
-    /// Answers with outcome `ran` and a status below 500.
+    /// Good responses: those with result `good` or `slow` in the node's metrics.
     pub good: u64,
-    /// Any other answer that isn't the caller's own fault.
+    /// Bad responses: those with result `failed`.
     pub bad: u64,
-    /// Answers that are the caller's own fault.
+    /// Responses with result `caller-fault`.
     pub caller_faults: u64,
-    /// Answers with outcome `ran`, whatever their status: those whose latency
-    /// the node measures.
+    /// Responses whose latency the node recorded; at present the good ones.
     pub timed: u64,
-    /// Buckets of the timed answers, bounds rising.
+    /// Latency buckets of the timed responses, in order of their bounds.
     pub buckets: Vec<LatencyBucket>,
 }
 
 impl TrafficCounts {
-    /// Returns the counts added since `earlier`, or `None` if any fell.
+    /// Returns the counts added since `earlier`, or `None` if any decreased.
     ///
     /// # Examples
     ///
@@ -51,12 +50,12 @@
         })
     }
 
-    /// Returns the good answers that took longer than `latency_ms`.
+    /// Returns the number of good responses that took longer than `latency_ms`.
     ///
-    /// A threshold between two bounds is rounded down to the next lower one
-    /// (below the lowest, every answer is slow), and slow answers with a bad
-    /// status are counted in, up to the number of good ones: the result can
-    /// only be too high.
+    /// The result can only be too high. A threshold between two bucket bounds is
+    /// rounded down to the lower one, and below the lowest bound every response
+    /// is slow. If bad responses are timed too, the slow ones among them count,
+    /// up to the number of good responses.
     ///
     /// # Examples
     ///
@@ -85,9 +84,9 @@
         }
         let pairs = self.buckets.iter().zip(earlier);
         pairs
-            .map(|(bucket, former)| {
+            .map(|(bucket, previous)| {
                 Some(LatencyBucket {
-                    count: bucket.count.checked_sub(former.count)?,
+                    count: bucket.count.checked_sub(previous.count)?,
                     ..*bucket
                 })
             })
--- a/crates/burn/src/reading/traffic_key.rs
+++ b/crates/burn/src/reading/traffic_key.rs
@@ -1,13 +1,14 @@
-//! What counts are kept apart by.
+//! Key of a node's request counts.
 
 use geranium_node::config::RequestKind;
 use serde::{Deserialize, Serialize};
 
-/// A service and a kind of callers' requests to it.
+/// Service and kind of the requests to it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TrafficKey {
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// What may be repeated.
+    /// Kind of the requests: how long their responses are, and whether they may
+    /// be repeated.
     pub kind: RequestKind,
 }
