--- a/crates/burn/src/sampling/admin_client.rs
+++ b/crates/burn/src/sampling/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls to one node's pages.
+//! HTTP client of a node's admin address.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,41 +12,46 @@
 
 use crate::{BurnError, NodeReading, burn_error::NodeUnreachableSnafu};
 
-/// Long enough for a lost SYN to be sent again.
+/// Timeout of connecting; long enough for a lost SYN to be sent again.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A node answers in milliseconds.
+/// Timeout of a single read; a node normally responds within milliseconds.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bounds a page that trickles in, by which one sick node would hold up all.
-const WHOLE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Timeout of the whole call; a page that arrives slowly would delay the sample
+/// of all nodes.
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Client of one node's pages.
+/// Client of one node's admin address.
 #[derive(Debug, Clone, Copy)]
 pub struct AdminClient {
     addr: SocketAddr,
 }
 
 impl AdminClient {
-    /// Talks to the node at `addr`.
+    /// Creates a client of the node with the admin address `addr`.
     pub const fn new(addr: SocketAddr) -> Self {
         Self { addr }
     }
 
-    /// Reads the node's counts.
+    /// Reads the node's metrics page.
     ///
     /// # Errors
     ///
-    /// [`BurnError::NodeUnreachable`] or [`BurnError::UnexpectedResponse`].
+    /// Returns [`BurnError::NodeUnreachable`] when the call fails, or
+    /// [`BurnError::UnexpectedResponse`] for an error status or a page that can't
+    /// be parsed.
     pub fn reading(self) -> Result<NodeReading, BurnError> {
         let page = self.get(METRICS_PATH)?;
         NodeReading::try_from(page.as_str())
             .map_err(|error| self.unexpected_response(error.to_string()))
     }
 
-    /// Asks the node for every member that it knows.
+    /// Reads the records of all members that the node knows.
     ///
     /// # Errors
     ///
-    /// [`BurnError::NodeUnreachable`] or [`BurnError::UnexpectedResponse`].
+    /// Returns [`BurnError::NodeUnreachable`] when the call fails, or
+    /// [`BurnError::UnexpectedResponse`] for an error status or records that
+    /// can't be parsed.
     pub fn members(self) -> Result<Vec<MemberRecord>, BurnError> {
         self.get_json(MEMBERS_PATH)
     }
@@ -61,7 +66,7 @@
         let response = RequestBuilder::new(attohttpc::Method::GET, format!("http://{addr}{path}"))
             .connect_timeout(CONNECT_TIMEOUT)
             .read_timeout(READ_TIMEOUT)
-            .timeout(WHOLE_TIMEOUT)
+            .timeout(TOTAL_TIMEOUT)
             .proxy_settings(ProxySettings::builder().build())
             .send()
             .context(NodeUnreachableSnafu { addr })?;
--- a/crates/burn/src/sampling/fleet_sample.rs
+++ b/crates/burn/src/sampling/fleet_sample.rs
@@ -1,23 +1,25 @@
-//! Counts of the whole fleet at one moment.
+//! Sample of the whole fleet.
 
 use serde::{Deserialize, Serialize};
 
 use super::{MissingNode, Objectives};
 use crate::NodeReading;
 
-/// What the nodes counted until one moment, and what was promised then.
+/// Counts of all nodes at one time, with the objectives then in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSample {
-    /// Wall clock of the operator's machine in milliseconds since the Unix
-    /// epoch: samples of several runs have no other clock in common.
+    /// Time of the sample, in milliseconds since the Unix epoch.
+    ///
+    /// The time is read from the wall clock of the operator's machine, the only
+    /// clock that samples of several runs have in common.
     pub at_ms: u64,
-    /// Newest version that a node follows.
+    /// Newest configuration version in force at any node.
     pub version: u64,
-    /// Objectives in force.
+    /// Objectives by service.
     pub objectives: Objectives,
-    /// Nodes that were read, by instance.
+    /// Readings of the nodes that responded, ordered by instance.
     pub nodes: Vec<NodeReading>,
-    /// Nodes that weren't.
+    /// Nodes that couldn't be read.
     pub missing: Vec<MissingNode>,
 }
--- a/crates/burn/src/sampling/fleet_sampler.rs
+++ b/crates/burn/src/sampling/fleet_sampler.rs
@@ -1,4 +1,4 @@
-//! Reads every node of the fleet once.
+//! Sampler that reads every node of the fleet.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,9 +11,10 @@
 use super::{AdminClient, FleetSample, MissingNode, ObjectiveSource};
 use crate::{BurnError, NodeReading};
 
-/// Nodes asked at the same time: an unreachable one takes 1.5 s, and a failed
-/// rack of 40 is through in two rounds.
-const ASKED_AT_ONCE: usize = 32;
+/// Number of nodes read at the same time.
+///
+/// An unreachable node takes 1.5 s, so a failed rack of 40 takes two rounds.
+const CONCURRENT_READS: usize = 32;
 
 /// Takes samples of one fleet.
 #[derive(Debug)]
@@ -23,7 +24,10 @@
 }
 
 impl FleetSampler {
-    /// Asks `seeds` for the members of the fleet, and `source` for objectives.
+    /// Creates a sampler.
+    ///
+    /// The members of the fleet are read from one of the `seeds`, which are
+    /// admin addresses, and the objectives from `source`.
     pub const fn new(seeds: Vec<SocketAddr>, source: ObjectiveSource) -> Self {
         Self { seeds, source }
     }
@@ -32,14 +36,15 @@
     ///
     /// # Errors
     ///
-    /// When no seed tells the members, or the objectives can't be had. A node
-    /// that can't be read is no error: the sample names it.
+    /// Returns an error when no seed returns the members, or the objectives can't
+    /// be read. A node that can't be read is no error; the sample lists it as
+    /// missing.
     pub fn sample(&self) -> Result<FleetSample, BurnError> {
-        let answers = read_all(self.pages()?.into_iter());
+        let results = read_all(self.admin_addrs()?.into_iter());
         let mut readings = BTreeMap::new();
         let mut missing = Vec::new();
-        for (addr, answer) in answers {
-            match answer {
+        for (addr, result) in results {
+            match result {
                 Ok(reading) => drop(readings.insert(reading.instance.clone(), reading)),
                 Err(error) => missing.push(MissingNode {
                     instance: None,
@@ -60,16 +65,19 @@
         })
     }
 
-    /// Returns the pages of all nodes: those of one data centre's machines
-    /// have the same port.
-    fn pages(&self) -> Result<BTreeSet<SocketAddr>, BurnError> {
+    /// Returns the admin addresses of all members and seeds.
+    ///
+    /// The members are those of the first seed that responds. Member records
+    /// don't contain the admin port, so every member is taken to use the port of
+    /// that seed.
+    fn admin_addrs(&self) -> Result<BTreeSet<SocketAddr>, BurnError> {
         let mut failure = BurnError::NoNode;
         for seed in &self.seeds {
             match AdminClient::new(*seed).members() {
                 Ok(members) => {
                     let addrs = members.iter().map(|member| member.peer_addr.ip());
-                    let pages = addrs.map(|ip| SocketAddr::new(ip, seed.port()));
-                    return Ok(pages.chain(self.seeds.iter().copied()).collect());
+                    let admin_addrs = addrs.map(|ip| SocketAddr::new(ip, seed.port()));
+                    return Ok(admin_addrs.chain(self.seeds.iter().copied()).collect());
                 }
                 Err(error) => failure = error,
             }
@@ -81,21 +89,21 @@
 fn read_all(
     addrs: impl Iterator<Item = SocketAddr> + Send,
 ) -> BTreeMap<SocketAddr, Result<NodeReading, BurnError>> {
-    let waiting = Mutex::new(addrs);
-    let answers = Mutex::new(BTreeMap::new());
-    let next = || waiting.lock().expect("no reader panics").next();
+    let remaining = Mutex::new(addrs);
+    let results = Mutex::new(BTreeMap::new());
+    let next = || remaining.lock().expect("no reader panics").next();
     thread::scope(|scope| {
-        for _ in 0..ASKED_AT_ONCE {
+        for _ in 0..CONCURRENT_READS {
             scope.spawn(|| {
                 while let Some(addr) = next() {
-                    let answer = AdminClient::new(addr).reading();
-                    let mut answers = answers.lock().expect("no reader panics");
-                    answers.insert(addr, answer);
+                    let result = AdminClient::new(addr).reading();
+                    let mut results = results.lock().expect("no reader panics");
+                    results.insert(addr, result);
                 }
             });
         }
     });
-    answers.into_inner().expect("no reader panics")
+    results.into_inner().expect("no reader panics")
 }
 
 fn wall_clock_ms() -> u64 {
--- a/crates/burn/src/sampling/missing_node.rs
+++ b/crates/burn/src/sampling/missing_node.rs
@@ -1,18 +1,18 @@
-//! Nodes whose counts a sample lacks.
+//! Node whose counts are missing from a sample.
 
 use std::{fmt, net::SocketAddr};
 
 use serde::{Deserialize, Serialize};
 
-/// A node that couldn't be read.
+/// Node that couldn't be read, or that left the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MissingNode {
-    /// Instance, where a member row names it.
+    /// Instance of the node, if known.
     pub instance: Option<String>,
-    /// Admin address, where it is known.
+    /// Admin address of the node, if known.
     pub admin_addr: Option<SocketAddr>,
-    /// What the call ended with.
+    /// Reason why the counts are missing, for operators.
     pub reason: String,
 }
 
--- a/crates/burn/src/sampling/mod.rs
+++ b/crates/burn/src/sampling/mod.rs
@@ -1,4 +1,4 @@
-//! Samples of the whole fleet, and the file that keeps them.
+//! Sampling of the whole fleet, and the file that stores samples.
 
 mod admin_client;
 mod fleet_sample;
--- a/crates/burn/src/sampling/objective_source.rs
+++ b/crates/burn/src/sampling/objective_source.rs
@@ -1,4 +1,4 @@
-//! Where objectives come from.
+//! Source of the service-level objectives.
 
 use std::{collections::BTreeMap, fs, path::PathBuf};
 
@@ -10,31 +10,33 @@
     burn_error::{BadObjectivesSnafu, FileSnafu},
 };
 
-/// Objective of each service.
+/// Objectives by service name.
 pub type Objectives = BTreeMap<String, ServiceObjective>;
 
-/// Source of the objectives: what the users promise isn't part of the
-/// configuration.
+/// Source of the objectives, which aren't part of the configuration.
 #[derive(Debug, Clone, Default)]
 pub struct ObjectiveSource {
-    /// JSON file with an objective for each service; without one, the usual
-    /// objective holds for every service that has requests.
+    /// JSON file with an objective for each service.
+    ///
+    /// Without a file, the default objective applies to every service that has
+    /// requests.
     pub path: Option<PathBuf>,
 }
 
 impl ObjectiveSource {
-    /// Reads the objectives; `served` are the services with requests.
+    /// Reads the objectives; `services` are those with requests.
     ///
     /// # Errors
     ///
-    /// When the file can't be read or used.
+    /// Returns an error when the file can't be read or parsed, or an objective in
+    /// it is invalid.
     pub fn read<'a>(
         &self,
-        served: impl IntoIterator<Item = &'a str>,
+        services: impl IntoIterator<Item = &'a str>,
     ) -> Result<Objectives, BurnError> {
         let Some(path) = &self.path else {
-            let usual = |name: &str| (name.to_owned(), ServiceObjective::default());
-            return Ok(served.into_iter().map(usual).collect());
+            let default_objective = |name: &str| (name.to_owned(), ServiceObjective::default());
+            return Ok(services.into_iter().map(default_objective).collect());
         };
         let text = fs::read(path).context(FileSnafu { path })?;
         let objectives: Objectives =
--- a/crates/burn/src/sampling/sample_file.rs
+++ b/crates/burn/src/sampling/sample_file.rs
@@ -1,4 +1,4 @@
-//! Samples kept between runs, one JSON line each.
+//! File that stores samples between runs, one JSON object per line.
 
 use std::{
     fs::{File, OpenOptions},
@@ -11,26 +11,28 @@
 use super::FleetSample;
 use crate::{BurnError, burn_error::FileSnafu, json_text::json_text};
 
-/// A file of samples, oldest first.
+/// File of samples, oldest first.
 #[derive(Debug, Clone)]
 pub struct SampleFile {
     path: PathBuf,
 }
 
 impl SampleFile {
-    /// Uses the file at `path`, which need not exist.
+    /// Creates a handle of the file at `path`, which need not exist.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Self { path: path.into() }
     }
 
-    /// Hands each kept sample to `take`, oldest first.
+    /// Passes each stored sample to `take`, oldest first.
     ///
-    /// A last line without its end, which a killed run or a full disk leaves,
-    /// is cut off: the next sample appended to it would make both unreadable.
+    /// A killed run or a full disk can leave an incomplete last line. The file is
+    /// truncated before that line, since a sample appended to it would make both
+    /// unreadable.
     ///
     /// # Errors
     ///
-    /// [`BurnError::File`], or [`BurnError::BadSample`] with the line.
+    /// Returns [`BurnError::File`] when the file can't be read or truncated, or
+    /// [`BurnError::BadSample`] with the number of an invalid line.
     pub fn read(&self, mut take: impl FnMut(FleetSample)) -> Result<(), BurnError> {
         let path = &self.path;
         let file = match File::open(path) {
@@ -39,7 +41,7 @@
         };
         let mut reader = BufReader::new(file);
         let mut text = Vec::new();
-        let mut whole_bytes = 0;
+        let mut complete_bytes = 0;
         for line in 1.. {
             text.clear();
             reader
@@ -49,9 +51,9 @@
                 return Ok(());
             }
             if text.last() != Some(&b'\n') {
-                return self.cut(whole_bytes);
+                return self.truncate(complete_bytes);
             }
-            whole_bytes += text.len() as u64;
+            complete_bytes += text.len() as u64;
             let sample = serde_json::from_slice(&text).map_err(|source| BurnError::BadSample {
                 path: path.clone(),
                 line,
@@ -62,14 +64,14 @@
         Ok(())
     }
 
-    /// Appends a sample.
+    /// Appends a sample, creating the file if needed.
     ///
-    /// The line goes out in one write, so that a killed run leaves at most one
-    /// unfinished line.
+    /// The line is written in one call, so a killed run leaves at most one
+    /// incomplete line.
     ///
     /// # Errors
     ///
-    /// [`BurnError::File`].
+    /// Returns [`BurnError::File`] when the file can't be opened or written.
     pub fn append(&self, sample: &FleetSample) -> Result<(), BurnError> {
         let path = &self.path;
         let line = json_text(sample) + "\n";
@@ -81,10 +83,10 @@
         file.write_all(line.as_bytes()).context(FileSnafu { path })
     }
 
-    fn cut(&self, whole_bytes: u64) -> Result<(), BurnError> {
+    fn truncate(&self, complete_bytes: u64) -> Result<(), BurnError> {
         let path = &self.path;
         let opened = OpenOptions::new().write(true).open(path);
-        let cut = opened.and_then(|file| file.set_len(whole_bytes));
-        cut.context(FileSnafu { path })
+        let truncated = opened.and_then(|file| file.set_len(complete_bytes));
+        truncated.context(FileSnafu { path })
     }
 }
