--- a/crates/burn/src/burn_error.rs
+++ b/crates/burn/src/burn_error.rs
@@ -1,75 +1,77 @@
-//! Failures of a run.
+//! Errors of a run.
 
 use std::{io, net::SocketAddr, path::PathBuf};
 
 use geranium_node::result_code::ResultCode;
 use snafu::Snafu;
 
-/// A run without a report.
+/// Reason why a run ended without a report.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum BurnError {
-    /// No node is named.
-    #[snafu(display("the page address of a node is needed: --node or GERANIUM_NODES"))]
+    /// No node is given.
+    #[snafu(display("no node given: set --node or GERANIUM_NODES to a node's admin address"))]
     NoNode,
-    /// A node's page can't be reached.
+    /// A call to a node failed.
     #[snafu(display("the node at {addr} can't be reached: {source}"))]
     NodeUnreachable {
-        /// Address of its page.
+        /// Admin address of the node.
         addr: SocketAddr,
-        /// What the connection ended with.
+        /// Error of the HTTP client.
         source: attohttpc::Error,
     },
-    /// A node's page answered with something unexpected.
-    #[snafu(display("the node at {addr} answered with something unexpected: {reason}"))]
+    /// A node responded with an error status or a malformed page.
+    #[snafu(display("unexpected response from the node at {addr}: {reason}"))]
     UnexpectedResponse {
-        /// Address of its page.
+        /// Admin address of the node.
         addr: SocketAddr,
-        /// What is wrong with it.
+        /// Status with the body, or the parser's error.
         reason: String,
     },
-    /// The objectives aren't of the expected shape.
-    #[snafu(display("{}: {source}", path.display()))]
+    /// The file of objectives can't be parsed.
+    #[snafu(display("invalid objectives in {}: {source}", path.display()))]
     BadObjectives {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the parser found.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// An objective leaves nothing to spare, or promises nothing.
-    #[snafu(display("the objective of {service} needs shares above 0 and below 1, and a latency"))]
+    /// A value of an objective is out of range.
+    #[snafu(display(
+        "invalid objective of {service}: shares must be above 0 and below 1, latency_ms above 0"
+    ))]
     InvalidObjective {
-        /// The service.
+        /// Name of the service.
         service: String,
     },
     /// A file can't be read or written.
-    #[snafu(display("{}: {source}", path.display()))]
+    #[snafu(display("can't read or write {}: {source}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A line of the sample file isn't a sample.
-    #[snafu(display("{}, line {line}: {source}", path.display()))]
+    /// A line of the sample file can't be parsed.
+    #[snafu(display("invalid sample in {}, line {line}: {source}", path.display()))]
     BadSample {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line.
+        /// Number of the line, from 1.
         line: usize,
-        /// What the parser found.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
     /// The picture can't be drawn.
     #[snafu(display("the picture can't be drawn: {reason}"))]
     Picture {
-        /// What the library said.
+        /// Error of the drawing library.
         reason: String,
     },
 }
 
 impl BurnError {
-    /// Returns the numbered code, from which the exit status is derived.
+    /// Returns the result code, from which the exit status is derived.
     ///
     /// # Examples
     ///
--- a/crates/burn/src/burn_run.rs
+++ b/crates/burn/src/burn_run.rs
@@ -1,4 +1,4 @@
-//! Sampling, keeping and reporting.
+//! One run of the program.
 
 use std::{
     fs, thread,
@@ -13,22 +13,22 @@
     ObjectiveSource, SampleFile, burn_error::FileSnafu, burn_picture,
 };
 
-/// One run of the program.
+/// Run that takes samples, stores them and reports after each.
 #[derive(Debug)]
 pub struct BurnRun<'a> {
     invocation: &'a Invocation,
     sampler: FleetSampler,
     file: Option<SampleFile>,
     tracker: BurnTracker,
-    kept_at_ms: Option<u64>,
+    appended_at_ms: Option<u64>,
 }
 
 impl<'a> BurnRun<'a> {
-    /// Reads the kept samples.
+    /// Prepares a run and reads the stored samples.
     ///
     /// # Errors
     ///
-    /// Without a node, or when the sample file can't be used.
+    /// Returns an error when no node is given or the sample file can't be read.
     pub fn new(invocation: &'a Invocation) -> Result<Self, BurnError> {
         let seeds = invocation.node.clone();
         if seeds.is_empty() {
@@ -47,18 +47,20 @@
             sampler: FleetSampler::new(seeds, source),
             file,
             tracker,
-            kept_at_ms: None,
+            appended_at_ms: None,
         })
     }
 
-    /// Takes samples and hands each report to `show`; returns the last
-    /// report's code.
+    /// Takes samples and passes each report to `show`.
+    ///
+    /// Returns the result code of the last report.
     ///
     /// # Errors
     ///
-    /// Any failure of the first or, with `once`, the second sample. A later
-    /// sample of `watch` that fails as a whole goes to `warn`, and the next one
-    /// is awaited: the fleet's trouble is when the report is needed.
+    /// Returns an error when the first or the last sample fails, or a report
+    /// can't be written. With `watch`, the error of a sample in between is passed
+    /// to `warn` and the run goes on, since operators need the report most when
+    /// the fleet has faults.
     pub fn run(
         mut self,
         mut show: impl FnMut(&BurnReport),
@@ -71,11 +73,11 @@
                 (Duration::from_secs(every), (seconds / every).max(1))
             }
         };
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut result = Ok(ResultCode::PartialReport);
         for round in 1..=rounds {
             let due = pause.saturating_mul(u32::try_from(round).unwrap_or(u32::MAX));
-            thread::sleep(due.saturating_sub(begun.elapsed()));
+            thread::sleep(due.saturating_sub(started_at.elapsed()));
             result = self.sample(round == rounds);
             match &result {
                 Ok(_) => self.report(&mut show)?,
@@ -86,29 +88,35 @@
         result
     }
 
-    /// Takes one sample; returns what a report of it would end with.
-    fn sample(&mut self, is_edge: bool) -> Result<ResultCode, BurnError> {
+    /// Takes one sample and returns the result code of a report on it.
+    fn sample(&mut self, is_first_or_last: bool) -> Result<ResultCode, BurnError> {
         let sample = self.sampler.sample()?;
-        self.keep(&sample, is_edge)?;
+        self.append_if_due(&sample, is_first_or_last)?;
         self.tracker.add(sample);
-        let is_whole = self.tracker.losses().0.is_empty();
-        Ok(if is_whole {
+        let is_complete = self.tracker.losses().0.is_empty();
+        Ok(if is_complete {
             ResultCode::Ok
         } else {
             ResultCode::PartialReport
         })
     }
 
-    fn keep(&mut self, sample: &FleetSample, is_edge: bool) -> Result<(), BurnError> {
+    fn append_if_due(
+        &mut self,
+        sample: &FleetSample,
+        is_first_or_last: bool,
+    ) -> Result<(), BurnError> {
         let Some(file) = &self.file else {
             return Ok(());
         };
         let every_ms = self.invocation.keep_every.saturating_mul(1_000);
-        let age_ms = |kept_ms: u64| sample.at_ms.saturating_sub(kept_ms);
-        let is_due = self.kept_at_ms.is_none_or(|kept| age_ms(kept) >= every_ms);
-        if is_due || is_edge {
+        let age_ms = |appended_ms: u64| sample.at_ms.saturating_sub(appended_ms);
+        let is_due = self
+            .appended_at_ms
+            .is_none_or(|appended| age_ms(appended) >= every_ms);
+        if is_due || is_first_or_last {
             file.append(sample)?;
-            self.kept_at_ms = Some(sample.at_ms);
+            self.appended_at_ms = Some(sample.at_ms);
         }
         Ok(())
     }
--- a/crates/burn/src/exit_status.rs
+++ b/crates/burn/src/exit_status.rs
@@ -1,9 +1,10 @@
-//! Exit statuses.
+//! Exit status of the program.
 
 use geranium_node::result_code::ResultCode;
 
-/// Derives the exit status from a result code: its first and last digit, as
-/// `geranium-ctl` does.
+/// Returns the exit status for a result code: its first and last digit.
+///
+/// `geranium-ctl` uses the same rule.
 ///
 /// # Examples
 ///
--- a/crates/burn/src/invocation.rs
+++ b/crates/burn/src/invocation.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line arguments.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -13,16 +13,16 @@
   geranium-burn --node 10.0.1.7:9464,10.0.2.7:9464 watch --for 3600 --every 15
   geranium-burn --objectives ours.json --output json --picture burn.svg once
 
-Exit status: 0 for a whole report, 54 for one that lacks counts of some nodes
-(it names them), 2 for a bad command line; without a report the first and the
-last digit of the result code in the message (501 ends with 51).";
+Exit status: 0 for a complete report, 54 for a partial one, which lists the nodes
+with missing counts, and 2 for an invalid command line. Without a report, the
+first and the last digit of the result code in the message (51 for code 501).";
 
 /// Service-level burn from the nodes' metrics, for operators.
 #[derive(Debug, Clone, Parser)]
 #[command(name = "geranium-burn", version, after_help = EXAMPLES, max_term_width = 100)]
 pub struct Invocation {
-    /// Addresses of the pages of one or more nodes, IP:PORT; one of them tells
-    /// the rest of the fleet, whose pages are on the same port.
+    /// Admin addresses of one or more nodes, IP:PORT; the first that responds
+    /// lists the other nodes, which must use the same admin port.
     #[arg(
         long,
         global = true,
@@ -31,8 +31,8 @@
         hide_env_values = true
     )]
     pub node: Vec<SocketAddr>,
-    /// File with an objective for each service; when absent, 0.999 of the
-    /// answers are promised to be good and 0.99 of those within 250 ms.
+    /// JSON file with an objective for each service; by default, 0.999 of the
+    /// responses must be good and 0.99 of these within 250 ms.
     #[arg(
         long,
         global = true,
@@ -40,10 +40,11 @@
         hide_env_values = true
     )]
     pub objectives: Option<PathBuf>,
-    /// File that samples are read from and appended to.
+    /// File from which earlier samples are read and to which new ones are appended.
     #[arg(long, global = true, env = "GERANIUM_SAMPLES", hide_env_values = true)]
     pub samples: Option<PathBuf>,
-    /// Seconds between samples that are appended; the last is always.
+    /// Seconds between appended samples; the first and the last of a run are
+    /// always appended.
     #[arg(
         long,
         global = true,
@@ -52,7 +53,7 @@
         default_value_t = 300
     )]
     pub keep_every: u64,
-    /// Budget window; slow and fast windows keep their proportion to it.
+    /// Length of the budget window; the windows of the alert rules scale with it.
     #[arg(
         long,
         global = true,
@@ -61,10 +62,10 @@
         default_value = "30d"
     )]
     pub window: WindowLength,
-    /// File that the picture (SVG) is written to.
+    /// File to which the charts are written as SVG.
     #[arg(long, global = true, env = "GERANIUM_PICTURE", hide_env_values = true)]
     pub picture: Option<PathBuf>,
-    /// Form of the output.
+    /// Format of the output.
     #[arg(
         long,
         global = true,
@@ -74,17 +75,17 @@
         default_value = "text"
     )]
     pub output: OutputFormat,
-    /// What to do.
+    /// Subcommand with its arguments.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// How samples are taken.
+/// Subcommand that determines how many samples are taken.
 #[derive(Debug, Clone, Copy, Subcommand)]
 pub enum Command {
     /// Take two samples and report.
     Once {
-        /// Seconds between them.
+        /// Seconds between the two samples.
         #[arg(
             long,
             env = "GERANIUM_OVER",
@@ -93,7 +94,7 @@
         )]
         over: u64,
     },
-    /// Take samples for a time and report after each.
+    /// Take samples for a while and report after each.
     Watch {
         /// Seconds between samples.
         #[arg(
@@ -104,7 +105,7 @@
             value_parser = clap::value_parser!(u64).range(1..)
         )]
         every: u64,
-        /// Seconds for which to go on.
+        /// Seconds for which samples are taken.
         #[arg(
             long = "for",
             env = "GERANIUM_FOR",
--- a/crates/burn/src/json_text.rs
+++ b/crates/burn/src/json_text.rs
@@ -1,8 +1,13 @@
-//! JSON text of this crate's own types.
+//! JSON serialization of this crate's types.
 
 use serde::Serialize;
 
-/// Writes a value as one line; nothing in it can fail to be written.
+/// Returns a value as one line of JSON.
+///
+/// # Panics
+///
+/// Panics when the value can't be serialized; this crate's plain structs always
+/// can.
 pub fn json_text(value: &impl Serialize) -> String {
     serde_json::to_string(value).expect("plain structs always serialize")
 }
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,14 +1,14 @@
-//! Service-level burn, from the nodes' metrics.
+//! Error budgets of services and their burn, from the nodes' metrics.
 //!
-//! Nodes keep nothing and count since their own start, so this program takes
-//! samples. A [`NodeReading`] is one node's page of counters in checked form;
-//! a [`FleetSampler`] reads all nodes into a [`FleetSample`], and a
-//! [`SampleFile`] keeps samples between runs. The [`BurnTracker`] turns them
-//! into intervals, minding restarts and missing nodes, and a [`BurnReport`]
-//! weighs those against the objectives by [`ALERT_RULES`].
+//! Nodes store no history and count from their own start, so this program takes
+//! samples. A [`NodeReading`] holds the checked counters of one node's metrics
+//! page. A [`FleetSampler`] reads all nodes into a [`FleetSample`], and a
+//! [`SampleFile`] stores samples between runs. The [`BurnTracker`] turns them
+//! into intervals, taking restarts and missing nodes into account, and a
+//! [`BurnReport`] evaluates the intervals by the objectives and [`ALERT_RULES`].
 //!
-//! What can't be known is said, never guessed: a report that lacks counts of
-//! some nodes names them and has its own result code and [`exit_status`].
+//! Missing counts are never estimated: a report without the counts of some nodes
+//! lists these nodes and has its own result code and [`exit_status`].
 
 mod burn_error;
 mod burn_rate;
--- a/crates/burn/src/main.rs
+++ b/crates/burn/src/main.rs
@@ -1,4 +1,4 @@
-//! Thin process around the burn report.
+//! Command line program that prints the burn report.
 
 use std::{
     io::{IsTerminal, stdout},
@@ -8,17 +8,17 @@
 use clap::Parser;
 use geranium_burn::{BurnReport, BurnRun, Command, Invocation, OutputFormat, exit_status};
 
-/// Moves the cursor home and clears the screen.
-const CLEAR: &str = "\x1b[H\x1b[2J";
+/// Escape sequence that moves the cursor home and clears the screen.
+const CLEAR_SCREEN: &str = "\x1b[H\x1b[2J";
 
 fn main() -> ExitCode {
     let invocation = Invocation::parse();
     let output = invocation.output;
     let is_watch = matches!(invocation.command, Command::Watch { .. });
-    let rewrites = is_watch && output == OutputFormat::Text && stdout().is_terminal();
+    let clears_screen = is_watch && output == OutputFormat::Text && stdout().is_terminal();
     let show = |report: &BurnReport| {
         let text = output.report(report);
-        let clear = if rewrites { CLEAR } else { "" };
+        let clear = if clears_screen { CLEAR_SCREEN } else { "" };
         println!("{clear}{}", text.trim_end());
     };
     let warn = |error: &_| eprintln!("{}", output.error(error));
--- a/crates/burn/src/output_format.rs
+++ b/crates/burn/src/output_format.rs
@@ -1,20 +1,20 @@
-//! Forms in which reports are printed.
+//! Output formats of reports and errors.
 
 use clap::ValueEnum;
 
 use crate::{BurnError, BurnReport, json_text::json_text};
 
-/// Form of what is printed.
+/// Format of printed reports and errors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum OutputFormat {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For programs: one JSON object a report.
+    /// JSON for programs: one object per report.
     Json,
 }
 
 impl OutputFormat {
-    /// Renders a report.
+    /// Formats a report.
     pub fn report(self, report: &BurnReport) -> String {
         match self {
             Self::Text => report.to_string(),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Renders an error with its number and name.
+    /// Formats an error with the number and name of its result code.
     ///
     /// # Examples
     ///
--- a/crates/burn/src/report/breakdown_row.rs
+++ b/crates/burn/src/report/breakdown_row.rs
@@ -1,25 +1,25 @@
-//! A data centre's or kind's part of a service's burn.
+//! Burn of a service in one data centre or for one request kind.
 
 use serde::Serialize;
 
 use crate::BurnTally;
 
-/// Burn of one data centre or kind over the budget window.
+/// Burn of one data centre or request kind over the budget window.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct BreakdownRow {
-    /// Data centre or kind.
+    /// Name of the data centre or request kind.
     pub name: String,
-    /// Answers that aren't the caller's fault.
+    /// Responses that aren't caller faults.
     #[serde(rename = "answers")]
     pub responses: u64,
-    /// Burn of the availability budget; `null` without answers.
+    /// Burn of the availability budget; `null` without responses.
     pub availability_burn: Option<f64>,
-    /// Burn of the latency budget; `null` without good answers.
+    /// Burn of the latency budget; `null` without good responses.
     pub latency_burn: Option<f64>,
 }
 
 impl BreakdownRow {
-    /// Sums up one name's tally.
+    /// Creates the row of a data centre or request kind from its tally.
     pub fn new(name: impl Into<String>, tally: &BurnTally) -> Self {
         Self {
             name: name.into(),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns the higher of the two burns, 0 without answers.
+    /// Returns the higher of the two burns, or 0 without responses.
     pub fn worst_burn(&self) -> f64 {
         let burns = [self.availability_burn, self.latency_burn];
         burns.into_iter().flatten().fold(0.0, f64::max)
--- a/crates/burn/src/report/burn_picture.rs
+++ b/crates/burn/src/report/burn_picture.rs
@@ -1,4 +1,4 @@
-//! The report as a picture.
+//! Bar charts of a report, as SVG.
 
 use std::{error::Error, fmt::Display};
 
@@ -7,22 +7,25 @@
 use super::{BurnReport, IndicatorBurn, ServiceBurn};
 use crate::{BurnError, Urgency};
 
+/// Width of the picture in pixels.
 const WIDTH: u32 = 900;
 /// Height of one service's two bars in pixels.
 const ROW_HEIGHT: u32 = 36;
+/// Height in pixels of everything but the services' bars.
 const FRAME_HEIGHT: u32 = 120;
+/// Font family and size in pixels.
 const TEXT: (&str, u32) = ("sans-serif", 15);
-/// Burn beyond this isn't told apart: it pages at 14.4.
+/// Highest burn shown; the fastest rule pages from 14.4.
 const BURN_MAX: f64 = 20.0;
 
-/// Draws the budgets left and the burn of each service with traffic as SVG.
+/// Draws the remaining budgets and the burn of services with traffic as SVG.
 ///
-/// The first bar of a service is availability, the second latency. A budget
-/// that is overspent is drawn as empty, and burn is cut off at 20.
+/// The first bar of a service is its availability, the second its latency. An
+/// overspent budget is drawn as empty, and a burn above 20 as 20.
 ///
 /// # Errors
 ///
-/// [`BurnError::Picture`] when the drawing library fails.
+/// Returns [`BurnError::Picture`] when the drawing library fails.
 pub fn burn_picture(report: &BurnReport) -> Result<String, BurnError> {
     let mut svg = String::new();
     let drawn = draw(report, &mut svg);
@@ -43,27 +46,27 @@
     let budget = Panel {
         title: format!("Budget left, %: blue availability, green latency{partial}"),
         max: 100.0,
-        value: |part| part.budget_left.map(|left| left * 100.0),
+        value: |indicator| indicator.budget_left.map(|left| left * 100.0),
     };
-    bars(&left, &services, &budget)?;
+    draw_bars(&left, &services, &budget)?;
     let burn = Panel {
         title: format!("Burn over the slow window{partial}"),
         max: BURN_MAX,
-        value: |part| part.rules.first().and_then(|rule| rule.slow_burn),
+        value: |indicator| indicator.rules.first().and_then(|rule| rule.slow_burn),
     };
-    bars(&right, &services, &burn)?;
+    draw_bars(&right, &services, &burn)?;
     root.present()?;
     Ok(())
 }
 
-/// One half of the picture.
+/// Chart with two bars per service, in one half of the picture.
 struct Panel {
     title: String,
     max: f64,
     value: fn(&IndicatorBurn) -> Option<f64>,
 }
 
-fn bars<DB: DrawingBackend>(
+fn draw_bars<DB: DrawingBackend>(
     area: &DrawingArea<DB, Shift>,
     services: &[&ServiceBurn],
     panel: &Panel,
@@ -89,14 +92,14 @@
         .label_style(TEXT)
         .y_label_formatter(&name)
         .draw()?;
-    let parts = services.iter().enumerate().flat_map(|(row, service)| {
+    let bar_rows = services.iter().enumerate().flat_map(|(row, service)| {
         [
             (row, 4, 20, &service.availability, BLUE),
             (row, 20, 4, &service.latency, GREEN),
         ]
     });
-    let bars = parts.filter_map(|(row, above, below, part, colour)| {
-        let value = (panel.value)(part)?.clamp(0.0, panel.max);
+    let bars = bar_rows.filter_map(|(row, above, below, indicator, colour)| {
+        let value = (panel.value)(indicator)?.clamp(0.0, panel.max);
         let corners = [
             (0.0, SegmentValue::Exact(row)),
             (value, SegmentValue::Exact(row + 1)),
--- a/crates/burn/src/report/burn_report.rs
+++ b/crates/burn/src/report/burn_report.rs
@@ -1,4 +1,4 @@
-//! The whole report.
+//! Burn report of the fleet.
 
 use std::collections::BTreeSet;
 
@@ -8,38 +8,41 @@
 use super::ServiceBurn;
 use crate::{BurnTracker, MissingNode};
 
-/// Service-level burn of the fleet.
+/// Error budgets and burn of all services with an objective.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct BurnReport {
     /// Time of the newest sample, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Newest version that a node follows.
+    /// Newest configuration version in force at any node.
     pub version: u64,
-    /// Number of the result code: 0, or 504 for a partial report.
+    /// Number of the report's result code: 0, or 504 for a partial report.
     pub code: u16,
     /// Whether counts of some nodes are missing.
     pub partial: bool,
     /// Budget window in milliseconds.
     pub window_ms: u64,
-    /// Part of it that samples cover; all figures are for this part.
+    /// Milliseconds of the budget window that the samples cover.
+    ///
+    /// All numbers of the report refer to this time.
     pub covered_ms: u64,
-    /// Nodes read in the newest sample.
+    /// Number of nodes read in the newest sample.
     pub nodes_read: usize,
-    /// Nodes with counts lost or unread lately.
+    /// Nodes with recently lost or unread counts.
     pub missing: Vec<MissingNode>,
-    /// Further nodes with such a loss earlier in the budget window.
+    /// Number of further nodes with such a loss earlier in the budget window.
     pub older_losses: usize,
-    /// Instances whose node restarted within the budget window; what each
-    /// counted between its last sample and its end is lost.
+    /// Instances whose node restarted within the budget window.
+    ///
+    /// The counts between the old process's last sample and its end are lost.
     pub restarted: BTreeSet<String>,
-    /// Services that got requests and have no objective.
+    /// Services that received requests but have no objective.
     pub without_objective: BTreeSet<String>,
-    /// Services with an objective, the most urgent first, then by burn.
+    /// Services with an objective, by falling urgency, then by falling burn.
     pub services: Vec<ServiceBurn>,
 }
 
 impl BurnReport {
-    /// Returns the code from which the exit status is derived.
+    /// Returns the result code, from which the exit status is derived.
     pub const fn result(&self) -> ResultCode {
         if self.partial {
             ResultCode::PartialReport
@@ -63,8 +66,8 @@
             .collect();
         services.sort_by(|a, b| {
             let burn = |service: &ServiceBurn| {
-                let lines = service.kinds.first();
-                lines.map_or(0.0, super::BreakdownRow::worst_burn)
+                let kinds = service.kinds.first();
+                kinds.map_or(0.0, super::BreakdownRow::worst_burn)
             };
             let by_urgency = b.urgency.cmp(&a.urgency);
             by_urgency.then_with(|| burn(b).total_cmp(&burn(a)))
@@ -87,8 +90,8 @@
         report.code = report.result().number();
         for interval in history.within(window) {
             report.restarted.extend(interval.restarted.iter().cloned());
-            let unknown = interval.without_objective.iter().cloned();
-            report.without_objective.extend(unknown);
+            let names = interval.without_objective.iter().cloned();
+            report.without_objective.extend(names);
         }
         report
     }
--- a/crates/burn/src/report/indicator_burn.rs
+++ b/crates/burn/src/report/indicator_burn.rs
@@ -1,41 +1,43 @@
-//! One promise of a service.
+//! Burn of one indicator of a service.
 
 use serde::Serialize;
 
 use super::RuleBurn;
 use crate::{ErrorBudget, Urgency};
 
-/// Availability or latency of a service.
+/// Error budget and burn of a service's availability or latency.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct IndicatorBurn {
-    /// Promised share.
+    /// Share of responses that must meet the objective, above 0 and below 1.
     pub promised: f64,
-    /// Answers over the budget window that break the promise.
+    /// Responses over the budget window that violate the objective.
     #[serde(rename = "broken")]
     pub violations: u64,
-    /// Answers over the budget window that it is about.
+    /// Responses over the budget window that the objective applies to.
     #[serde(rename = "of")]
     pub total: u64,
-    /// Share of the budget left for these answers, below 0 when overspent;
-    /// `null` without answers.
+    /// Share of the budget that is left; `null` without responses.
+    ///
+    /// The budget is that of the counted responses. The share is below 0 when
+    /// the budget is overspent.
     pub budget_left: Option<f64>,
-    /// Rules, the most urgent first.
+    /// Burn by alert rule, the most urgent rule first.
     pub rules: Vec<RuleBurn>,
-    /// The most urgent that any rule calls for.
+    /// Highest urgency of the rules.
     pub urgency: Urgency,
 }
 
 impl IndicatorBurn {
-    /// Sums up a promise.
+    /// Combines the budget of an indicator with the burn by its rules.
     pub fn new(promised: f64, budget: ErrorBudget, rules: Vec<RuleBurn>) -> Self {
-        let most = rules.iter().map(|rule| rule.urgency).max();
+        let most_urgent = rules.iter().map(|rule| rule.urgency).max();
         Self {
             promised,
             violations: budget.violations,
             total: budget.total,
             budget_left: budget.budget_left(),
             rules,
-            urgency: most.unwrap_or(Urgency::NoTraffic),
+            urgency: most_urgent.unwrap_or(Urgency::NoTraffic),
         }
     }
 }
--- a/crates/burn/src/report/mod.rs
+++ b/crates/burn/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What operators read: text, JSON and a picture.
+//! Burn report for operators, as text, JSON and a picture.
 
 mod breakdown_row;
 mod burn_picture;
--- a/crates/burn/src/report/report_text.rs
+++ b/crates/burn/src/report/report_text.rs
@@ -1,4 +1,4 @@
-//! The report as text for people.
+//! Text form of the report, for people.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -11,7 +11,7 @@
         let covered = WindowLength::text(self.covered_ms);
         writeln!(
             f,
-            "version {}, nodes read: {}; budgets of {window}, of which samples cover {covered}",
+            "configuration version {}, nodes read: {}; budget window {window}, samples cover {covered}",
             self.version, self.nodes_read
         )?;
         if self.partial {
@@ -32,13 +32,13 @@
         if !self.restarted.is_empty() {
             writeln!(
                 f,
-                "restarted, with some counts lost: {}",
+                "restarted nodes, some counts lost: {}",
                 joined(&self.restarted)
             )?;
         }
         if !self.without_objective.is_empty() {
             let names = joined(&self.without_objective);
-            writeln!(f, "requests without an objective: {names}")?;
+            writeln!(f, "services with requests but no objective: {names}")?;
         }
         self.services.iter().try_for_each(|service| service.fmt(f))
     }
@@ -52,62 +52,68 @@
         }
         writeln!(f)?;
         if self.urgency > Urgency::NoTraffic {
-            part(f, "availability", "bad", &self.availability)?;
+            write_indicator(f, "availability", "bad", &self.availability)?;
             let slow = format!("over {} ms", self.latency_ms);
-            part(f, "latency", &slow, &self.latency)?;
-            lines(f, "data centres", &self.worst_data_centres)?;
-            lines(f, "kinds", &self.kinds)?;
+            write_indicator(f, "latency", &slow, &self.latency)?;
+            write_breakdown(f, "data centres", &self.worst_data_centres)?;
+            write_breakdown(f, "kinds", &self.kinds)?;
         }
         if self.caller_faults > 0 {
             let count = self.caller_faults;
-            writeln!(f, "  {count} answers left out as the caller's own fault")?;
+            writeln!(f, "  {count} responses excluded as caller faults")?;
         }
         Ok(())
     }
 }
 
-fn part(f: &mut Formatter<'_>, name: &str, violations: &str, part: &IndicatorBurn) -> fmt::Result {
-    // Rounded past the digits in which binary fractions show.
-    let promised = (part.promised * 1e8).round() / 1e6;
-    let left = part.budget_left.map_or_else(
+fn write_indicator(
+    f: &mut Formatter<'_>,
+    name: &str,
+    violations: &str,
+    indicator: &IndicatorBurn,
+) -> fmt::Result {
+    // Rounds a percentage such as 99.9 to six decimals, which removes the error
+    // of the binary fraction.
+    let promised = (indicator.promised * 1e8).round() / 1e6;
+    let left = indicator.budget_left.map_or_else(
         || "unknown".to_owned(),
         |left| format!("{:.1}%", left * 100.0),
     );
     writeln!(
         f,
         "  {name} {promised}%: {} of {} {violations}, budget left {left}",
-        part.violations, part.total
+        indicator.violations, indicator.total
     )?;
-    for rule in &part.rules {
+    for rule in &indicator.rules {
         let (slow, fast) = (
             WindowLength::text(rule.slow_ms),
             WindowLength::text(rule.fast_ms),
         );
-        let (slow_burn, fast_burn) = (number(rule.slow_burn), number(rule.fast_burn));
-        let verdict = match rule.urgency {
+        let (slow_burn, fast_burn) = (format_burn(rule.slow_burn), format_burn(rule.fast_burn));
+        let action = match rule.urgency {
             Urgency::Page | Urgency::Ticket => format!(" -> {}", rule.urgency),
             Urgency::Fine | Urgency::NoTraffic => String::new(),
         };
         let threshold = rule.threshold;
         writeln!(
             f,
-            "    burn {slow_burn} over {slow}, {fast_burn} over {fast} (from {threshold}){verdict}"
+            "    burn {slow_burn} over {slow}, {fast_burn} over {fast} (threshold {threshold}){action}"
         )?;
     }
     Ok(())
 }
 
-fn lines(f: &mut Formatter<'_>, title: &str, lines: &[BreakdownRow]) -> fmt::Result {
-    if lines.is_empty() {
+fn write_breakdown(f: &mut Formatter<'_>, title: &str, rows: &[BreakdownRow]) -> fmt::Result {
+    if rows.is_empty() {
         return Ok(());
     }
-    let texts = lines.iter().map(|line| {
+    let texts = rows.iter().map(|row| {
         let BreakdownRow {
             name, responses, ..
-        } = line;
-        let availability = number(line.availability_burn);
-        let latency = number(line.latency_burn);
-        format!("{name} {availability}/{latency} ({responses} answers)")
+        } = row;
+        let availability = format_burn(row.availability_burn);
+        let latency = format_burn(row.latency_burn);
+        format!("{name} {availability}/{latency} ({responses} responses)")
     });
     let texts: Vec<_> = texts.collect();
     writeln!(
@@ -117,7 +123,7 @@
     )
 }
 
-fn number(burn: Option<f64>) -> String {
+fn format_burn(burn: Option<f64>) -> String {
     burn.map_or_else(|| "-".to_owned(), |burn| format!("{burn:.2}"))
 }
 
--- a/crates/burn/src/report/rule_burn.rs
+++ b/crates/burn/src/report/rule_burn.rs
@@ -1,4 +1,4 @@
-//! One rule applied to one promise.
+//! Burn of one indicator by one alert rule.
 
 use std::time::Duration;
 
@@ -6,25 +6,28 @@
 
 use crate::{AlertRule, ErrorBudget, Urgency};
 
-/// Burn over a rule's two windows.
+/// Burn over the two windows of an alert rule, and the resulting urgency.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RuleBurn {
-    /// Burn from which the rule holds, in both windows.
+    /// Lowest burn at which the rule fires, reached in both windows.
     pub threshold: f64,
-    /// Slow window in milliseconds.
+    /// Length of the slow window in milliseconds.
     pub slow_ms: u64,
-    /// Burn over it; `null` without answers.
+    /// Burn over the slow window; `null` without responses.
     pub slow_burn: Option<f64>,
-    /// Fast window in milliseconds.
+    /// Length of the fast window in milliseconds.
     pub fast_ms: u64,
-    /// Burn over it; `null` without answers.
+    /// Burn over the fast window; `null` without responses.
     pub fast_burn: Option<f64>,
-    /// What the rule calls for.
+    /// Urgency by this rule.
     pub urgency: Urgency,
 }
 
 impl RuleBurn {
-    /// Judges a promise by its tallies over both windows.
+    /// Evaluates a rule for an indicator.
+    ///
+    /// `budget` is the length of the budget window; `slow` and `fast` are the
+    /// error budgets over the rule's two windows.
     pub fn new(rule: &AlertRule, budget: Duration, slow: ErrorBudget, fast: ErrorBudget) -> Self {
         let (slow_burn, fast_burn) = (slow.burn(), fast.burn());
         Self {
--- a/crates/burn/src/report/service_burn.rs
+++ b/crates/burn/src/report/service_burn.rs
@@ -1,4 +1,4 @@
-//! One service of a report.
+//! Error budgets and burn of one service.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,36 +10,41 @@
     ServiceObjective, TallyKey, Urgency,
 };
 
-/// Data centres shown for a service, the worst first: one at fault stands out,
-/// and with three equal ones it isn't a data centre's fault.
-const WORST_SHOWN: usize = 3;
+/// Number of data centres shown for a service, the highest burn first.
+///
+/// Three are enough to tell whether one data centre is at fault: it then stands
+/// out, and otherwise the three are about equal.
+const DATA_CENTRES_SHOWN: usize = 3;
 
-/// A service's budgets and burn.
+/// Report entry of one service: its budgets, burn and urgency.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ServiceBurn {
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// The most urgent that either promise calls for.
+    /// Higher urgency of availability and latency.
     pub urgency: Urgency,
-    /// Milliseconds within which an answer counts as fast, as last promised.
+    /// Longest latency of a fast response in milliseconds.
+    ///
+    /// The value is that of the newest sample's objective.
     pub latency_ms: u32,
-    /// The objective changed within the budget window; answers are weighed by
-    /// the one at the end of their interval.
+    /// Whether the objective changed within the budget window.
+    ///
+    /// Responses count by the objective at the end of their interval.
     pub objective_changed: bool,
-    /// Answers left out as the caller's own fault.
+    /// Responses excluded as caller faults.
     pub caller_faults: u64,
-    /// Availability.
+    /// Availability: the share of good responses.
     pub availability: IndicatorBurn,
-    /// Latency of good answers.
+    /// Latency: the share of fast responses among the good ones.
     pub latency: IndicatorBurn,
-    /// Data centres of the callers' nodes with the highest burn.
+    /// Data centres of the callers' nodes with the highest burn, at most three.
     pub worst_data_centres: Vec<BreakdownRow>,
-    /// Kinds of callers' requests, the highest burn first.
+    /// Request kinds, the highest burn first.
     pub kinds: Vec<BreakdownRow>,
 }
 
 impl ServiceBurn {
-    /// Sums up a service.
+    /// Computes the entry of a service from its intervals.
     pub fn new(service: &str, objective: &ServiceObjective, history: &IntervalHistory) -> Self {
         let budget = history.budget_window();
         let tally = |window: Duration| sum(service, history.within(window));
@@ -53,41 +58,41 @@
                 )
             })
             .collect();
-        let evaluate = |part: fn(&BurnTally) -> ErrorBudget| {
-            let judged = rules.iter().map(|(rule, slow, fast): &(&AlertRule, _, _)| {
-                RuleBurn::new(rule, budget, part(slow), part(fast))
+        let rule_burns = |budget_of: fn(&BurnTally) -> ErrorBudget| {
+            let evaluated = rules.iter().map(|(rule, slow, fast): &(&AlertRule, _, _)| {
+                RuleBurn::new(rule, budget, budget_of(slow), budget_of(fast))
             });
-            judged.collect()
+            evaluated.collect()
         };
-        let whole = tally(budget);
+        let over_budget_window = tally(budget);
         let availability = IndicatorBurn::new(
             objective.availability,
-            whole.availability,
-            evaluate(|tally| tally.availability),
+            over_budget_window.availability,
+            rule_burns(|tally| tally.availability),
         );
         let latency = IndicatorBurn::new(
             objective.latency_share,
-            whole.latency,
-            evaluate(|tally| tally.latency),
+            over_budget_window.latency,
+            rule_burns(|tally| tally.latency),
         );
         let all = || history.within(budget);
-        let mut worst = lines(service, all(), |key| key.data_centre.clone());
-        worst.truncate(WORST_SHOWN);
+        let mut worst = breakdown(service, all(), |key| key.data_centre.clone());
+        worst.truncate(DATA_CENTRES_SHOWN);
         Self {
             service: service.to_owned(),
             urgency: availability.urgency.max(latency.urgency),
             latency_ms: objective.latency_ms,
             objective_changed: all().any(|interval| interval.changed_objectives.contains(service)),
-            caller_faults: whole.caller_faults,
+            caller_faults: over_budget_window.caller_faults,
             availability,
             latency,
             worst_data_centres: worst,
-            kinds: lines(service, all(), |key| key.kind.to_string()),
+            kinds: breakdown(service, all(), |key| key.kind.to_string()),
         }
     }
 }
 
-fn of_service<'a>(
+fn tallies_of<'a>(
     service: &'a str,
     intervals: impl Iterator<Item = &'a BurnInterval>,
 ) -> impl Iterator<Item = (&'a TallyKey, &'a BurnTally)> {
@@ -97,27 +102,27 @@
 
 fn sum<'a>(service: &'a str, intervals: impl Iterator<Item = &'a BurnInterval>) -> BurnTally {
     let mut sum = BurnTally::default();
-    for (_, tally) in of_service(service, intervals) {
+    for (_, tally) in tallies_of(service, intervals) {
         sum += *tally;
     }
     sum
 }
 
-fn lines<'a>(
+fn breakdown<'a>(
     service: &'a str,
     intervals: impl Iterator<Item = &'a BurnInterval>,
     name: impl Fn(&TallyKey) -> String,
 ) -> Vec<BreakdownRow> {
     let mut sums: BTreeMap<String, BurnTally> = BTreeMap::new();
-    for (key, tally) in of_service(service, intervals) {
+    for (key, tally) in tallies_of(service, intervals) {
         *sums.entry(name(key)).or_default() += *tally;
     }
-    let with_answers = sums
+    let with_responses = sums
         .iter()
         .filter(|(_, tally)| tally.availability.total > 0);
-    let mut lines: Vec<_> = with_answers
+    let mut breakdown: Vec<_> = with_responses
         .map(|(name, tally)| BreakdownRow::new(name, tally))
         .collect();
-    lines.sort_by(|a, b| b.worst_burn().total_cmp(&a.worst_burn()));
-    lines
+    breakdown.sort_by(|a, b| b.worst_burn().total_cmp(&a.worst_burn()));
+    breakdown
 }
--- a/crates/burn/src/report/window_length.rs
+++ b/crates/burn/src/report/window_length.rs
@@ -1,15 +1,14 @@
-//! Lengths of windows, as operators write and read them.
+//! Length of a window, as operators write it.
 
 use std::{fmt, str::FromStr, time::Duration};
 
 use snafu::{OptionExt, Snafu};
 
 const UNITS: [(&str, u64); 4] = [("d", 86_400), ("h", 3_600), ("m", 60), ("s", 1)];
-/// So short a budget window leaves its fast window, 1/8640 of it, a few
-/// milliseconds.
-const SECONDS_MIN: u64 = 60;
-/// A year: budgets are made for a month or a quarter.
-const SECONDS_MAX: u64 = 366 * 86_400;
+/// Shortest budget window; its shortest fast window, 1/8640 of it, is 7 ms.
+const MIN_SECONDS: u64 = 60;
+/// Longest budget window, a year; budgets usually cover a month or a quarter.
+const MAX_SECONDS: u64 = 366 * 86_400;
 
 /// Length of the budget window, from a minute to a year.
 ///
@@ -26,20 +25,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WindowLength(Duration);
 
-/// A text that isn't a usable length.
+/// Error for a text that isn't a length in the allowed range.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("`{text}` isn't a whole number of s, m, h or d, from 60s to 366d"))]
+#[snafu(display("`{text}` isn't a whole number with a unit (s, m, h or d) from 60s to 366d"))]
 pub struct WindowLengthError {
     text: String,
 }
 
 impl WindowLength {
-    /// Returns the length.
+    /// Returns the length as a `Duration`.
     pub const fn duration(self) -> Duration {
         self.0
     }
 
-    /// Writes milliseconds in the largest unit that divides them.
+    /// Formats milliseconds in the largest unit that divides them.
+    ///
+    /// Parts of a second are written as a decimal fraction.
     pub fn text(ms: u64) -> String {
         if !ms.is_multiple_of(1_000) || ms == 0 {
             return format!("{}s", ms as f64 / 1_000.0);
@@ -60,7 +61,7 @@
             let count: u64 = text.strip_suffix(unit)?.parse().ok()?;
             count.checked_mul(*length)
         });
-        let in_range = seconds.filter(|seconds| (SECONDS_MIN..=SECONDS_MAX).contains(seconds));
+        let in_range = seconds.filter(|seconds| (MIN_SECONDS..=MAX_SECONDS).contains(seconds));
         let seconds = in_range.context(WindowLengthSnafu { text })?;
         Ok(Self(Duration::from_secs(seconds)))
     }
--- a/crates/burn/tests/all/histories.rs
+++ b/crates/burn/tests/all/histories.rs
@@ -1,4 +1,4 @@
-//! Windows, losses and changed objectives.
+//! Tests of windows, lost counts and changed objectives.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 
 use crate::support::{MONTH, counts, missing, node, objectives, sample};
 
-fn prices(report: &BurnReport) -> &ServiceBurn {
+fn verdskra_burn(report: &BurnReport) -> &ServiceBurn {
     let mut services = report.services.iter();
     let found = services.find(|one| one.service.as_str() == "verdskra");
-    found.expect("it is promised")
+    found.expect("the service has an objective")
 }
 
-/// Every answer of ten minutes is bad, then the fault is mended. The page must
-/// come while it lasts, and end minutes after the repair although the slow
-/// window still holds the loss.
+/// Every response is bad for ten minutes, then the fault is repaired. The page
+/// must start while the fault lasts, and end minutes after the repair although
+/// the slow window still includes the bad responses.
 #[test]
 fn a_page_ends_soon_after_the_repair() {
     let mut tracker = BurnTracker::new(MONTH);
-    let mut verdicts = Vec::new();
+    let mut urgencies = Vec::new();
     let (mut good, mut bad) = (0, 0);
-    // One answer in ten may be bad, so a burn of 10 is the most there is: the
-    // rule of 6 over 6 h and 30 m is the one that pages.
+    // One response in ten may be bad, so the burn is at most 10, and only the
+    // rule of 6 over 6 h and 30 m pages.
     for minute in 0..=120 {
         if (1..=10).contains(&minute) {
             bad += 100;
@@ -29,18 +29,21 @@
             good += 2;
         }
         tracker.add(sample(minute, [node("hofdi-1", 1, counts(good, bad, 0))]));
-        verdicts.push(prices(&BurnReport::from(&tracker)).urgency);
+        urgencies.push(verdskra_burn(&BurnReport::from(&tracker)).urgency);
     }
-    assert_eq!(verdicts[10], Urgency::Page);
-    assert_eq!(verdicts[45], Urgency::Ticket);
+    assert_eq!(urgencies[10], Urgency::Page);
+    assert_eq!(urgencies[45], Urgency::Ticket);
     let report = BurnReport::from(&tracker);
-    assert!(prices(&report).availability.rules[1].slow_burn > Some(6.0));
-    assert_eq!(prices(&report).availability.rules[1].fast_burn, Some(0.0));
+    assert!(verdskra_burn(&report).availability.rules[1].slow_burn > Some(6.0));
+    assert_eq!(
+        verdskra_burn(&report).availability.rules[1].fast_burn,
+        Some(0.0)
+    );
 }
 
-/// Samples come every ten seconds for a day, so older intervals get merged. The
-/// budget must count each answer once all the same, and the hour's window must
-/// hold the last hour.
+/// Samples are added every ten seconds for a day, so older intervals are merged.
+/// The budget must still count each response once, and the window of an hour
+/// must contain exactly the last hour.
 #[test]
 fn merged_intervals_lose_nothing() {
     let mut tracker = BurnTracker::new(MONTH);
@@ -55,7 +58,7 @@
     let hour = history.within(Duration::from_secs(3_600));
     assert_eq!(hour.count(), 360);
     let report = BurnReport::from(&tracker);
-    let availability = &prices(&report).availability;
+    let availability = &verdskra_burn(&report).availability;
     assert_eq!(
         (availability.violations, availability.total),
         (steps, steps * 10)
@@ -63,10 +66,10 @@
     assert_eq!(report.covered_ms, steps * 10_000);
 }
 
-/// An operator tightens a service's latency from 1 s to 250 ms at noon. Answers
-/// of the morning were fast by what was promised then and must stay so.
+/// An operator lowers a service's latency objective from 1 s to 250 ms. Responses
+/// that were fast by the old objective must still count as fast.
 #[test]
-fn answers_are_weighed_by_the_objective_of_their_time() {
+fn responses_count_by_the_objective_of_their_time() {
     let mut tracker = BurnTracker::new(MONTH);
     for minute in 0..=4 {
         let mut next = sample(
@@ -77,32 +80,32 @@
         tracker.add(next);
     }
     let report = BurnReport::from(&tracker);
-    assert!(prices(&report).objective_changed);
-    assert_eq!(prices(&report).latency.violations, 10);
+    assert!(verdskra_burn(&report).objective_changed);
+    assert_eq!(verdskra_burn(&report).latency.violations, 10);
 }
 
-/// A node can't be read for two samples and then again, without a restart. Its
-/// counters held on to what happened, so the report is whole again.
+/// A node can't be read in one sample and can in the next, without a restart. Its
+/// counters include the time between, so the report is complete again.
 #[test]
 fn a_node_that_comes_back_has_lost_nothing() {
     let mut tracker = BurnTracker::new(MONTH);
     tracker.add(sample(0, [node("hofdi-1", 1, counts(10, 0, 0))]));
-    let mut silent = sample(1, []);
-    silent.missing.push(missing("hofdi-1"));
-    tracker.add(silent);
+    let mut unread = sample(1, []);
+    unread.missing.push(missing("hofdi-1"));
+    tracker.add(unread);
     let report = BurnReport::from(&tracker);
     assert!(report.partial);
     assert_eq!(report.result().number(), 504);
     tracker.add(sample(2, [node("hofdi-1", 1, counts(25, 1, 0))]));
     let report = BurnReport::from(&tracker);
     assert!(!report.partial);
-    assert_eq!(prices(&report).availability.total, 16);
+    assert_eq!(verdskra_burn(&report).availability.total, 16);
 }
 
-/// The first of two samples lacks a node that the second one has. What it
-/// answered between them can't be known, so the report may not call itself
-/// whole. An instance that left takes its last counts along, likewise; a day
-/// later that is a note, since instances fail daily.
+/// A node is missing from the first of two samples, so its responses between them
+/// are unknown, and the other node is gone by the second, so its last counts are
+/// lost. The report must be partial for the next hour; after that, the loss only
+/// shows in a number, since instances fail daily.
 #[test]
 fn losses_make_the_report_partial_for_an_hour() {
     let mut tracker = BurnTracker::new(MONTH);
@@ -114,7 +117,7 @@
     let names: Vec<_> = report.missing.iter().map(ToString::to_string).collect();
     assert_eq!(names.len(), 2, "{names:?}");
     assert!(names[0].starts_with("hofdi-1: left the fleet"), "{names:?}");
-    assert_eq!(prices(&report).availability.total, 0);
+    assert_eq!(verdskra_burn(&report).availability.total, 0);
     for minute in [30, 59, 100, 101] {
         tracker.add(sample(minute, [node("hofdi-2", 1, counts(50, 0, 0))]));
     }
--- a/crates/burn/tests/all/main.rs
+++ b/crates/burn/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the burn report, one module a subject.
+//! Tests of the burn report, one module per subject.
 
 mod histories;
 mod pages;
--- a/crates/burn/tests/all/pages.rs
+++ b/crates/burn/tests/all/pages.rs
@@ -1,4 +1,4 @@
-//! Pages of metrics as nodes write them.
+//! Tests of parsing the metrics pages that nodes write.
 
 use geranium_burn::{MetricLine, NodeReading, ReadingError, TrafficKey};
 use geranium_node::config::RequestKind;
@@ -26,7 +26,7 @@
 "#;
 
 #[test]
-fn answers_are_sorted_by_what_they_say_of_the_service() {
+fn responses_are_counted_by_result() {
     let reading = NodeReading::try_from(PAGE).unwrap();
     assert_eq!(
         (reading.instance.as_str(), reading.started, reading.version),
@@ -41,16 +41,16 @@
         (counts.good, counts.bad, counts.caller_faults),
         (92, 3 + 4 + 5 + 6, 7)
     );
-    // Between two bounds the lower one counts, and below all every answer.
+    // A threshold between two bounds is rounded down to the lower one; below all
+    // bounds, every response is slow.
     let slow = [99, 100, 249, 250, 60_000].map(|latency_ms| counts.slow_responses(latency_ms));
     assert_eq!(slow, [92, 15, 15, 4, 4]);
 }
 
-/// A node is replaced by another version, or its page breaks off. A count that
-/// can't be read must not pass as zero: the whole page is refused, and the node
-/// is reported as missing.
+/// A metrics page is truncated, or written by another version of the node. A count
+/// that can't be read must not count as zero, so the whole page is rejected.
 #[test]
-fn a_page_that_lacks_something_is_refused_as_a_whole() {
+fn an_incomplete_page_is_rejected_as_a_whole() {
     let without = |text: &str| NodeReading::try_from(PAGE.replace(text, "").as_str());
     let missing = ReadingError::Missing {
         name: "geranium_node_started",
--- a/crates/burn/tests/all/process.rs
+++ b/crates/burn/tests/all/process.rs
@@ -1,8 +1,8 @@
-//! The report as a process: exit statuses without a report.
+//! Tests of the program's exit status when there is no report.
 
 use std::process::Command;
 
-/// Runs the program without any of the caller's settings.
+/// Returns the exit status of the program, run without environment variables.
 fn exit(arguments: &[&str]) -> Option<i32> {
     let mut command = Command::new(env!("CARGO_BIN_EXE_geranium-burn"));
     let output = command.env_clear().args(arguments).output();
@@ -11,7 +11,7 @@
 
 #[test]
 fn each_group_of_failures_has_its_exit_status() {
-    // Port 1 is privileged, and nothing listens there.
+    // Nothing listens on port 1, which is privileged.
     let nowhere = ["--node", "127.0.0.1:1", "once", "--over", "0"];
     assert_eq!(exit(&["once"]), Some(41));
     assert_eq!(exit(&["onec"]), Some(2));
--- a/crates/burn/tests/all/reports.rs
+++ b/crates/burn/tests/all/reports.rs
@@ -1,4 +1,4 @@
-//! What operators and programs read.
+//! Tests of the report as text, JSON and picture, and of the help text.
 
 use std::collections::BTreeSet;
 
@@ -32,7 +32,7 @@
     BurnReport::from(&tracker)
 }
 
-/// Collects the path and type of every field.
+/// Adds the path and type of every field of `value` to `found`.
 fn shape(path: &str, value: &Value, found: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn the_text_reads_well() {
+fn the_text_report_matches_its_snapshot() {
     insta::assert_snapshot!(OutputFormat::Text.report(&report()));
 }
 
 #[test]
-fn programs_find_the_same_fields_and_types() {
+fn json_field_names_and_types_match_their_snapshot() {
     let text = OutputFormat::Json.report(&report());
     let mut found = BTreeSet::new();
     shape("", &serde_json::from_str(&text).unwrap(), &mut found);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn help_names_every_command_and_setting() {
+fn the_help_text_matches_its_snapshot() {
     insta::assert_snapshot!(Invocation::command().render_long_help());
 }
 
@@ -74,7 +74,10 @@
 fn the_picture_shows_services_with_traffic_and_says_partial() {
     let svg = burn_picture(&report()).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("verdskra") && svg.contains("PARTIAL"));
-    assert!(!svg.contains("pantanir"), "it had no traffic");
+    assert!(
+        !svg.contains("pantanir"),
+        "a service without traffic is shown"
+    );
     let nothing = BurnReport::from(&BurnTracker::new(MONTH));
     assert!(burn_picture(&nothing).unwrap().starts_with("<svg"));
 }
--- a/crates/burn/tests/all/resets.rs
+++ b/crates/burn/tests/all/resets.rs
@@ -1,15 +1,15 @@
-//! Burn from cumulative counters against a count of single events.
+//! Tests of counter resets: burn from counters must equal a count of events.
 
 use geranium_burn::{BurnReport, BurnTracker, NodeReading, TrafficCounts};
 
 use crate::support::{MONTH, counts, missing, node, sample};
 
-const HISTORIES: u64 = 2_000;
+const SEEDS: u64 = 2_000;
 
-/// Numbers that depend on the seed alone (splitmix64).
-struct Draw(u64);
+/// Pseudorandom numbers from a seed (splitmix64).
+struct SeededRandom(u64);
 
-impl Draw {
+impl SeededRandom {
     fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -18,7 +18,7 @@
     }
 }
 
-/// What one answer was.
+/// Outcome of one response.
 #[derive(Clone, Copy, PartialEq)]
 enum Event {
     Fast,
@@ -26,20 +26,25 @@
     Bad,
 }
 
-/// A node that counts since its start, beside a log of each single answer.
+/// Simulated node that also logs each single response.
 struct LoggedNode {
     name: String,
     started: u64,
-    /// Answers of this process.
-    life: Vec<Event>,
-    /// How many of them were read, once any page of the node was.
+    /// Responses since the process started.
+    responses: Vec<Event>,
+    /// Number of responses at the last reading of this process.
     read: usize,
-    has_base: bool,
+    was_read: bool,
 }
 
 impl LoggedNode {
     fn reading(&self) -> NodeReading {
-        let count = |event| self.life.iter().filter(|found| **found == event).count() as u64;
+        let count = |event| {
+            self.responses
+                .iter()
+                .filter(|found| **found == event)
+                .count() as u64
+        };
         let good = count(Event::Fast) + count(Event::Slow);
         node(
             &self.name,
@@ -48,116 +53,128 @@
         )
     }
 
-    /// Takes the answers that a reading now shows for the first time.
-    fn take_new(&mut self) -> Vec<Event> {
-        let from = if self.has_base {
+    /// Returns the responses that a reading adds to the previous one.
+    ///
+    /// The first reading of a node adds none, since it is only a baseline.
+    fn take_unread(&mut self) -> Vec<Event> {
+        let from = if self.was_read {
             self.read
         } else {
-            self.life.len()
+            self.responses.len()
         };
-        self.has_base = true;
-        self.read = self.life.len();
-        self.life[from..].to_vec()
+        self.was_read = true;
+        self.read = self.responses.len();
+        self.responses[from..].to_vec()
     }
 
-    /// A start may share the former one's number, where nothing of the former
-    /// process was read.
-    fn restart(&mut self, draw: &mut Draw) {
-        let may_hide = self.read == 0;
-        self.started += if may_hide { draw.below(2) } else { 1 };
-        self.life.clear();
+    /// Restarts the process.
+    ///
+    /// The start time may stay the same if no response of the old process was
+    /// read.
+    fn restart(&mut self, random: &mut SeededRandom) {
+        let may_repeat = self.read == 0;
+        self.started += if may_repeat { random.below(2) } else { 1 };
+        self.responses.clear();
         self.read = 0;
     }
 }
 
-fn drawn_event(draw: &mut Draw) -> Event {
-    [Event::Fast, Event::Fast, Event::Slow, Event::Bad][draw.below(4) as usize]
+fn random_event(random: &mut SeededRandom) -> Event {
+    [Event::Fast, Event::Fast, Event::Slow, Event::Bad][random.below(4) as usize]
 }
 
-/// Nodes answer, restart, can't be read for a while and come back, in any
-/// order. An operator who had logged every single answer must come to the same
-/// budget as the report does, but for answers that died with a process: these
-/// must be missing from both, never turn up as negative or doubled.
+/// Nodes respond, restart, and are unreadable for a while, in random order. The
+/// budget in the report must equal one computed from a log of single responses.
+/// Responses lost with a process are in neither; they must not make counts
+/// negative or double.
 #[test]
-fn burn_from_counters_equals_a_count_of_single_answers() {
-    for seed in 0..HISTORIES {
-        let mut draw = Draw(seed);
+fn burn_from_counters_equals_a_count_of_single_responses() {
+    for seed in 0..SEEDS {
+        let mut random = SeededRandom(seed);
         let mut tracker = BurnTracker::new(MONTH);
         let mut nodes: Vec<_> = (0..3)
             .map(|number| LoggedNode {
                 name: format!("hofdi-{number}"),
                 started: 1,
-                life: Vec::new(),
+                responses: Vec::new(),
                 read: 0,
-                has_base: false,
+                was_read: false,
             })
             .collect();
         let mut seen = Vec::new();
-        for minute in 0..=draw.below(12) + 1 {
+        for minute in 0..=random.below(12) + 1 {
             let mut next = sample(minute, []);
             for node in &mut nodes {
-                for _ in 0..draw.below(6) {
-                    if draw.below(8) == 0 {
-                        node.restart(&mut draw);
+                for _ in 0..random.below(6) {
+                    if random.below(8) == 0 {
+                        node.restart(&mut random);
                     }
-                    node.life.push(drawn_event(&mut draw));
+                    node.responses.push(random_event(&mut random));
                 }
-                if draw.below(4) == 0 {
+                if random.below(4) == 0 {
                     next.missing.push(missing(&node.name));
                 } else {
                     next.nodes.push(node.reading());
-                    seen.extend(node.take_new());
+                    seen.extend(node.take_unread());
                 }
             }
             tracker.add(next);
         }
         let report = BurnReport::from(&tracker);
-        let prices = report
+        let verdskra_burn = report
             .services
             .iter()
             .find(|one| one.service.as_str() == "verdskra");
-        let prices = prices.expect("it is promised");
+        let verdskra_burn = verdskra_burn.expect("the service has an objective");
         let count = |event| seen.iter().filter(|found| **found == event).count() as u64;
         let (bad, slow) = (count(Event::Bad), count(Event::Slow));
         let total = seen.len() as u64;
         assert_eq!(
-            (prices.availability.violations, prices.availability.total),
+            (
+                verdskra_burn.availability.violations,
+                verdskra_burn.availability.total
+            ),
             (bad, total),
             "seed {seed}"
         );
         assert_eq!(
-            (prices.latency.violations, prices.latency.total),
+            (
+                verdskra_burn.latency.violations,
+                verdskra_burn.latency.total
+            ),
             (slow, total - bad),
             "seed {seed}"
         );
-        let naive = (total > 0).then(|| 1.0 - bad as f64 / (total as f64 * 0.1));
-        let left = prices.availability.budget_left;
-        let is_close = match (left, naive) {
-            (Some(left), Some(naive)) => (left - naive).abs() < 1e-9 * naive.abs().max(1.0),
-            (left, naive) => left == naive,
+        let expected_left = (total > 0).then(|| 1.0 - bad as f64 / (total as f64 * 0.1));
+        let left = verdskra_burn.availability.budget_left;
+        let is_close = match (left, expected_left) {
+            (Some(left), Some(expected_left)) => {
+                (left - expected_left).abs() < 1e-9 * expected_left.abs().max(1.0)
+            }
+            (left, expected_left) => left == expected_left,
         };
-        assert!(is_close, "seed {seed}: {left:?} and {naive:?}");
+        assert!(is_close, "seed {seed}: {left:?} and {expected_left:?}");
     }
 }
 
-/// A node restarts within the same millisecond of a coarse clock, so its start
-/// looks unchanged. One counter that fell is enough to tell: all are new then.
+/// A node restarts, but its start time is the same, as with a coarse clock. One
+/// decreased counter is enough to detect the restart; all counts are then new.
 #[test]
-fn a_fallen_counter_alone_shows_a_restart() {
+fn a_decreased_counter_alone_shows_a_restart() {
     let before = TrafficCounts {
         caller_faults: 4,
         ..counts(80, 3, 5)
     };
-    let falls: [fn(&mut TrafficCounts); 5] = [
+    let decrements: [fn(&mut TrafficCounts); 5] = [
         |counts| counts.good -= 1,
         |counts| counts.bad -= 1,
         |counts| counts.caller_faults -= 1,
         |counts| counts.timed -= 1,
         |counts| counts.buckets[0].count -= 1,
     ];
-    for fall in falls {
+    for decrement in decrements {
         let mut after = before.clone();
-        fall(&mut after);
+        decrement(&mut after);
         let after = node("hofdi-2", 5, after);
         let (added, restarted) = after.since(&node("hofdi-2", 5, before.clone()));
         assert!(restarted);
--- a/crates/burn/tests/all/sample_files.rs
+++ b/crates/burn/tests/all/sample_files.rs
@@ -1,4 +1,4 @@
-//! Samples kept on the operator's disk.
+//! Tests of the sample file.
 
 use std::{fs, path::PathBuf};
 
@@ -6,8 +6,8 @@
 
 use crate::support::{counts, missing, node, sample};
 
-/// A path of its own for each test, without a file.
-fn fresh_path(name: &str) -> PathBuf {
+/// Returns a path at which no file exists; each test uses its own name.
+fn unused_path(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = fs::remove_file(&path);
     path
@@ -20,10 +20,10 @@
 }
 
 /// A run is killed, or the disk fills up, while a sample is appended. The next
-/// run reads every whole sample and appends behind them.
+/// run must read all complete samples and append after them.
 #[test]
 fn an_unfinished_line_costs_only_itself() {
-    let path = fresh_path("burn-unfinished.jsonl");
+    let path = unused_path("burn-unfinished.jsonl");
     let file = SampleFile::new(&path);
     assert!(read(&file).unwrap().is_empty(), "no file yet");
     let mut first = sample(1, [node("hofdi-1", 1, counts(9, 1, 2))]);
@@ -31,18 +31,18 @@
     let second = sample(2, []);
     file.append(&first).unwrap();
     file.append(&second).unwrap();
-    let whole = fs::read_to_string(&path).unwrap();
-    fs::write(&path, &whole[..whole.len() - 9]).unwrap();
+    let complete = fs::read_to_string(&path).unwrap();
+    fs::write(&path, &complete[..complete.len() - 9]).unwrap();
     assert_eq!(read(&file).unwrap(), [first.clone()]);
     file.append(&second).unwrap();
     assert_eq!(read(&file).unwrap(), [first, second]);
 }
 
-/// Somebody edits the file by hand and breaks a line. Passing over it would
-/// lose counts without a word: the run ends and names the line.
+/// A complete line of the file is invalid, for example after an edit by hand.
+/// Skipping it would silently lose counts, so the run must fail with its number.
 #[test]
-fn a_broken_line_is_named() {
-    let path = fresh_path("burn-broken.jsonl");
+fn an_invalid_line_is_reported_with_its_number() {
+    let path = unused_path("burn-broken.jsonl");
     let file = SampleFile::new(&path);
     file.append(&sample(1, [])).unwrap();
     let line = fs::read_to_string(&path).unwrap();
--- a/crates/burn/tests/all/support.rs
+++ b/crates/burn/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Samples as the tests need them.
+//! Samples for the tests.
 
 use geranium_burn::{
     FleetSample, LatencyBucket, MissingNode, NodeReading, Objectives, ServiceObjective,
@@ -6,11 +6,11 @@
 };
 use geranium_node::config::RequestKind;
 
-/// Minutes of a test's clock in milliseconds.
+/// Milliseconds in a minute.
 pub const MINUTE_MS: u64 = 60_000;
 pub const MONTH: std::time::Duration = std::time::Duration::from_secs(30 * 86_400);
 
-/// Counts of which `slow` good answers took between 0.25 and 1 s.
+/// Returns counts in which `slow` of the good responses took 0.25 to 1 s.
 pub fn counts(good: u64, bad: u64, slow: u64) -> TrafficCounts {
     let bucket = |bound_s, count| LatencyBucket { bound_s, count };
     TrafficCounts {
@@ -22,7 +22,7 @@
     }
 }
 
-/// One node's short requests to the price list.
+/// Returns a reading of a node with lookup requests to the service `verdskra`.
 pub fn node(instance: &str, started: u64, counts: TrafficCounts) -> NodeReading {
     let key = TrafficKey {
         service: "verdskra".to_owned(),
@@ -50,7 +50,7 @@
     }
 }
 
-/// Objectives with a tenth of the answers to spare.
+/// Returns objectives that a tenth of the responses may violate.
 pub fn objectives(latency_ms: u32) -> Objectives {
     let objective = ServiceObjective {
         availability: 0.9,
