--- a/crates/burn/src/burn_rate/burn_tally.rs
+++ b/crates/burn/src/burn_rate/burn_tally.rs
@@ -30,11 +30,11 @@
 }
 
 impl ErrorBudget {
-    fn new(violations: u64, total: u64, promised_share: f64) -> Self {
+    fn new(violations: u64, total: u64, target_share: f64) -> Self {
         Self {
             violations,
             total,
-            allowed: total as f64 * (1.0 - promised_share),
+            allowed: total as f64 * (1.0 - target_share),
         }
     }
 
--- a/crates/burn/src/report/indicator_burn.rs
+++ b/crates/burn/src/report/indicator_burn.rs
@@ -9,7 +9,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct IndicatorBurn {
     /// Share of responses that must meet the objective, above 0 and below 1.
-    pub promised: f64,
+    #[serde(rename = "promised")]
+    pub target_share: f64,
     /// Responses over the budget window that violate the objective.
     #[serde(rename = "broken")]
     pub violations: u64,
@@ -29,10 +30,10 @@
 
 impl IndicatorBurn {
     /// Combines the budget of an indicator with the burn by its rules.
-    pub fn new(promised: f64, budget: ErrorBudget, rules: Vec<RuleBurn>) -> Self {
+    pub fn new(target_share: f64, budget: ErrorBudget, rules: Vec<RuleBurn>) -> Self {
         let most_urgent = rules.iter().map(|rule| rule.urgency).max();
         Self {
-            promised,
+            target_share,
             violations: budget.violations,
             total: budget.total,
             budget_left: budget.budget_left(),
--- a/crates/burn/src/report/report_text.rs
+++ b/crates/burn/src/report/report_text.rs
@@ -74,14 +74,14 @@
 ) -> fmt::Result {
     // Rounds a percentage such as 99.9 to six decimals, which removes the error
     // of the binary fraction.
-    let promised = (indicator.promised * 1e8).round() / 1e6;
+    let target_percent = (indicator.target_share * 1e8).round() / 1e6;
     let left = indicator.budget_left.map_or_else(
         || "unknown".to_owned(),
         |left| format!("{:.1}%", left * 100.0),
     );
     writeln!(
         f,
-        "  {name} {promised}%: {} of {} {violations}, budget left {left}",
+        "  {name} {target_percent}%: {} of {} {violations}, budget left {left}",
         indicator.violations, indicator.total
     )?;
     for rule in &indicator.rules {
