--- a/crates/burn/src/burn_rate/interval_history.rs
+++ b/crates/burn/src/burn_rate/interval_history.rs
@@ -86,10 +86,10 @@
 
 /// Returns the length up to which intervals of this age may be merged.
 fn max_interval_ms(budget_window: Duration, age_ms: u64) -> u64 {
-    let left = ALERT_RULES
+    let exceeded = ALERT_RULES
         .iter()
         .rfind(|rule| age_ms > millis(rule.slow_window(budget_window)));
-    left.map_or(0, |rule| millis(rule.fast_window(budget_window)))
+    exceeded.map_or(0, |rule| millis(rule.fast_window(budget_window)))
 }
 
 fn millis(duration: Duration) -> u64 {
--- a/crates/burn/src/report/rule_burn.rs
+++ b/crates/burn/src/report/rule_burn.rs
@@ -26,15 +26,20 @@
 impl RuleBurn {
     /// Evaluates a rule for an indicator.
     ///
-    /// `budget` is the length of the budget window; `slow` and `fast` are the
+    /// `budget_window` is the length of the budget window; `slow` and `fast` are the
     /// error budgets over the rule's two windows.
-    pub fn new(rule: &AlertRule, budget: Duration, slow: ErrorBudget, fast: ErrorBudget) -> Self {
+    pub fn new(
+        rule: &AlertRule,
+        budget_window: Duration,
+        slow: ErrorBudget,
+        fast: ErrorBudget,
+    ) -> Self {
         let (slow_burn, fast_burn) = (slow.burn(), fast.burn());
         Self {
             threshold: rule.threshold,
-            slow_ms: rule.slow_window(budget).as_millis() as u64,
+            slow_ms: rule.slow_window(budget_window).as_millis() as u64,
             slow_burn,
-            fast_ms: rule.fast_window(budget).as_millis() as u64,
+            fast_ms: rule.fast_window(budget_window).as_millis() as u64,
             fast_burn,
             urgency: rule.evaluate(slow_burn, fast_burn),
         }
