--- a/crates/burn/src/report/rule_burn.rs
+++ b/crates/burn/src/report/rule_burn.rs
@@ -1,39 +1,47 @@
-//! One rule applied to one promise.
+//! Burn of one indicator by one alert rule.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-use crate::{AlertRule, BudgetPart, Urgency};
+use crate::{AlertRule, ErrorBudget, Urgency};
 
-/// Burn over a rule's two windows.
+/// Burn over the two windows of an alert rule, and the resulting urgency.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RuleBurn {
-    /// Burn from which the rule holds, in both windows.
+    /// Lowest burn at which the rule fires, reached in both windows.
     pub threshold: f64,
-    /// Slow window in milliseconds.
+    /// Length of the slow window in milliseconds.
     pub slow_ms: u64,
-    /// Burn over it; `null` without answers.
+    /// Burn over the slow window; `null` without responses.
     pub slow_burn: Option<f64>,
-    /// Fast window in milliseconds.
+    /// Length of the fast window in milliseconds.
     pub fast_ms: u64,
-    /// Burn over it; `null` without answers.
+    /// Burn over the fast window; `null` without responses.
     pub fast_burn: Option<f64>,
-    /// What the rule calls for.
+    /// Urgency by this rule.
     pub urgency: Urgency,
 }
 
 impl RuleBurn {
-    /// Judges a promise by its tallies over both windows.
-    pub fn new(rule: &AlertRule, budget: Duration, slow: BudgetPart, fast: BudgetPart) -> Self {
+    /// Evaluates a rule for an indicator.
+    ///
+    /// `budget_window` is the length of the budget window; `slow` and `fast` are the
+    /// error budgets over the rule's two windows.
+    pub fn new(
+        rule: &AlertRule,
+        budget_window: Duration,
+        slow: ErrorBudget,
+        fast: ErrorBudget,
+    ) -> Self {
         let (slow_burn, fast_burn) = (slow.burn(), fast.burn());
         Self {
             threshold: rule.threshold,
-            slow_ms: rule.slow(budget).as_millis() as u64,
+            slow_ms: rule.slow_window(budget_window).as_millis() as u64,
             slow_burn,
-            fast_ms: rule.fast(budget).as_millis() as u64,
+            fast_ms: rule.fast_window(budget_window).as_millis() as u64,
             fast_burn,
-            urgency: rule.judge(slow_burn, fast_burn),
+            urgency: rule.evaluate(slow_burn, fast_burn),
         }
     }
 }
--- a/crates/burn/tests/all/reports.rs
+++ b/crates/burn/tests/all/reports.rs
@@ -1,25 +1,25 @@
-//! What operators and programs read.
+//! Tests of the report as text, JSON and picture, and of the help text.
 
 use std::collections::BTreeSet;
 
 use clap::CommandFactory;
-use geranium_burn::{BurnLedger, BurnReport, Invocation, OutputFormat, burn_picture};
+use geranium_burn::{BurnReport, BurnTracker, Invocation, OutputFormat, burn_picture};
 use serde_json::Value;
 
 use crate::support::{MONTH, counts, missing, node, sample};
 
 fn report() -> BurnReport {
-    let mut ledger = BurnLedger::new(MONTH);
+    let mut tracker = BurnTracker::new(MONTH);
     let reading =
         |instance, started, good, bad, slow| node(instance, started, counts(good, bad, slow));
-    ledger.add(sample(
+    tracker.add(sample(
         0,
         [
             reading("hofdi-1", 1, 100, 0, 0),
             reading("hofdi-2", 1, 50, 0, 0),
         ],
     ));
-    ledger.add(sample(
+    tracker.add(sample(
         5,
         [
             reading("hofdi-1", 1, 300, 80, 10),
@@ -28,11 +28,11 @@
     ));
     let mut last = sample(10, [reading("hofdi-1", 1, 310, 160, 10)]);
     last.missing.push(missing("hofdi-2"));
-    ledger.add(last);
-    BurnReport::from(&ledger)
+    tracker.add(last);
+    BurnReport::from(&tracker)
 }
 
-/// Collects the path and type of every field.
+/// Adds the path and type of every field of `value` to `found`.
 fn shape(path: &str, value: &Value, found: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn the_text_reads_well() {
+fn the_text_report_matches_its_snapshot() {
     insta::assert_snapshot!(OutputFormat::Text.report(&report()));
 }
 
 #[test]
-fn programs_find_the_same_fields_and_types() {
+fn json_field_names_and_types_match_their_snapshot() {
     let text = OutputFormat::Json.report(&report());
     let mut found = BTreeSet::new();
     shape("", &serde_json::from_str(&text).unwrap(), &mut found);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn help_names_every_command_and_setting() {
+fn the_help_text_matches_its_snapshot() {
     insta::assert_snapshot!(Invocation::command().render_long_help());
 }
 
@@ -74,7 +74,10 @@
 fn the_picture_shows_services_with_traffic_and_says_partial() {
     let svg = burn_picture(&report()).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("verdskra") && svg.contains("PARTIAL"));
-    assert!(!svg.contains("pantanir"), "it had no traffic");
-    let nothing = BurnReport::from(&BurnLedger::new(MONTH));
+    assert!(
+        !svg.contains("pantanir"),
+        "a service without traffic is shown"
+    );
+    let nothing = BurnReport::from(&BurnTracker::new(MONTH));
     assert!(burn_picture(&nothing).unwrap().starts_with("<svg"));
 }
