--- a/crates/ctl/src/commands/activate_command.rs
+++ b/crates/ctl/src/commands/activate_command.rs
@@ -24,7 +24,13 @@
         expect_version,
         stamp: session.stamp()?,
     };
-    let activation = activate(session.store()?, session.codec, &request, session.patience).await?;
+    let activation = activate(
+        session.store()?,
+        session.codec,
+        &request,
+        session.retry_schedule,
+    )
+    .await?;
     Ok(ActivateReport {
         activated: activation.record,
         answered: activation.answered,
--- a/crates/ctl/src/commands/preset_commands.rs
+++ b/crates/ctl/src/commands/preset_commands.rs
@@ -47,13 +47,13 @@
     file: &Path,
 ) -> Result<PutReport, CtlError> {
     let document = PresetDocument::from_file(file)?;
-    let catalogue = PresetCatalogue::new(session.store()?, session.patience);
+    let catalogue = PresetCatalogue::new(session.store()?, session.retry_schedule);
     let stored = catalogue.put(name, document, session.stamp()?).await?;
     Ok(PutReport(stored))
 }
 
 pub async fn list(session: &Session<impl MetaStore>) -> Result<ListReport, CtlError> {
-    let catalogue = PresetCatalogue::new(session.store()?, session.patience);
+    let catalogue = PresetCatalogue::new(session.store()?, session.retry_schedule);
     Ok(ListReport {
         presets: catalogue.list().await?,
     })
@@ -63,7 +63,7 @@
     session: &Session<impl MetaStore>,
     name: &PresetName,
 ) -> Result<ShowReport, CtlError> {
-    let catalogue = PresetCatalogue::new(session.store()?, session.patience);
+    let catalogue = PresetCatalogue::new(session.store()?, session.retry_schedule);
     Ok(ShowReport(catalogue.get(name).await?))
 }
 
@@ -84,7 +84,7 @@
     match source {
         PresetSource::File(path) => PresetDocument::from_file(path),
         PresetSource::Named(name) => {
-            let catalogue = PresetCatalogue::new(session.store()?, session.patience);
+            let catalogue = PresetCatalogue::new(session.store()?, session.retry_schedule);
             Ok(catalogue.get(name).await?.document)
         }
     }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -18,8 +18,8 @@
 mod fleet;
 mod invocation;
 mod output_format;
-mod patience;
 mod presets;
+mod retry_schedule;
 mod session;
 mod settled_write;
 mod utc_time;
@@ -32,11 +32,11 @@
 pub use fleet::{FleetStatus, StatusClient};
 pub use invocation::{Command, Invocation, PresetSource};
 pub use output_format::OutputFormat;
-pub use patience::Patience;
 pub use presets::{
     Activation, ActivationRecord, ActivationRequest, ConfigCodec, PresetCatalogue, PresetDiff,
     PresetDocument, PresetName, PresetNameError, PresetRecord, activate, activation_history,
 };
+pub use retry_schedule::RetrySchedule;
 pub use session::Session;
 pub use settled_write::{SettledWrite, settle};
 pub use write_stamp::WriteStamp;
--- a/crates/ctl/src/presets/activation.rs
+++ b/crates/ctl/src/presets/activation.rs
@@ -11,7 +11,7 @@
     record,
 };
 use crate::{
-    CtlError, Patience, SettledWrite, WriteStamp,
+    CtlError, RetrySchedule, SettledWrite, WriteStamp,
     ctl_error::{BadDocumentSnafu, StoreSnafu},
     settle,
 };
@@ -55,9 +55,9 @@
     store: &impl MetaStore,
     codec: ConfigCodec,
     request: &ActivationRequest,
-    patience: Patience,
+    retry_schedule: RetrySchedule,
 ) -> Result<Activation, CtlError> {
-    let catalogue = PresetCatalogue::new(store, patience);
+    let catalogue = PresetCatalogue::new(store, retry_schedule);
     let preset = catalogue.get(&request.preset).await?;
     preset.document.check(preset.name.as_str())?;
     let (revision, in_force) = in_force(store, codec).await?;
@@ -82,7 +82,7 @@
         StoreWrite::put(codec.source.key, &config, revision),
         StoreWrite::put(&place.key, &entry, place.revision),
     ];
-    match settle(store, &writes, patience).await {
+    match settle(store, &writes, retry_schedule).await {
         Ok(SettledWrite::Done(_)) => Ok(Activation {
             record: own,
             answered: true,
--- a/crates/ctl/src/presets/preset_catalogue.rs
+++ b/crates/ctl/src/presets/preset_catalogue.rs
@@ -5,7 +5,7 @@
 
 use super::{PresetDocument, PresetName, PresetRecord, record};
 use crate::{
-    CtlError, Patience, SettledWrite, WriteStamp,
+    CtlError, RetrySchedule, SettledWrite, WriteStamp,
     ctl_error::{StoreSnafu, UnknownPresetSnafu},
     settle,
 };
@@ -17,13 +17,16 @@
 #[derive(Debug)]
 pub struct PresetCatalogue<'a, S> {
     store: &'a S,
-    patience: Patience,
+    retry_schedule: RetrySchedule,
 }
 
 impl<'a, S: MetaStore> PresetCatalogue<'a, S> {
     /// Looks at the presets in `store`.
-    pub const fn new(store: &'a S, patience: Patience) -> Self {
-        Self { store, patience }
+    pub const fn new(store: &'a S, retry_schedule: RetrySchedule) -> Self {
+        Self {
+            store,
+            retry_schedule,
+        }
     }
 
     /// Lists every preset, by name.
@@ -82,7 +85,7 @@
         };
         let value = record::bytes(&own);
         let writes = [StoreWrite::put(&key, &value, revision)];
-        match settle(self.store, &writes, self.patience).await {
+        match settle(self.store, &writes, self.retry_schedule).await {
             Ok(SettledWrite::Done(_)) => Ok(own),
             Ok(SettledWrite::Unknown(source)) => Err(CtlError::WriteUnknown {
                 operation: own.stamp.operation,
--- a/crates/ctl/src/patience.rs
+++ b/crates/ctl/src/retry_schedule.rs
@@ -8,12 +8,12 @@
 
 /// Tries for a write whose effect is unknown.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct RetrySchedule {
     tries: u32,
     first_pause: Duration,
 }
 
-impl Patience {
+impl RetrySchedule {
     /// Allows so many tries, at least one.
     pub fn new(tries: u32) -> Self {
         Self {
@@ -35,9 +35,9 @@
     /// # Examples
     ///
     /// ```
-    /// use geranium_ctl::Patience;
+    /// use geranium_ctl::RetrySchedule;
     ///
-    /// let pauses: Vec<u128> = Patience::new(4).pauses().map(|pause| pause.as_millis()).collect();
+    /// let pauses: Vec<u128> = RetrySchedule::new(4).pauses().map(|pause| pause.as_millis()).collect();
     /// assert_eq!(pauses, [0, 400, 800, 1_600]);
     /// ```
     pub fn pauses(self) -> impl Iterator<Item = Duration> {
--- a/crates/ctl/src/session.rs
+++ b/crates/ctl/src/session.rs
@@ -5,7 +5,7 @@
 use snafu::OptionExt;
 
 use crate::{
-    ConfigCodec, CtlError, Patience, WriteStamp,
+    ConfigCodec, CtlError, RetrySchedule, WriteStamp,
     ctl_error::{NoOperatorSnafu, NoStoreSnafu},
 };
 
@@ -23,7 +23,7 @@
     /// Port of the nodes' status pages.
     pub status_port: u16,
     /// How long writes are pursued.
-    pub patience: Patience,
+    pub retry_schedule: RetrySchedule,
 }
 
 impl<S> Session<S> {
--- a/crates/ctl/src/settled_write.rs
+++ b/crates/ctl/src/settled_write.rs
@@ -3,7 +3,7 @@
 use geranium_node::store::{MetaStore, Revision, StoreError, StoreWrite};
 use tokio::time::sleep;
 
-use crate::Patience;
+use crate::RetrySchedule;
 
 /// What became of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -33,10 +33,10 @@
 pub async fn settle(
     store: &impl MetaStore,
     writes: &[StoreWrite<'_>],
-    patience: Patience,
+    retry_schedule: RetrySchedule,
 ) -> Result<SettledWrite, StoreError> {
     let mut lost = None;
-    for pause in patience.pauses() {
+    for pause in retry_schedule.pauses() {
         sleep(pause).await;
         match store.commit(writes).await {
             Ok(revision) => return Ok(SettledWrite::Done(revision)),
--- a/crates/ctl/tests/all/activation_faults.rs
+++ b/crates/ctl/tests/all/activation_faults.rs
@@ -1,6 +1,6 @@
 //! Activations that break at each of their steps in turn.
 
-use geranium_ctl::{CtlError, Patience, activate, activation_history};
+use geranium_ctl::{CtlError, RetrySchedule, activate, activation_history};
 use geranium_node::{
     config::ConfigVersion,
     result_code::ResultCode,
@@ -108,13 +108,13 @@
     put_in_force(&store, "peak").unwrap();
     let mut late = request("ordinary-day", "bera");
     late.expect_version = Some(ConfigVersion(1));
-    let patience = Patience::without_pause(1);
-    let error = wait(activate(&store, codec(), &late, patience)).unwrap_err();
+    let retry_schedule = RetrySchedule::without_pause(1);
+    let error = wait(activate(&store, codec(), &late, retry_schedule)).unwrap_err();
     assert_eq!(error.code(), ResultCode::LostRace);
     assert!(error.to_string().contains("by anna"), "{error}");
     assert_eq!(version(&store), ConfigVersion(2));
     late.expect_version = Some(ConfigVersion(2));
-    wait(activate(&store, codec(), &late, patience)).unwrap();
+    wait(activate(&store, codec(), &late, retry_schedule)).unwrap();
 }
 
 /// Somebody wrote to the store past the client: a preset that nodes would
--- a/crates/ctl/tests/all/activation_races.rs
+++ b/crates/ctl/tests/all/activation_races.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, thread};
 
-use geranium_ctl::{ActivationRequest, CtlError, Patience, activate, activation_history};
+use geranium_ctl::{ActivationRequest, CtlError, RetrySchedule, activate, activation_history};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 use crate::support::{CallFault, MemoryStore, codec, prepared, request, wait};
@@ -22,8 +22,8 @@
     let rounds = (0..ROUNDS).map(|round| {
         let preset = ["ordinary-day", "peak"][round as usize % 2];
         let request = request(preset, &format!("operator-{operator}"));
-        let patience = Patience::without_pause(4);
-        let told = match wait(activate(store, codec(), &request, patience)) {
+        let retry_schedule = RetrySchedule::without_pause(4);
+        let told = match wait(activate(store, codec(), &request, retry_schedule)) {
             Ok(activation) => Told::Won(activation.record.version.0),
             Err(CtlError::WriteUnknown { .. }) => Told::Unknown,
             Err(CtlError::LostActivation { .. } | CtlError::Store { .. }) => Told::NotActivated,
--- a/crates/ctl/tests/all/fleet.rs
+++ b/crates/ctl/tests/all/fleet.rs
@@ -6,7 +6,7 @@
     thread,
 };
 
-use geranium_ctl::{Command, CtlError, OutputFormat, Patience, Session, run};
+use geranium_ctl::{Command, CtlError, OutputFormat, RetrySchedule, Session, run};
 use serde_json::{Value, json};
 
 use crate::support::{MemoryStore, codec, prepared, put_in_force, wait};
@@ -75,7 +75,7 @@
         operator: None,
         nodes: vec![node],
         status_port: port,
-        patience: Patience::without_pause(1),
+        retry_schedule: RetrySchedule::without_pause(1),
     }
 }
 
--- a/crates/ctl/tests/all/messages.rs
+++ b/crates/ctl/tests/all/messages.rs
@@ -4,7 +4,7 @@
 
 use clap::{CommandFactory, Parser};
 use geranium_ctl::{
-    Command, CtlError, Invocation, OutputFormat, Patience, Session, exit_status, run,
+    Command, CtlError, Invocation, OutputFormat, RetrySchedule, Session, exit_status, run,
 };
 use geranium_node::{config::ConfigVersion, result_code::ResultCode, store::StoreError};
 use strum::VariantArray;
@@ -18,7 +18,7 @@
         operator: Some("anna".to_owned()),
         nodes: Vec::new(),
         status_port: 9464,
-        patience: Patience::without_pause(1),
+        retry_schedule: RetrySchedule::without_pause(1),
     }
 }
 
--- a/crates/ctl/tests/all/support/mod.rs
+++ b/crates/ctl/tests/all/support/mod.rs
@@ -3,8 +3,8 @@
 mod memory_store;
 
 use geranium_ctl::{
-    Activation, ActivationRequest, ConfigCodec, CtlError, Patience, PresetCatalogue,
-    PresetDocument, PresetName, PresetRecord, WriteStamp, activate,
+    Activation, ActivationRequest, ConfigCodec, CtlError, PresetCatalogue, PresetDocument,
+    PresetName, PresetRecord, RetrySchedule, WriteStamp, activate,
 };
 use geranium_node::{
     config::{ConfigError, ConfigInput, ConfigVersion},
@@ -57,7 +57,7 @@
 }
 
 pub fn put(store: &MemoryStore, preset: &str, timeout_s: f64) -> Result<PresetRecord, CtlError> {
-    let catalogue = PresetCatalogue::new(store, Patience::without_pause(PATIENCE));
+    let catalogue = PresetCatalogue::new(store, RetrySchedule::without_pause(PATIENCE));
     let stamp = WriteStamp::now("anna");
     wait(catalogue.put(&name(preset), document(timeout_s), stamp))
 }
@@ -76,7 +76,7 @@
         store,
         codec(),
         &request,
-        Patience::without_pause(PATIENCE),
+        RetrySchedule::without_pause(PATIENCE),
     ))
 }
 
