--- a/crates/ctl/src/commands/explain_command.rs
+++ b/crates/ctl/src/commands/explain_command.rs
@@ -11,37 +11,37 @@
 use crate::{
     CtlError,
     ctl_error::{FileSnafu, LogIncompleteSnafu, UnknownRequestSnafu},
-    explain::{LogScan, RequestStory},
+    explain::{LogScanner, RequestTimeline},
 };
 
 /// Stands for standard input.
 const STDIN: &str = "-";
 
 /// Tells what became of a request, out of log files.
-pub fn explain(request: &str, files: &[PathBuf]) -> Result<RequestStory, CtlError> {
-    let mut scan = LogScan::new(request);
+pub fn explain(request: &str, files: &[PathBuf]) -> Result<RequestTimeline, CtlError> {
+    let mut scanner = LogScanner::new(request);
     if files.is_empty() {
-        read(&mut scan, Path::new(STDIN))?;
+        read(&mut scanner, Path::new(STDIN))?;
     }
     for path in files {
-        read(&mut scan, path)?;
+        read(&mut scanner, path)?;
     }
-    let story = scan.finish();
-    if !story.events.is_empty() {
-        return Ok(story);
+    let timeline = scanner.finish();
+    if !timeline.events.is_empty() {
+        return Ok(timeline);
     }
-    let lines = story.dropped_lines;
+    let lines = timeline.dropped_lines;
     if lines > 0 {
         return LogIncompleteSnafu { request, lines }.fail();
     }
     UnknownRequestSnafu { request }.fail()
 }
 
-fn read(scan: &mut LogScan, path: &Path) -> Result<(), CtlError> {
+fn read(scanner: &mut LogScanner, path: &Path) -> Result<(), CtlError> {
     let result = if path == Path::new(STDIN) {
-        scan.read(io::stdin().lock())
+        scanner.read(io::stdin().lock())
     } else {
-        File::open(path).and_then(|file| scan.read(BufReader::new(file)))
+        File::open(path).and_then(|file| scanner.read(BufReader::new(file)))
     };
     result.context(FileSnafu { path })
 }
--- a/crates/ctl/src/commands/status_command.rs
+++ b/crates/ctl/src/commands/status_command.rs
@@ -24,13 +24,13 @@
 /// Asks every node that the store names. While the store is away, the nodes
 /// that were given on the command line name the others.
 pub async fn status(session: &Session<impl MetaStore>) -> Result<FleetStatus, CtlError> {
-    let seen = look(session).await;
-    if let (Err(_), true) = (&seen, session.nodes.is_empty()) {
-        return Err(seen.err().unwrap_or(CtlError::NoStore));
+    let store_view = read_store(session).await;
+    if let (Err(_), true) = (&store_view, session.nodes.is_empty()) {
+        return Err(store_view.err().unwrap_or(CtlError::NoStore));
     }
-    let (view, store) = match seen {
+    let (view, store) = match store_view {
         Ok(view) => (view, None),
-        Err(error) => (named_by_nodes(session)?, Some(error.to_string())),
+        Err(error) => (read_members_from_nodes(session)?, Some(error.to_string())),
     };
     let pages = view.peer_addrs.iter();
     let pages = pages.map(|peer_addr| SocketAddr::new(peer_addr.ip(), session.status_port));
@@ -38,7 +38,7 @@
     Ok(FleetStatus::new(fleet::survey(pages), view.version, store))
 }
 
-async fn look(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
+async fn read_store(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
     let store = session.store()?;
     let source = session.codec.source;
     let read = store
@@ -49,7 +49,7 @@
         Some(item) => {
             let input = (source.parse)(&item.value);
             input
-                .context(BadDocumentSnafu { place: source.key })?
+                .context(BadDocumentSnafu { origin: source.key })?
                 .version
         }
         None => ConfigVersion(0),
@@ -64,7 +64,7 @@
     })
 }
 
-fn named_by_nodes(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
+fn read_members_from_nodes(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
     let mut failure = CtlError::NoStore;
     for &addr in &session.nodes {
         match StatusClient::new(addr)
--- a/crates/ctl/src/ctl_error.rs
+++ b/crates/ctl/src/ctl_error.rs
@@ -36,10 +36,10 @@
         reason: String,
     },
     /// A document fails a check.
-    #[snafu(display("{place}: {source}"))]
+    #[snafu(display("{origin}: {source}"))]
     BadDocument {
         /// File or preset.
-        place: String,
+        origin: String,
         /// The failed check.
         source: ConfigError,
     },
@@ -80,7 +80,7 @@
         source: StoreError,
     },
     /// Another activation came first, or another version is in force.
-    #[snafu(display("not activated: version {in_force} is in force{}", by(last.as_deref())))]
+    #[snafu(display("not activated: version {in_force} is in force{}", by_activation(last.as_deref())))]
     LostActivation {
         /// Version in force.
         in_force: ConfigVersion,
@@ -143,6 +143,6 @@
     }
 }
 
-fn by(last: Option<&ActivationRecord>) -> String {
+fn by_activation(last: Option<&ActivationRecord>) -> String {
     last.map_or_else(String::new, |record| format!(" ({record})"))
 }
--- a/crates/ctl/src/explain/log_scan.rs
+++ b/crates/ctl/src/explain/log_scanner.rs
@@ -7,30 +7,30 @@
 
 use serde_json::{Map, Value};
 
-use super::{RequestStory, StoryEvent};
+use super::{RequestTimeline, TimelineEvent};
 
 /// Messages about what a node believes of a member, which may explain a
 /// decision that names the member.
-const BELIEFS: [&str; 3] = ["member announced", "announcement missing", "member gone"];
+const MEMBER_MESSAGES: [&str; 3] = ["member announced", "announcement missing", "member gone"];
 
 /// Collects what logs tell about one request.
 #[derive(Debug)]
-pub struct LogScan {
+pub struct LogScanner {
     request: String,
-    events: Vec<StoryEvent>,
+    events: Vec<TimelineEvent>,
     /// Last line about each member, by the node that wrote it.
-    beliefs: HashMap<(String, String), StoryEvent>,
+    member_events: HashMap<(String, String), TimelineEvent>,
     dropped: u64,
     unreadable: u64,
 }
 
-impl LogScan {
+impl LogScanner {
     /// Makes a scan for the request with this identifier.
     pub fn new(request: impl Into<String>) -> Self {
         Self {
             request: request.into(),
             events: Vec::new(),
-            beliefs: HashMap::new(),
+            member_events: HashMap::new(),
             dropped: 0,
             unreadable: 0,
         }
@@ -44,15 +44,15 @@
     /// When the input can't be read.
     pub fn read(&mut self, lines: impl BufRead) -> Result<()> {
         for line in lines.lines() {
-            self.take(&line?);
+            self.scan_line(&line?);
         }
         Ok(())
     }
 
     /// Puts what was found in order.
-    pub fn finish(mut self) -> RequestStory {
+    pub fn finish(mut self) -> RequestTimeline {
         self.events.sort_by(|a, b| a.time.cmp(&b.time));
-        RequestStory {
+        RequestTimeline {
             request: self.request,
             events: self.events,
             dropped_lines: self.dropped,
@@ -60,7 +60,7 @@
         }
     }
 
-    fn take(&mut self, line: &str) {
+    fn scan_line(&mut self, line: &str) {
         let Some(start) = line.find('{') else {
             return;
         };
@@ -75,22 +75,22 @@
             self.dropped += count.and_then(Value::as_u64).unwrap_or(0);
         }
         if message == "members announced" {
-            self.take_members(&fields);
+            self.scan_members_line(&fields);
             return;
         }
         let (node, at) = (text("node").to_owned(), text("at").to_owned());
-        let concerned = text("request") == self.request;
-        let event = StoryEvent::new(message, &fields);
-        if BELIEFS.contains(&&*event.message) {
-            self.beliefs.insert((node, at), event);
-        } else if concerned {
-            let belief = self.beliefs.get(&(node, at)).cloned();
-            self.events.push(event.because(belief));
+        let is_about_request = text("request") == self.request;
+        let event = TimelineEvent::new(message, &fields);
+        if MEMBER_MESSAGES.contains(&&*event.message) {
+            self.member_events.insert((node, at), event);
+        } else if is_about_request {
+            let last_event = self.member_events.get(&(node, at)).cloned();
+            self.events.push(event.with_member_event(last_event));
         }
     }
 
     /// Takes in a line that tells of many announcements.
-    fn take_members(&mut self, line: &Map<String, Value>) {
+    fn scan_members_line(&mut self, line: &Map<String, Value>) {
         let text = |name: &str| line.get(name).and_then(Value::as_str).unwrap_or_default();
         for row in text("members").split("; ") {
             let names = ["at", "revision", "state", "service", "instance"];
@@ -102,8 +102,8 @@
             }
             let at = fields.get("at").and_then(Value::as_str).unwrap_or_default();
             let member = (text("node").to_owned(), at.to_owned());
-            let event = StoryEvent::new("member announced".to_owned(), &fields);
-            self.beliefs.insert(member, event);
+            let event = TimelineEvent::new("member announced".to_owned(), &fields);
+            self.member_events.insert(member, event);
         }
     }
 }
--- a/crates/ctl/src/explain/request_story.rs
+++ b/crates/ctl/src/explain/request_timeline.rs
@@ -4,28 +4,28 @@
 
 use serde::Serialize;
 
-use super::StoryEvent;
+use super::TimelineEvent;
 
 /// What became of a request, in order, over all nodes.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct RequestStory {
+pub struct RequestTimeline {
     /// Identifier of the request.
     pub request: String,
     /// Decisions in order.
-    pub events: Vec<StoryEvent>,
+    pub events: Vec<TimelineEvent>,
     /// Lines that the nodes dropped or withheld under load.
     pub dropped_lines: u64,
     /// Lines that aren't of the expected shape.
     pub unreadable_lines: u64,
 }
 
-impl fmt::Display for RequestStory {
+impl fmt::Display for RequestTimeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "request {}", self.request)?;
         for event in &self.events {
             writeln!(f, "{} {}: {}", event.time, event.node, event.text)?;
-            if let Some(belief) = &event.belief {
-                writeln!(f, "    last heard there, {belief}")?;
+            if let Some(member_report) = &event.member_report {
+                writeln!(f, "    last heard there, {member_report}")?;
             }
         }
         if self.dropped_lines > 0 {
--- a/crates/ctl/src/explain/story_event.rs
+++ b/crates/ctl/src/explain/timeline_event.rs
@@ -5,7 +5,7 @@
 
 /// One decision about a request, as a node logged it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct StoryEvent {
+pub struct TimelineEvent {
     /// Time of day at the node.
     pub time: String,
     /// Node that decided.
@@ -15,28 +15,29 @@
     /// The decision in words, with its inputs.
     pub text: String,
     /// What the node last heard of the member that the decision names.
-    pub belief: Option<String>,
+    #[serde(rename = "belief")]
+    pub member_report: Option<String>,
 }
 
-impl StoryEvent {
+impl TimelineEvent {
     pub(super) fn new(message: String, fields: &Map<String, Value>) -> Self {
         let text = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or_default();
         Self {
             time: text("ts").to_owned(),
             node: text("node").to_owned(),
-            text: in_words(&message, fields),
+            text: describe(&message, fields),
             message,
-            belief: None,
+            member_report: None,
         }
     }
 
-    pub(super) fn because(mut self, belief: Option<Self>) -> Self {
-        self.belief = belief.map(|belief| format!("{}: {}", belief.time, belief.text));
+    pub(super) fn with_member_event(mut self, last_event: Option<Self>) -> Self {
+        self.member_report = last_event.map(|event| format!("{}: {}", event.time, event.text));
         self
     }
 }
 
-fn in_words(message: &str, fields: &Map<String, Value>) -> String {
+fn describe(message: &str, fields: &Map<String, Value>) -> String {
     let show = |name: &str| match fields.get(name) {
         Some(Value::String(text)) => text.clone(),
         Some(Value::Null) | None => "-".to_owned(),
--- a/crates/ctl/src/fleet/fleet_survey.rs
+++ b/crates/ctl/src/fleet/fleet_survey.rs
@@ -9,7 +9,7 @@
 
 /// Nodes asked at the same time: an unreachable one takes 1.5 s, and a failed
 /// rack of 40 is through in two rounds.
-const ASKED_AT_ONCE: usize = 32;
+const CONCURRENT_REQUESTS_MAX: usize = 32;
 
 /// What the nodes answered.
 #[derive(Debug, Default)]
@@ -36,12 +36,12 @@
 /// Panics when an asking thread did, which is a bug.
 pub fn survey(addrs: impl IntoIterator<Item = SocketAddr>) -> FleetSurvey {
     let addrs: Vec<SocketAddr> = addrs.into_iter().collect();
-    let askers = addrs.len().min(ASKED_AT_ONCE);
+    let workers = addrs.len().min(CONCURRENT_REQUESTS_MAX);
     let waiting = Mutex::new(addrs.into_iter());
     let answers = Mutex::new(BTreeMap::new());
     let next = || waiting.lock().expect("no asker panics").next();
     thread::scope(|scope| {
-        for _ in 0..askers {
+        for _ in 0..workers {
             scope.spawn(|| {
                 while let Some(addr) = next() {
                     let answer = StatusClient::new(addr).status();
--- a/crates/ctl/src/fleet/status_client.rs
+++ b/crates/ctl/src/fleet/status_client.rs
@@ -12,7 +12,7 @@
 /// Long enough for a lost opening packet to be sent again.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A node answers in milliseconds.
-const WHOLE_TIMEOUT: Duration = Duration::from_secs(3);
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Client of one node's pages.
 #[derive(Debug, Clone, Copy)]
@@ -48,7 +48,7 @@
         let url = format!("http://{}{path}", self.addr);
         RequestBuilder::new(attohttpc::Method::GET, url)
             .connect_timeout(CONNECT_TIMEOUT)
-            .timeout(WHOLE_TIMEOUT)
+            .timeout(TOTAL_TIMEOUT)
             .proxy_settings(ProxySettings::builder().build())
             .send()?
             .error_for_status()?
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -9,7 +9,7 @@
 //! A preset is a named [`PresetDocument`] in the store. [`activate`] makes it
 //! the configuration in force, by compare-and-swap: version and history are
 //! written with it, together or not at all. Writes are pursued through lost
-//! answers by [`settle`].
+//! answers by [`write_with_retries`].
 
 mod commands;
 mod ctl_error;
@@ -21,14 +21,14 @@
 mod presets;
 mod retry_schedule;
 mod session;
-mod settled_write;
 mod utc_time;
+mod write_outcome;
 mod write_stamp;
 
 pub use commands::run;
 pub use ctl_error::CtlError;
 pub use exit_status::exit_status;
-pub use explain::{LogScan, RequestStory, StoryEvent};
+pub use explain::{LogScanner, RequestTimeline, TimelineEvent};
 pub use fleet::{FleetStatus, StatusClient};
 pub use invocation::{Command, Invocation, PresetSource};
 pub use output_format::OutputFormat;
@@ -38,5 +38,5 @@
 };
 pub use retry_schedule::RetrySchedule;
 pub use session::Session;
-pub use settled_write::{SettledWrite, settle};
+pub use write_outcome::{WriteOutcome, write_with_retries};
 pub use write_stamp::WriteStamp;
--- a/crates/ctl/src/presets/activation.rs
+++ b/crates/ctl/src/presets/activation.rs
@@ -7,13 +7,13 @@
 use snafu::ResultExt;
 
 use super::{
-    ActivationRecord, ConfigCodec, PresetCatalogue, PresetName, activation_history::place_of,
+    ActivationRecord, ConfigCodec, PresetCatalogue, PresetName, activation_history::read_slot,
     record,
 };
 use crate::{
-    CtlError, RetrySchedule, SettledWrite, WriteStamp,
+    CtlError, RetrySchedule, WriteOutcome, WriteStamp,
     ctl_error::{BadDocumentSnafu, StoreSnafu},
-    settle,
+    write_with_retries,
 };
 
 /// What an operator wants in force.
@@ -28,7 +28,7 @@
 }
 
 /// Step over the versions that a store may have lost with its latest seconds.
-const LOST_VERSIONS: u64 = 1_000;
+const VERSION_STEP_AFTER_RESTORE: u64 = 1_000;
 
 /// An activation that took effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -65,40 +65,40 @@
         .expect_version
         .is_some_and(|expected| expected != in_force)
     {
-        return Err(lost(store, in_force).await);
+        return Err(lost_activation_error(store, in_force).await);
     }
     let era = revision.era();
     let version = next_version(store, in_force, era).await?;
-    let own = ActivationRecord {
+    let new_record = ActivationRecord {
         version,
         preset: preset.name,
         stamp: request.stamp.clone(),
         era,
     };
-    let place = place_of(store, version).await?;
-    let entry = record::bytes(&own);
+    let slot = read_slot(store, version).await?;
+    let entry = record::to_bytes(&new_record);
     let config = (codec.write)(&preset.document.into_input(version));
     let writes = [
         StoreWrite::put(codec.source.key, &config, revision),
-        StoreWrite::put(&place.key, &entry, place.revision),
+        StoreWrite::put(&slot.key, &entry, slot.revision),
     ];
-    match settle(store, &writes, retry_schedule).await {
-        Ok(SettledWrite::Done(_)) => Ok(Activation {
-            record: own,
+    match write_with_retries(store, &writes, retry_schedule).await {
+        Ok(WriteOutcome::Done(_)) => Ok(Activation {
+            record: new_record,
             answered: true,
         }),
-        Ok(SettledWrite::Unknown(source)) => Err(CtlError::WriteUnknown {
-            operation: own.stamp.operation,
+        Ok(WriteOutcome::Unknown(source)) => Err(CtlError::WriteUnknown {
+            operation: new_record.stamp.operation,
             source,
         }),
-        Ok(SettledWrite::Refused { lost_answer }) => {
-            if lost_answer && stands(store, &own).await? {
+        Ok(WriteOutcome::Refused { lost_answer }) => {
+            if lost_answer && is_recorded(store, &new_record).await? {
                 return Ok(Activation {
-                    record: own,
+                    record: new_record,
                     answered: false,
                 });
             }
-            Err(overtaken(store, codec, version).await)
+            Err(lost_race_error(store, codec, version).await)
         }
         Err(source) => Err(CtlError::Store { source }),
     }
@@ -113,10 +113,10 @@
     in_force: ConfigVersion,
     era: StoreEra,
 ) -> Result<ConfigVersion, CtlError> {
-    let last = place_of(store, in_force).await?.record;
+    let last = read_slot(store, in_force).await?.record;
     let last = last.filter(|record| record.version == in_force);
     let step = if last.is_some_and(|record| record.era < era) {
-        LOST_VERSIONS
+        VERSION_STEP_AFTER_RESTORE
     } else {
         1
     };
@@ -125,11 +125,14 @@
 
 /// Finds out whether an activation that was refused after a lost answer had
 /// been done before, unheard. While the store can't tell, nobody knows.
-async fn stands(store: &impl MetaStore, own: &ActivationRecord) -> Result<bool, CtlError> {
-    match place_of(store, own.version).await {
-        Ok(place) => Ok(place.record.as_ref() == Some(own)),
+async fn is_recorded(
+    store: &impl MetaStore,
+    new_record: &ActivationRecord,
+) -> Result<bool, CtlError> {
+    match read_slot(store, new_record.version).await {
+        Ok(slot) => Ok(slot.record.as_ref() == Some(new_record)),
         Err(CtlError::Store { source }) => Err(CtlError::WriteUnknown {
-            operation: own.stamp.operation.clone(),
+            operation: new_record.stamp.operation.clone(),
             source,
         }),
         Err(other) => Err(other),
@@ -137,12 +140,16 @@
 }
 
 /// Says who came first; `version` is the least that is in force by now.
-async fn overtaken(store: &impl MetaStore, codec: ConfigCodec, version: ConfigVersion) -> CtlError {
+async fn lost_race_error(
+    store: &impl MetaStore,
+    codec: ConfigCodec,
+    version: ConfigVersion,
+) -> CtlError {
     let now = match in_force(store, codec).await {
         Ok((_, now)) => now,
         Err(_) => version,
     };
-    lost(store, now).await
+    lost_activation_error(store, now).await
 }
 
 /// Returns the version in force and the revision of its key; 0 for none.
@@ -158,13 +165,13 @@
         return Ok((Revision(0), ConfigVersion(0)));
     };
     let input = (codec.source.parse)(&item.value);
-    let input = input.context(BadDocumentSnafu { place: &*item.key })?;
+    let input = input.context(BadDocumentSnafu { origin: &*item.key })?;
     Ok((item.revision, input.version))
 }
 
-async fn lost(store: &impl MetaStore, in_force: ConfigVersion) -> CtlError {
-    let last = match place_of(store, in_force).await {
-        Ok(place) => place.record.filter(|record| record.version == in_force),
+async fn lost_activation_error(store: &impl MetaStore, in_force: ConfigVersion) -> CtlError {
+    let last = match read_slot(store, in_force).await {
+        Ok(slot) => slot.record.filter(|record| record.version == in_force),
         // The version alone tells enough; who made it is a courtesy.
         Err(_) => None,
     };
--- a/crates/ctl/src/presets/activation_history.rs
+++ b/crates/ctl/src/presets/activation_history.rs
@@ -13,7 +13,7 @@
 const HISTORY_PREFIX: &str = "geranium-operator/history/";
 /// Places of the history, used in turn: four hours' worth at 1,400 changes a
 /// day. Logs hold what is older.
-const PLACES: u64 = 256;
+const HISTORY_SLOTS: u64 = 256;
 
 /// Returns the last `count` activations, oldest first.
 ///
@@ -40,13 +40,13 @@
 }
 
 /// Returns the place of a version in the history, and what stands there.
-pub(super) async fn place_of(
+pub(super) async fn read_slot(
     store: &impl MetaStore,
     version: ConfigVersion,
-) -> Result<HistoryPlace, CtlError> {
-    let key = format!("{HISTORY_PREFIX}{:03}", version.0 % PLACES);
+) -> Result<HistorySlot, CtlError> {
+    let key = format!("{HISTORY_PREFIX}{:03}", version.0 % HISTORY_SLOTS);
     let (revision, record) = record::read(store, &key).await?;
-    Ok(HistoryPlace {
+    Ok(HistorySlot {
         key,
         revision,
         record,
@@ -55,7 +55,7 @@
 
 /// A place in the history.
 #[derive(Debug)]
-pub(super) struct HistoryPlace {
+pub(super) struct HistorySlot {
     /// Key.
     pub(super) key: String,
     /// Revision of the key; 0 while nothing stands there.
--- a/crates/ctl/src/presets/preset_catalogue.rs
+++ b/crates/ctl/src/presets/preset_catalogue.rs
@@ -5,9 +5,9 @@
 
 use super::{PresetDocument, PresetName, PresetRecord, record};
 use crate::{
-    CtlError, RetrySchedule, SettledWrite, WriteStamp,
+    CtlError, RetrySchedule, WriteOutcome, WriteStamp,
     ctl_error::{StoreSnafu, UnknownPresetSnafu},
-    settle,
+    write_with_retries,
 };
 
 /// Prefix of the keys of presets.
@@ -78,29 +78,29 @@
             .await
             .context(StoreSnafu)?;
         let revision = read.item.map(|item| item.revision).unwrap_or_default();
-        let own = PresetRecord {
+        let new_record = PresetRecord {
             name: name.clone(),
             stamp,
             document,
         };
-        let value = record::bytes(&own);
+        let value = record::to_bytes(&new_record);
         let writes = [StoreWrite::put(&key, &value, revision)];
-        match settle(self.store, &writes, self.retry_schedule).await {
-            Ok(SettledWrite::Done(_)) => Ok(own),
-            Ok(SettledWrite::Unknown(source)) => Err(CtlError::WriteUnknown {
-                operation: own.stamp.operation,
+        match write_with_retries(self.store, &writes, self.retry_schedule).await {
+            Ok(WriteOutcome::Done(_)) => Ok(new_record),
+            Ok(WriteOutcome::Unknown(source)) => Err(CtlError::WriteUnknown {
+                operation: new_record.stamp.operation,
                 source,
             }),
-            Ok(SettledWrite::Refused { lost_answer }) => {
+            Ok(WriteOutcome::Refused { lost_answer }) => {
                 let current = match self.get(name).await {
                     Err(CtlError::Store { source }) if lost_answer => {
-                        let operation = own.stamp.operation;
+                        let operation = new_record.stamp.operation;
                         return Err(CtlError::WriteUnknown { operation, source });
                     }
                     found => found?,
                 };
-                if current.stamp == own.stamp {
-                    return Ok(own);
+                if current.stamp == new_record.stamp {
+                    return Ok(new_record);
                 }
                 let current = Box::new(current);
                 Err(CtlError::LostPut { current })
--- a/crates/ctl/src/presets/preset_diff.rs
+++ b/crates/ctl/src/presets/preset_diff.rs
@@ -11,12 +11,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PresetDiff {
     /// Changes, services first, by name; empty for equal presets.
-    pub changes: Vec<DiffLine>,
+    pub changes: Vec<DiffEntry>,
 }
 
 /// One changed service or route, or the limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct DiffLine {
+pub struct DiffEntry {
     /// `service`, `route` or `limits`.
     pub kind: &'static str,
     /// Name of the service or route.
@@ -80,7 +80,7 @@
 }
 
 fn compare(
-    changes: &mut Vec<DiffLine>,
+    changes: &mut Vec<DiffEntry>,
     kind: &'static str,
     old: &BTreeMap<String, Value>,
     new: &BTreeMap<String, Value>,
@@ -99,7 +99,7 @@
             (None, _) => DiffChange::Added,
             (_, None) => DiffChange::Removed,
         };
-        changes.push(DiffLine {
+        changes.push(DiffEntry {
             kind,
             name: name.clone(),
             change,
@@ -143,7 +143,7 @@
     }
 }
 
-impl fmt::Display for DiffLine {
+impl fmt::Display for DiffEntry {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let entry = format!("{} {}", self.kind, self.name);
         let entry = entry.trim_end();
--- a/crates/ctl/src/presets/preset_document.rs
+++ b/crates/ctl/src/presets/preset_document.rs
@@ -53,15 +53,15 @@
         Ok(document)
     }
 
-    /// Checks it as nodes do; `place` says where it stands.
+    /// Checks it as nodes do; `origin` says where it stands.
     ///
     /// # Errors
     ///
     /// [`CtlError::BadDocument`].
-    pub fn check(&self, place: &str) -> Result<(), CtlError> {
+    pub fn check(&self, origin: &str) -> Result<(), CtlError> {
         let input = self.clone().into_input(ConfigVersion(0));
         let checked = MeshConfig::checked(Rc::new(input), None);
-        checked.map(drop).context(BadDocumentSnafu { place })
+        checked.map(drop).context(BadDocumentSnafu { origin })
     }
 
     /// Makes the configuration that it is under a version.
--- a/crates/ctl/src/presets/record.rs
+++ b/crates/ctl/src/presets/record.rs
@@ -30,6 +30,6 @@
 }
 
 /// Writes a record's value.
-pub(super) fn bytes(record: &impl Serialize) -> Vec<u8> {
+pub(super) fn to_bytes(record: &impl Serialize) -> Vec<u8> {
     serde_json::to_vec(record).expect("plain structs always serialize")
 }
--- a/crates/ctl/src/settled_write.rs
+++ b/crates/ctl/src/write_outcome.rs
@@ -7,7 +7,7 @@
 
 /// What became of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SettledWrite {
+pub enum WriteOutcome {
     /// It was done now, at this revision.
     Done(Revision),
     /// A key isn't as expected. After a lost answer the reason may be that
@@ -30,19 +30,19 @@
 /// # Errors
 ///
 /// What the store refused for good; nothing was changed then.
-pub async fn settle(
+pub async fn write_with_retries(
     store: &impl MetaStore,
     writes: &[StoreWrite<'_>],
     retry_schedule: RetrySchedule,
-) -> Result<SettledWrite, StoreError> {
+) -> Result<WriteOutcome, StoreError> {
     let mut lost = None;
     for pause in retry_schedule.pauses() {
         sleep(pause).await;
         match store.commit(writes).await {
-            Ok(revision) => return Ok(SettledWrite::Done(revision)),
+            Ok(revision) => return Ok(WriteOutcome::Done(revision)),
             Err(StoreError::Conflict { .. }) => {
                 let lost_answer = matches!(lost, Some(StoreError::NoAnswer { .. }));
-                return Ok(SettledWrite::Refused { lost_answer });
+                return Ok(WriteOutcome::Refused { lost_answer });
             }
             Err(failure @ StoreError::NoAnswer { .. }) => lost = Some(failure),
             // Nothing was done; that a lost answer came before still counts.
@@ -50,11 +50,11 @@
                 lost = lost.or(Some(failure));
             }
             Err(failure) if lost.is_none() => return Err(failure),
-            Err(failure) => return Ok(SettledWrite::Unknown(failure)),
+            Err(failure) => return Ok(WriteOutcome::Unknown(failure)),
         }
     }
     match lost {
-        Some(failure @ StoreError::NoAnswer { .. }) => Ok(SettledWrite::Unknown(failure)),
+        Some(failure @ StoreError::NoAnswer { .. }) => Ok(WriteOutcome::Unknown(failure)),
         Some(failure) => Err(failure),
         None => Err(StoreError::Busy { status: 0 }),
     }
--- a/crates/ctl/tests/all/activation_faults.rs
+++ b/crates/ctl/tests/all/activation_faults.rs
@@ -8,27 +8,27 @@
 };
 
 use crate::support::{
-    CallFault, MemoryStore, codec, document, in_force, prepared, put, put_in_force, request,
-    version, wait,
+    CallFault, MemoryStore, active_config, codec, document, put, put_in_force, request,
+    store_with_presets, version, wait,
 };
 
 const FAULTS: [CallFault; 4] = [
     CallFault::Refuse,
     CallFault::LoseAnswer,
     CallFault::LoseRequest,
-    CallFault::LandLate,
+    CallFault::ApplyLate,
 ];
 
 fn calls_of_activation() -> u64 {
-    let store = prepared();
+    let store = store_with_presets();
     let before = store.calls();
     put_in_force(&store, "peak").unwrap();
     store.calls() - before
 }
 
 /// Checks what holds whatever happened, and that the next activation works.
-fn assert_sound(store: &MemoryStore, context: &str) {
-    store.mend();
+fn assert_consistent(store: &MemoryStore, context: &str) {
+    store.clear_faults();
     let before = version(store);
     let next = put_in_force(store, "ordinary-day").unwrap().record;
     assert_eq!(next.version.0, before.0 + 1, "{context}");
@@ -46,7 +46,7 @@
     for (nth, fault) in (0..calls_of_activation()).flat_map(|nth| FAULTS.map(|fault| (nth, fault)))
     {
         let context = format!("call {nth}, {fault:?}");
-        let store = prepared();
+        let store = store_with_presets();
         store.fail_call(nth, fault);
         let outcome = put_in_force(&store, "peak");
         // Late writes land within the next two calls.
@@ -55,14 +55,18 @@
         match outcome {
             Ok(activation) => {
                 assert_eq!(version(&store), activation.record.version, "{context}");
-                assert_eq!(in_force(&store).routes, document(2.0).routes, "{context}");
+                assert_eq!(
+                    active_config(&store).routes,
+                    document(2.0).routes,
+                    "{context}"
+                );
             }
             Err(CtlError::Store { .. }) => {
                 assert_eq!(version(&store), ConfigVersion(1), "{context}");
             }
             Err(other) => panic!("{context}: {other}"),
         }
-        assert_sound(&store, &context);
+        assert_consistent(&store, &context);
     }
 }
 
@@ -72,14 +76,14 @@
 fn an_outage_at_any_step_leaves_a_whole_configuration() {
     for nth in 0..calls_of_activation() {
         let context = format!("down from call {nth}");
-        let store = prepared();
-        store.go_down_after(nth);
+        let store = store_with_presets();
+        store.fail_from(nth);
         let outcome = put_in_force(&store, "peak");
-        store.come_up();
+        store.recover();
         let error = outcome.unwrap_err();
         assert_eq!(error.code(), ResultCode::StoreUnavailable, "{context}");
         assert_eq!(version(&store), ConfigVersion(1), "{context}");
-        assert_sound(&store, &context);
+        assert_consistent(&store, &context);
     }
 }
 
@@ -90,13 +94,13 @@
 fn an_outage_after_a_lost_answer_is_unknown() {
     let write = calls_of_activation() - 1;
     for fault in [CallFault::LoseAnswer, CallFault::LoseRequest] {
-        let store = prepared();
+        let store = store_with_presets();
         store.fail_call(write, fault);
-        store.go_down_after(write + 1);
+        store.fail_from(write + 1);
         let error = put_in_force(&store, "peak").unwrap_err();
         assert_eq!(error.code(), ResultCode::WriteUnknown, "{error}");
-        store.come_up();
-        assert_sound(&store, "after the outage");
+        store.recover();
+        assert_consistent(&store, "after the outage");
     }
 }
 
@@ -104,7 +108,7 @@
 /// meanwhile. With `--expect-version 1` nothing is overwritten unseen.
 #[test]
 fn an_expected_version_that_passed_is_refused() {
-    let store = prepared();
+    let store = store_with_presets();
     put_in_force(&store, "peak").unwrap();
     let mut late = request("ordinary-day", "bera");
     late.expect_version = Some(ConfigVersion(1));
@@ -121,7 +125,7 @@
 /// refuse. It must not be put in force.
 #[test]
 fn a_bad_preset_in_the_store_is_not_activated() {
-    let store = prepared();
+    let store = store_with_presets();
     put(&store, "peak", 2.0).unwrap();
     let key = "geranium-operator/preset/peak";
     let item = wait(store.read(key, ReadConsistency::Linearizable))
@@ -142,15 +146,19 @@
 fn a_stored_preset_is_told_truthfully() {
     for (nth, fault) in (0..2).flat_map(|nth| FAULTS.map(|fault| (nth, fault))) {
         let context = format!("call {nth}, {fault:?}");
-        let store = prepared();
+        let store = store_with_presets();
         store.fail_call(nth, fault);
         let outcome = put(&store, "peak", 3.0);
         version(&store);
         version(&store);
-        store.mend();
+        store.clear_faults();
         put_in_force(&store, "peak").unwrap();
         let stored = if outcome.is_ok() { 3.0 } else { 2.0 };
         let routes = document(stored).routes;
-        assert_eq!(in_force(&store).routes, routes, "{context}: {outcome:?}");
+        assert_eq!(
+            active_config(&store).routes,
+            routes,
+            "{context}: {outcome:?}"
+        );
     }
 }
--- a/crates/ctl/tests/all/activation_races.rs
+++ b/crates/ctl/tests/all/activation_races.rs
@@ -5,43 +5,48 @@
 use geranium_ctl::{ActivationRequest, CtlError, RetrySchedule, activate, activation_history};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-use crate::support::{CallFault, MemoryStore, codec, prepared, request, wait};
+use crate::support::{CallFault, MemoryStore, codec, request, store_with_presets, wait};
 
 const SEEDS: u64 = 300;
 const OPERATORS: u64 = 4;
 const ROUNDS: u32 = 3;
 
 #[derive(Debug, PartialEq)]
-enum Told {
+enum ReportedResult {
     Won(u64),
     NotActivated,
     Unknown,
 }
 
-fn race(store: &MemoryStore, operator: u64) -> Vec<(ActivationRequest, Told)> {
+fn activate_repeatedly(
+    store: &MemoryStore,
+    operator: u64,
+) -> Vec<(ActivationRequest, ReportedResult)> {
     let rounds = (0..ROUNDS).map(|round| {
         let preset = ["ordinary-day", "peak"][round as usize % 2];
         let request = request(preset, &format!("operator-{operator}"));
         let retry_schedule = RetrySchedule::without_pause(4);
-        let told = match wait(activate(store, codec(), &request, retry_schedule)) {
-            Ok(activation) => Told::Won(activation.record.version.0),
-            Err(CtlError::WriteUnknown { .. }) => Told::Unknown,
-            Err(CtlError::LostActivation { .. } | CtlError::Store { .. }) => Told::NotActivated,
+        let result = match wait(activate(store, codec(), &request, retry_schedule)) {
+            Ok(activation) => ReportedResult::Won(activation.record.version.0),
+            Err(CtlError::WriteUnknown { .. }) => ReportedResult::Unknown,
+            Err(CtlError::LostActivation { .. } | CtlError::Store { .. }) => {
+                ReportedResult::NotActivated
+            }
             Err(other) => panic!("{other}"),
         };
-        (request, told)
+        (request, result)
     });
     rounds.collect()
 }
 
-fn strew_faults(store: &MemoryStore, seed: u64) {
+fn inject_faults(store: &MemoryStore, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     for _ in 0..rng.random_range(0..12) {
         let fault = match rng.random_range(0..4) {
             0 => CallFault::Refuse,
             1 => CallFault::LoseAnswer,
             2 => CallFault::LoseRequest,
-            _ => CallFault::LandLate,
+            _ => CallFault::ApplyLate,
         };
         store.fail_call(rng.random_range(0..60), fault);
     }
@@ -54,23 +59,25 @@
 #[test]
 fn exactly_one_operator_wins_each_version() {
     for seed in 0..SEEDS {
-        let store = prepared();
-        strew_faults(&store, seed);
-        let told: Vec<_> = thread::scope(|scope| {
-            let racers = (0..OPERATORS).map(|operator| {
+        let store = store_with_presets();
+        inject_faults(&store, seed);
+        let results: Vec<_> = thread::scope(|scope| {
+            let threads = (0..OPERATORS).map(|operator| {
                 let store = &store;
-                scope.spawn(move || race(store, operator))
+                scope.spawn(move || activate_repeatedly(store, operator))
             });
-            let racers: Vec<_> = racers.collect();
-            let told = racers.into_iter().flat_map(|racer| racer.join().unwrap());
-            told.collect()
+            let threads: Vec<_> = threads.collect();
+            let results = threads
+                .into_iter()
+                .flat_map(|handle| handle.join().unwrap());
+            results.collect()
         });
-        check_history(&store, &told, seed);
+        check_history(&store, &results, seed);
     }
 }
 
-fn check_history(store: &MemoryStore, told: &[(ActivationRequest, Told)], seed: u64) {
-    store.mend();
+fn check_history(store: &MemoryStore, results: &[(ActivationRequest, ReportedResult)], seed: u64) {
+    store.clear_faults();
     // Late writes land within the next two calls.
     for _ in 0..3 {
         wait(activation_history(store, 256)).unwrap();
@@ -88,12 +95,12 @@
         history.len(),
         "seed {seed}: an operation stands twice"
     );
-    for (request, told) in told {
+    for (request, result) in results {
         let found = by_operation.get(&request.stamp.operation).copied();
-        match told {
-            Told::Won(version) => assert_eq!(found, Some(*version), "seed {seed}"),
-            Told::NotActivated => assert_eq!(found, None, "seed {seed}"),
-            Told::Unknown => {}
+        match result {
+            ReportedResult::Won(version) => assert_eq!(found, Some(*version), "seed {seed}"),
+            ReportedResult::NotActivated => assert_eq!(found, None, "seed {seed}"),
+            ReportedResult::Unknown => {}
         }
     }
 }
--- a/crates/ctl/tests/all/documents.rs
+++ b/crates/ctl/tests/all/documents.rs
@@ -25,7 +25,7 @@
 fn bad_documents_are_told_with_code_and_place() {
     let good = serde_json::to_string(&document(1.0)).unwrap();
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let mut told = String::new();
+    let mut messages = String::new();
     for (name, from, to) in BAD {
         let text = match name {
             "cut-short" => good[..good.find(from).unwrap()].to_owned(),
@@ -37,9 +37,9 @@
         let error = PresetDocument::from_file(&path).unwrap_err();
         let message = OutputFormat::Text.error(&error);
         let message = message.replace(&format!("{}/", directory.display()), "");
-        writeln!(told, "{message} [exit {}]", exit_status(error.code())).unwrap();
+        writeln!(messages, "{message} [exit {}]", exit_status(error.code())).unwrap();
     }
-    insta::assert_snapshot!(told);
+    insta::assert_snapshot!(messages);
 }
 
 #[test]
--- a/crates/ctl/tests/all/explain.rs
+++ b/crates/ctl/tests/all/explain.rs
@@ -1,6 +1,6 @@
 //! A request's story out of the nodes' logs.
 
-use geranium_ctl::LogScan;
+use geranium_ctl::LogScanner;
 
 /// Lines of two nodes, as a collector mixes them: out of order, with a prefix,
 /// with lines about others and one that is cut short.
@@ -14,22 +14,22 @@
  4.0 n2 {"msg":"log lines dropped","lines":3}
 "#;
 
-fn story(request: &str) -> geranium_ctl::RequestStory {
-    let mut scan = LogScan::new(request);
-    scan.read(LINES.as_bytes()).expect("bytes can be read");
-    scan.finish()
+fn timeline(request: &str) -> geranium_ctl::RequestTimeline {
+    let mut scanner = LogScanner::new(request);
+    scanner.read(LINES.as_bytes()).expect("bytes can be read");
+    scanner.finish()
 }
 
 /// Returns what was believed at the first decision about request `q`.
-fn first_belief(text: &str) -> Option<String> {
-    let mut scan = LogScan::new("q");
-    scan.read(text.as_bytes()).expect("bytes can be read");
-    scan.finish().events[0].belief.clone()
+fn first_member_report(text: &str) -> Option<String> {
+    let mut scanner = LogScanner::new("q");
+    scanner.read(text.as_bytes()).expect("bytes can be read");
+    scanner.finish().events[0].member_report.clone()
 }
 
 #[test]
 fn a_story_is_in_order_and_names_its_inputs() {
-    insta::assert_snapshot!(story("q7"), @r"
+    insta::assert_snapshot!(timeline("q7"), @r"
     request q7
     2026-06-01T10:00:03.100Z n1: the node at 10.1.0.5:7600 refused it for its backend server i-5: leaving (room expected in 50 ms); it did not run there
     2026-06-01T10:00:03.250Z n1: the try at 10.1.0.6:7600 (backend server i-6) broke after it was sent and may have run: connection closed
@@ -42,9 +42,9 @@
 fn what_was_believed_before_stands_beside_a_decision() {
     let text = r#"{"msg":"member announced","ts":"1","node":"n1","at":"a","service":"s","instance":"i","state":"ready","revision":4}
 {"msg":"door refused","ts":"2","node":"n1","request":"q","at":"a","instance":"i","reason":"full","retry_after_ms":9}"#;
-    let belief = first_belief(text);
+    let member_report = first_member_report(text);
     assert_eq!(
-        belief.as_deref(),
+        member_report.as_deref(),
         Some("1: member a (s, i) announced as ready at revision 4")
     );
 }
@@ -54,16 +54,16 @@
 fn a_belief_is_found_among_many_in_one_line() {
     let text = r#"{"msg":"members announced","ts":"1","node":"n1","count":2,"members":"a 4 ready s i; b 5 leaving t j"}
 {"msg":"door refused","ts":"2","node":"n1","request":"q","at":"b","instance":"j","reason":"leaving","retry_after_ms":9}"#;
-    let belief = first_belief(text);
+    let member_report = first_member_report(text);
     assert_eq!(
-        belief.as_deref(),
+        member_report.as_deref(),
         Some("1: member b (t, j) announced as leaving at revision 5")
     );
 }
 
 #[test]
 fn an_unknown_request_has_no_events_and_tells_of_missing_lines() {
-    let story = story("nobody");
-    assert!(story.events.is_empty());
-    assert_eq!((story.dropped_lines, story.unreadable_lines), (3, 1));
+    let timeline = timeline("nobody");
+    assert!(timeline.events.is_empty());
+    assert_eq!((timeline.dropped_lines, timeline.unreadable_lines), (3, 1));
 }
--- a/crates/ctl/tests/all/fleet.rs
+++ b/crates/ctl/tests/all/fleet.rs
@@ -9,19 +9,19 @@
 use geranium_ctl::{Command, CtlError, OutputFormat, RetrySchedule, Session, run};
 use serde_json::{Value, json};
 
-use crate::support::{MemoryStore, codec, prepared, put_in_force, wait};
+use crate::support::{MemoryStore, codec, put_in_force, store_with_presets, wait};
 
 /// Starts a node's pages on an address of its own and a port that all share.
-fn start_pages(ip: [u8; 4], port: u16, status: Value, members: Value) {
+fn serve_pages(ip: [u8; 4], port: u16, status: Value, members: Value) {
     let listener = TcpListener::bind(SocketAddr::from((ip, port))).unwrap();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            answer(&mut stream.unwrap(), &status, &members);
+            respond(&mut stream.unwrap(), &status, &members);
         }
     });
 }
 
-fn answer(stream: &mut TcpStream, status: &Value, members: &Value) {
+fn respond(stream: &mut TcpStream, status: &Value, members: &Value) {
     let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
     let first = lines.next().unwrap().unwrap();
     while lines.next().is_some_and(|line| !line.unwrap().is_empty()) {}
@@ -63,7 +63,7 @@
     drop(free);
     let members: Value = ips.iter().map(|ip| member(*ip)).collect();
     for (ip, version) in ips.iter().zip(versions) {
-        start_pages(*ip, port, status(*ip, *version), members.clone());
+        serve_pages(*ip, port, status(*ip, *version), members.clone());
     }
     (port, SocketAddr::from((ips[0], port)))
 }
@@ -79,7 +79,7 @@
     }
 }
 
-fn ask(session: &Session<MemoryStore>) -> Result<Value, CtlError> {
+fn fetch_status(session: &Session<MemoryStore>) -> Result<Value, CtlError> {
     let text = wait(run(session, &Command::Status, OutputFormat::Json))?;
     Ok(serde_json::from_str(&text).unwrap())
 }
@@ -89,15 +89,15 @@
 #[test]
 fn status_names_lagging_and_silent_nodes() {
     let (port, node) = start(1, &[2, 1, 2]);
-    let store = prepared();
+    let store = store_with_presets();
     put_in_force(&store, "peak").unwrap();
-    let told = ask(&session(None, port, node)).unwrap();
+    let report = fetch_status(&session(None, port, node)).unwrap();
     assert_eq!(
-        (&told["version"], &told["nodes"], &told["following"]),
+        (&report["version"], &report["nodes"], &report["following"]),
         (&json!(2), &json!(3), &json!(2))
     );
-    assert_eq!(told["lagging"][0]["instance"], "till-2");
-    assert_eq!(told["silent"].as_array().unwrap().len(), 1);
+    assert_eq!(report["lagging"][0]["instance"], "till-2");
+    assert_eq!(report["silent"].as_array().unwrap().len(), 1);
 }
 
 /// The store is away, or what was read of it is old. The nodes' newest version
@@ -105,10 +105,10 @@
 #[test]
 fn status_goes_by_the_nodes_when_the_store_is_behind_or_away() {
     let (port, node) = start(2, &[2, 1]);
-    for store in [Some(prepared()), None] {
+    for store in [Some(store_with_presets()), None] {
         let is_away = store.is_none();
-        let told = ask(&session(store, port, node)).unwrap();
-        assert_eq!(told["version"], json!(2));
-        assert_eq!(told["store"].is_string(), is_away);
+        let report = fetch_status(&session(store, port, node)).unwrap();
+        assert_eq!(report["version"], json!(2));
+        assert_eq!(report["store"].is_string(), is_away);
     }
 }
--- a/crates/ctl/tests/all/messages.rs
+++ b/crates/ctl/tests/all/messages.rs
@@ -9,11 +9,11 @@
 use geranium_node::{config::ConfigVersion, result_code::ResultCode, store::StoreError};
 use strum::VariantArray;
 
-use crate::support::{MemoryStore, codec, name, prepared, wait};
+use crate::support::{MemoryStore, codec, name, store_with_presets, wait};
 
 fn session() -> Session<MemoryStore> {
     Session {
-        store: Some(prepared()),
+        store: Some(store_with_presets()),
         codec: codec(),
         operator: Some("anna".to_owned()),
         nodes: Vec::new(),
@@ -23,7 +23,7 @@
 }
 
 /// Hides what differs from run to run.
-fn stable(text: &str) -> String {
+fn redact(text: &str) -> String {
     let words = text.split_inclusive([' ', '\n', ',', '"']).map(|word| {
         let bare = word.trim_end_matches([' ', '\n', ',', '"', ')']);
         let is_hex = bare.len() == 32 && bare.chars().all(|c| c.is_ascii_hexdigit());
@@ -60,11 +60,11 @@
         },
     ];
     let reports =
-        commands.map(|command| stable(&wait(run(&session, &command, OutputFormat::Text)).unwrap()));
+        commands.map(|command| redact(&wait(run(&session, &command, OutputFormat::Text)).unwrap()));
     insta::assert_snapshot!(reports.join("--\n"));
     let last = Command::History { last: 1 };
     let json = wait(run(&session, &last, OutputFormat::Json)).unwrap();
-    insta::assert_snapshot!(stable(&json));
+    insta::assert_snapshot!(redact(&json));
 }
 
 #[test]
--- a/crates/ctl/tests/all/store_copies.rs
+++ b/crates/ctl/tests/all/store_copies.rs
@@ -3,16 +3,16 @@
 use geranium_ctl::activation_history;
 use geranium_node::store::StoreEra;
 
-use crate::support::{prepared, put_in_force, version, wait};
+use crate::support::{put_in_force, store_with_presets, version, wait};
 
 /// Guards against a version that nodes don't take, as they hold one that the store has lost.
 #[test]
 fn the_next_version_is_above_those_that_were_lost() {
-    let store = prepared();
+    let store = store_with_presets();
     put_in_force(&store, "peak").unwrap();
     let copy = store.copy();
     let lost = put_in_force(&store, "ordinary-day").unwrap().record;
-    store.come_back_from(copy);
+    store.restore_from(copy);
     assert!(version(&store) < lost.version);
     let next = put_in_force(&store, "ordinary-day").unwrap().record;
     assert!(next.version > lost.version, "{next:?} after {lost:?}");
--- a/crates/ctl/tests/all/support/memory_store.rs
+++ b/crates/ctl/tests/all/support/memory_store.rs
@@ -21,7 +21,7 @@
     /// It is lost on its way.
     LoseRequest,
     /// It gets no answer, and is done two calls later if its condition holds.
-    LandLate,
+    ApplyLate,
 }
 
 /// A store in memory.
@@ -30,7 +30,7 @@
 
 /// A copy of what a store in memory holds.
 #[derive(Debug)]
-pub struct MemoryCopy {
+pub struct MemorySnapshot {
     items: BTreeMap<String, (Revision, Vec<u8>)>,
     revision: u64,
 }
@@ -43,7 +43,7 @@
     calls: u64,
     faults: BTreeMap<u64, CallFault>,
     down_from: Option<u64>,
-    late: Vec<(u64, Vec<OwnedWrite>)>,
+    delayed_writes: Vec<(u64, Vec<OwnedWrite>)>,
 }
 
 #[derive(Debug, Clone)]
@@ -67,27 +67,27 @@
     }
 
     /// Is away from the `nth` call from now on.
-    pub fn go_down_after(&self, nth: u64) {
+    pub fn fail_from(&self, nth: u64) {
         let mut state = self.state();
         state.down_from = Some(state.calls + nth);
     }
 
     /// Is back.
-    pub fn come_up(&self) {
+    pub fn recover(&self) {
         self.state().down_from = None;
     }
 
     /// Copies what it holds.
-    pub fn copy(&self) -> MemoryCopy {
+    pub fn copy(&self) -> MemorySnapshot {
         let state = self.state();
-        MemoryCopy {
+        MemorySnapshot {
             items: state.items.clone(),
             revision: state.revision,
         }
     }
 
     /// Comes back from a copy, in a new era.
-    pub fn come_back_from(&self, copy: MemoryCopy) {
+    pub fn restore_from(&self, copy: MemorySnapshot) {
         let mut state = self.state();
         state.era = StoreEra(state.era.0 + 1);
         let (era, items) = (state.era, copy.items.into_iter());
@@ -99,7 +99,7 @@
     }
 
     /// Forgets the faults that didn't come to pass.
-    pub fn mend(&self) {
+    pub fn clear_faults(&self) {
         self.state().faults.clear();
     }
 
@@ -110,11 +110,14 @@
 
 impl MemoryState {
     /// Counts a call and returns the fault that it meets.
-    fn begin(&mut self) -> Result<Option<CallFault>, StoreError> {
+    fn start_call(&mut self) -> Result<Option<CallFault>, StoreError> {
         let call = self.calls;
         self.calls += 1;
-        let (due, late) = self.late.drain(..).partition(|(at, _)| *at <= call);
-        self.late = late;
+        let (due, delayed_writes) = self
+            .delayed_writes
+            .drain(..)
+            .partition(|(at, _)| *at <= call);
+        self.delayed_writes = delayed_writes;
         let due: Vec<(u64, Vec<OwnedWrite>)> = due;
         for (_, writes) in due {
             let _refused = self.apply(&writes);
@@ -169,9 +172,13 @@
 }
 
 impl MetaStore for MemoryStore {
-    async fn read(&self, key: &str, _age: ReadConsistency) -> Result<StoreRead, StoreError> {
+    async fn read(
+        &self,
+        key: &str,
+        _consistency: ReadConsistency,
+    ) -> Result<StoreRead, StoreError> {
         let mut state = self.state();
-        if state.begin()?.is_some() {
+        if state.start_call()?.is_some() {
             return Err(lost());
         }
         Ok(StoreRead {
@@ -180,9 +187,13 @@
         })
     }
 
-    async fn list(&self, prefix: &str, _age: ReadConsistency) -> Result<StoreList, StoreError> {
+    async fn list(
+        &self,
+        prefix: &str,
+        _consistency: ReadConsistency,
+    ) -> Result<StoreList, StoreError> {
         let mut state = self.state();
-        if state.begin()?.is_some() {
+        if state.start_call()?.is_some() {
             return Err(lost());
         }
         let keys = state.items.keys().filter(|key| key.starts_with(prefix));
@@ -212,16 +223,16 @@
         });
         let writes: Vec<OwnedWrite> = writes.collect();
         let mut state = self.state();
-        match state.begin()? {
+        match state.start_call()? {
             None | Some(CallFault::Refuse) => state.apply(&writes),
             Some(CallFault::LoseAnswer) => {
                 let _answer = state.apply(&writes);
                 Err(lost())
             }
             Some(CallFault::LoseRequest) => Err(lost()),
-            Some(CallFault::LandLate) => {
+            Some(CallFault::ApplyLate) => {
                 let at = state.calls + 1;
-                state.late.push((at, writes));
+                state.delayed_writes.push((at, writes));
                 Err(lost())
             }
         }
--- a/crates/ctl/tests/all/support/mod.rs
+++ b/crates/ctl/tests/all/support/mod.rs
@@ -14,7 +14,7 @@
 
 pub use memory_store::{CallFault, MemoryStore};
 
-pub const PATIENCE: u32 = 3;
+pub const WRITE_TRIES: u32 = 3;
 pub const CONFIG_KEY: &str = "config";
 
 /// Writes configurations as the product's own JSON.
@@ -57,7 +57,7 @@
 }
 
 pub fn put(store: &MemoryStore, preset: &str, timeout_s: f64) -> Result<PresetRecord, CtlError> {
-    let catalogue = PresetCatalogue::new(store, RetrySchedule::without_pause(PATIENCE));
+    let catalogue = PresetCatalogue::new(store, RetrySchedule::without_pause(WRITE_TRIES));
     let stamp = WriteStamp::now("anna");
     wait(catalogue.put(&name(preset), document(timeout_s), stamp))
 }
@@ -76,12 +76,12 @@
         store,
         codec(),
         &request,
-        RetrySchedule::without_pause(PATIENCE),
+        RetrySchedule::without_pause(WRITE_TRIES),
     ))
 }
 
 /// A store with `ordinary-day` in force as version 1, and `peak` beside it.
-pub fn prepared() -> MemoryStore {
+pub fn store_with_presets() -> MemoryStore {
     let store = MemoryStore::default();
     put(&store, "ordinary-day", 1.0).unwrap();
     put(&store, "peak", 2.0).unwrap();
@@ -90,11 +90,11 @@
 }
 
 /// The configuration in force.
-pub fn in_force(store: &MemoryStore) -> ConfigInput {
+pub fn active_config(store: &MemoryStore) -> ConfigInput {
     let read = wait(store.read(CONFIG_KEY, ReadConsistency::Linearizable)).unwrap();
     (codec().source.parse)(&read.item.unwrap().value).unwrap()
 }
 
 pub fn version(store: &MemoryStore) -> ConfigVersion {
-    in_force(store).version
+    active_config(store).version
 }
