--- a/crates/ctl/src/commands/activate_command.rs
+++ b/crates/ctl/src/commands/activate_command.rs
@@ -1,4 +1,4 @@
-//! `activate`.
+//! The command `activate`.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use crate::{ActivationRecord, ActivationRequest, CtlError, PresetName, Session, activate};
 
-/// What `activate` prints.
+/// Output of `activate`.
 #[derive(Debug, Serialize)]
 pub struct ActivateReport {
     activated: ActivationRecord,
@@ -43,7 +43,7 @@
         if !self.answered {
             writeln!(
                 f,
-                "the store's answer was lost; the own record was recognised"
+                "the store's response was lost, but the history holds this activation"
             )?;
         }
         Ok(())
--- a/crates/ctl/src/commands/explain_command.rs
+++ b/crates/ctl/src/commands/explain_command.rs
@@ -1,4 +1,4 @@
-//! `explain`.
+//! The command `explain`.
 
 use std::{
     fs::File,
@@ -14,10 +14,12 @@
     explain::{LogScanner, RequestTimeline},
 };
 
-/// Stands for standard input.
+/// File name that means standard input.
 const STDIN: &str = "-";
 
-/// Tells what became of a request, out of log files.
+/// Returns the timeline of a request from log files, or from standard input without any.
+///
+/// Fails if no line names the request.
 pub fn explain(request: &str, files: &[PathBuf]) -> Result<RequestTimeline, CtlError> {
     let mut scanner = LogScanner::new(request);
     if files.is_empty() {
--- a/crates/ctl/src/commands/history_command.rs
+++ b/crates/ctl/src/commands/history_command.rs
@@ -1,4 +1,4 @@
-//! `history`.
+//! The command `history`.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use crate::{ActivationRecord, CtlError, Session, activation_history};
 
-/// What `history` prints.
+/// Output of `history`.
 #[derive(Debug, Serialize)]
 pub struct HistoryReport {
     activations: Vec<ActivationRecord>,
@@ -25,7 +25,7 @@
 impl fmt::Display for HistoryReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.activations.is_empty() {
-            return writeln!(f, "nothing was activated yet");
+            return writeln!(f, "no preset has been activated yet");
         }
         let mut records = self.activations.iter();
         records.try_for_each(|record| writeln!(f, "{record}"))
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Execution of the client's commands.
 
 mod activate_command;
 mod explain_command;
@@ -10,11 +10,11 @@
 
 use crate::{Command, CtlError, OutputFormat, Session};
 
-/// Executes a command and returns what to print.
+/// Executes a command and returns the text to print.
 ///
 /// # Errors
 ///
-/// Whatever the command met, with its numbered code.
+/// Returns the command's error; it has a numbered result code.
 pub async fn run(
     session: &Session<impl MetaStore>,
     command: &Command,
--- a/crates/ctl/src/commands/preset_commands.rs
+++ b/crates/ctl/src/commands/preset_commands.rs
@@ -1,4 +1,4 @@
-//! `check`, `put`, `list`, `show` and `diff`.
+//! The commands `check`, `put`, `list`, `show` and `diff`.
 
 use std::{fmt, path::Path};
 
@@ -10,25 +10,25 @@
     Session,
 };
 
-/// What `check` prints.
+/// Output of `check`.
 #[derive(Debug, Serialize)]
 pub struct CheckReport {
     services: usize,
     routes: usize,
 }
 
-/// What `put` prints.
+/// Output of `put`.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 pub struct PutReport(PresetRecord);
 
-/// What `list` prints.
+/// Output of `list`.
 #[derive(Debug, Serialize)]
 pub struct ListReport {
     presets: Vec<PresetRecord>,
 }
 
-/// What `show` prints.
+/// Output of `show`.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 pub struct ShowReport(PresetRecord);
@@ -93,7 +93,7 @@
 impl fmt::Display for CheckReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { services, routes } = self;
-        writeln!(f, "good: {services} services, {routes} routes")
+        writeln!(f, "valid: {services} services, {routes} routes")
     }
 }
 
--- a/crates/ctl/src/commands/status_command.rs
+++ b/crates/ctl/src/commands/status_command.rs
@@ -1,4 +1,4 @@
-//! `status`.
+//! The command `status`.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -15,20 +15,21 @@
     fleet,
 };
 
-/// What the store says of the fleet.
+/// Version in force and addresses of the nodes, from the store or from a node.
 struct StoreView {
     version: ConfigVersion,
     peer_addrs: Vec<SocketAddr>,
 }
 
-/// Asks every node that the store names. While the store is away, the nodes
-/// that were given on the command line name the others.
+/// Reads the status of every node that is announced in the store.
+///
+/// If the store can't be read, the nodes given on the command line name the others.
 pub async fn status(session: &Session<impl MetaStore>) -> Result<FleetStatus, CtlError> {
-    let store_view = read_store(session).await;
-    if let (Err(_), true) = (&store_view, session.nodes.is_empty()) {
-        return Err(store_view.err().unwrap_or(CtlError::NoStore));
+    let store_result = read_store(session).await;
+    if let (Err(_), true) = (&store_result, session.nodes.is_empty()) {
+        return Err(store_result.err().unwrap_or(CtlError::NoStore));
     }
-    let (view, store) = match store_view {
+    let (view, store) = match store_result {
         Ok(view) => (view, None),
         Err(error) => (read_members_from_nodes(session)?, Some(error.to_string())),
     };
@@ -38,6 +39,7 @@
     Ok(FleetStatus::new(fleet::survey(pages), view.version, store))
 }
 
+/// Reads the version in force and the announced nodes from the store.
 async fn read_store(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
     let store = session.store()?;
     let source = session.codec.source;
@@ -64,6 +66,9 @@
     })
 }
 
+/// Reads the known members from the first node of the command line that answers.
+///
+/// Returns the last node's error if none answers.
 fn read_members_from_nodes(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
     let mut failure = CtlError::NoStore;
     for &addr in &session.nodes {
--- a/crates/ctl/src/ctl_error.rs
+++ b/crates/ctl/src/ctl_error.rs
@@ -1,4 +1,4 @@
-//! Failures of operators' commands.
+//! Errors of the operators' commands.
 
 use std::{io, net::SocketAddr, path::PathBuf};
 
@@ -11,72 +11,74 @@
 
 use crate::{ActivationRecord, PresetName, PresetRecord};
 
-/// A command that failed; the message tells the operator what holds now.
+/// Error of a command; its message says whether anything was changed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CtlError {
     /// A file can't be read.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file isn't a document of the expected shape.
+    /// A file can't be parsed as a preset document.
     #[snafu(display("{}, line {line}, field {field}: {reason}", path.display()))]
     BadFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// Line at which the parser stopped.
         line: usize,
-        /// Field at which it stopped.
+        /// Field at which the parser stopped.
         field: String,
-        /// What it met.
+        /// Description of the parser's error.
         reason: String,
     },
-    /// A document fails a check.
+    /// A document in a file or in the store fails a check.
     #[snafu(display("{origin}: {source}"))]
     BadDocument {
-        /// File or preset.
+        /// File, preset or key that holds the document.
         origin: String,
-        /// The failed check.
+        /// Check that failed.
         source: ConfigError,
     },
-    /// No preset has the name.
+    /// No preset has the given name.
     #[snafu(display("no preset is named `{preset}`"))]
     UnknownPreset {
-        /// The name.
+        /// Name that was given.
         preset: PresetName,
     },
-    /// A record in the store can't be read.
-    #[snafu(display("the record `{key}` can't be read: {reason}"))]
+    /// A record in the store can't be parsed.
+    #[snafu(display("the record `{key}` can't be parsed: {reason}"))]
     BadRecord {
         /// Key of the record.
         key: String,
-        /// What the parser found.
+        /// Description of the parser's error in the record.
         reason: String,
     },
-    /// No line names the request.
-    #[snafu(display("no line names request `{request}`: plain successes in time are not logged"))]
+    /// No log line names the request.
+    #[snafu(display(
+        "no line names request `{request}`; requests answered in time at the first try are not logged"
+    ))]
     UnknownRequest {
         /// Identifier of the request.
         request: String,
     },
-    /// No line names the request, and lines are missing.
+    /// No log line names the request, and lines are missing from the logs.
     #[snafu(display(
         "no line names request `{request}`, and {lines} lines were dropped or withheld"
     ))]
     LogIncomplete {
         /// Identifier of the request.
         request: String,
-        /// Lines that are missing.
+        /// Number of missing lines.
         lines: u64,
     },
     /// The store failed, and nothing was written.
     #[snafu(display("{source}; nothing was changed"))]
     Store {
-        /// The failure.
+        /// Error of the store.
         source: StoreError,
     },
     /// Another activation came first, or another version is in force.
@@ -84,44 +86,44 @@
     LostActivation {
         /// Version in force.
         in_force: ConfigVersion,
-        /// Its activation, if it was made by this client.
+        /// Activation of that version, if the history has its record.
         last: Option<Box<ActivationRecord>>,
     },
-    /// Another operator changed the preset first.
-    #[snafu(display("not stored: the preset was stored by {} meanwhile", current.stamp.operator))]
+    /// Another operator stored the preset between this command's read and write.
+    #[snafu(display("not stored: {} stored the preset in the meantime", current.stamp.operator))]
     LostPut {
-        /// What the name stands for now.
+        /// Record that the store has now.
         current: Box<PresetRecord>,
     },
-    /// Whether a write took effect isn't known.
+    /// It isn't known whether a write took effect.
     #[snafu(display(
-        "whether operation {operation} took effect isn't known ({source}); \
-         `history` and `show` tell"
+        "it isn't known whether operation {operation} took effect ({source}); \
+         look for it with `history` or `show`"
     ))]
     WriteUnknown {
-        /// The operation.
+        /// Identifier of the write, as in its stamp.
         operation: String,
-        /// The last failure.
+        /// Last error of the store.
         source: StoreError,
     },
-    /// A node's page can't be read.
+    /// The member page of a node can't be read.
     #[snafu(display("the page of the node at {addr} can't be read: {source}"))]
     NodePage {
         /// Address of the page.
         addr: SocketAddr,
-        /// What the connection ended with.
+        /// Error that the request for the page ended with.
         source: attohttpc::Error,
     },
-    /// The command needs the store.
+    /// The command needs the store, and its address wasn't given.
     #[snafu(display("the store's address is needed: --store or GERANIUM_STORE"))]
     NoStore,
-    /// The command writes, and nobody is named for it.
+    /// The command writes, and no operator's name was given.
     #[snafu(display("the operator's name is needed: --operator or GERANIUM_OPERATOR"))]
     NoOperator,
 }
 
 impl CtlError {
-    /// Returns the numbered code, from which the exit status is derived.
+    /// Returns the numbered result code, from which the exit status is derived.
     pub const fn code(&self) -> ResultCode {
         match self {
             Self::File { .. } => ResultCode::FileUnreadable,
@@ -143,6 +145,7 @@
     }
 }
 
+/// Returns the activation in parentheses after a space, or nothing without one.
 fn by_activation(last: Option<&ActivationRecord>) -> String {
     last.map_or_else(String::new, |record| format!(" ({record})"))
 }
--- a/crates/ctl/src/exit_status.rs
+++ b/crates/ctl/src/exit_status.rs
@@ -2,9 +2,9 @@
 
 use geranium_node::result_code::ResultCode;
 
-/// Derives the exit status from a result code: its first and last digit.
+/// Returns the exit status of a result code, made of its first and last digit.
 ///
-/// Usage errors of the command line itself end with 2.
+/// A bad command line ends with 2, which no result code has.
 ///
 /// # Examples
 ///
--- a/crates/ctl/src/explain/log_scanner.rs
+++ b/crates/ctl/src/explain/log_scanner.rs
@@ -1,4 +1,4 @@
-//! Reading of log lines.
+//! Search of nodes' logs for the lines about one request.
 
 use std::{
     collections::HashMap,
@@ -9,23 +9,23 @@
 
 use super::{RequestTimeline, TimelineEvent};
 
-/// Messages about what a node believes of a member, which may explain a
-/// decision that names the member.
+/// Messages about a member's announcement, which may explain why a node sent a request there.
 const MEMBER_MESSAGES: [&str; 3] = ["member announced", "announcement missing", "member gone"];
 
-/// Collects what logs tell about one request.
+/// Collects the log events of one request from the logs of any number of nodes.
 #[derive(Debug)]
 pub struct LogScanner {
     request: String,
     events: Vec<TimelineEvent>,
-    /// Last line about each member, by the node that wrote it.
+    /// Last announcement event of each member, by the node that logged it and the member's
+    /// address.
     member_events: HashMap<(String, String), TimelineEvent>,
     dropped: u64,
     unreadable: u64,
 }
 
 impl LogScanner {
-    /// Makes a scan for the request with this identifier.
+    /// Creates a scanner for the request with this identifier.
     pub fn new(request: impl Into<String>) -> Self {
         Self {
             request: request.into(),
@@ -36,12 +36,13 @@
         }
     }
 
-    /// Reads lines to the end. What stands before the first brace of a line,
-    /// as log collectors put it, is passed over.
+    /// Reads log lines up to the end of the input.
+    ///
+    /// Text before the first brace of a line, such as a log collector's prefix, is skipped.
     ///
     /// # Errors
     ///
-    /// When the input can't be read.
+    /// Returns an error if the input can't be read.
     pub fn read(&mut self, lines: impl BufRead) -> Result<()> {
         for line in lines.lines() {
             self.scan_line(&line?);
@@ -49,7 +50,7 @@
         Ok(())
     }
 
-    /// Puts what was found in order.
+    /// Returns the events that were found, in order of their time.
     pub fn finish(mut self) -> RequestTimeline {
         self.events.sort_by(|a, b| a.time.cmp(&b.time));
         RequestTimeline {
@@ -60,6 +61,7 @@
         }
     }
 
+    /// Keeps the line's event if it is about the request or about a member's announcement.
     fn scan_line(&mut self, line: &str) {
         let Some(start) = line.find('{') else {
             return;
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Takes in a line that tells of many announcements.
+    /// Splits a line about many announcements into one event for each member.
     fn scan_members_line(&mut self, line: &Map<String, Value>) {
         let text = |name: &str| line.get(name).and_then(Value::as_str).unwrap_or_default();
         for row in text("members").split("; ") {
--- a/crates/ctl/src/explain/mod.rs
+++ b/crates/ctl/src/explain/mod.rs
@@ -1,8 +1,8 @@
-//! What became of a request, out of the nodes' logs.
+//! Timeline of a request, from the nodes' logs.
 //!
-//! [`LogScanner`] reads log lines of any number of nodes and keeps those that
-//! concern one request; [`RequestTimeline`] puts them in order and says in words
-//! what was decided, and by what.
+//! [`LogScanner`] reads log lines of any number of nodes and keeps those about one
+//! request. [`RequestTimeline`] holds them in order and describes in sentences what each node
+//! decided, with the values behind the decision.
 
 mod log_scanner;
 mod request_timeline;
--- a/crates/ctl/src/explain/request_timeline.rs
+++ b/crates/ctl/src/explain/request_timeline.rs
@@ -1,4 +1,4 @@
-//! What became of a request.
+//! Timeline of a request across nodes.
 
 use std::fmt;
 
@@ -6,16 +6,16 @@
 
 use super::TimelineEvent;
 
-/// What became of a request, in order, over all nodes.
+/// Logged decisions about one request, over all nodes.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RequestTimeline {
     /// Identifier of the request.
     pub request: String,
-    /// Decisions in order.
+    /// Decisions, in order of their time.
     pub events: Vec<TimelineEvent>,
-    /// Lines that the nodes dropped or withheld under load.
+    /// Number of lines that the nodes dropped or withheld under load.
     pub dropped_lines: u64,
-    /// Lines that aren't of the expected shape.
+    /// Number of lines that couldn't be parsed.
     pub unreadable_lines: u64,
 }
 
@@ -25,7 +25,10 @@
         for event in &self.events {
             writeln!(f, "{} {}: {}", event.time, event.node, event.text)?;
             if let Some(member_report) = &event.member_report {
-                writeln!(f, "    last heard there, {member_report}")?;
+                writeln!(
+                    f,
+                    "    last report of the member at that node, {member_report}"
+                )?;
             }
         }
         if self.dropped_lines > 0 {
--- a/crates/ctl/src/explain/timeline_event.rs
+++ b/crates/ctl/src/explain/timeline_event.rs
@@ -1,25 +1,28 @@
-//! One decision about a request.
+//! Events of a request's timeline.
 
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// One decision about a request, as a node logged it.
+/// Decision about a request, as a node logged it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TimelineEvent {
-    /// Time of day at the node.
+    /// Time at the node, as the log line gives it.
     pub time: String,
-    /// Node that decided.
+    /// Name of the node that decided.
     pub node: String,
-    /// What the node logged.
+    /// Message of the log line.
     pub message: String,
-    /// The decision in words, with its inputs.
+    /// Description of the decision, with the values behind it.
     pub text: String,
-    /// What the node last heard of the member that the decision names.
+    /// Time and text of the node's last event about the member that the decision names.
+    ///
+    /// None if its log has no earlier event about that member.
     #[serde(rename = "belief")]
     pub member_report: Option<String>,
 }
 
 impl TimelineEvent {
+    /// Creates the event of a log line with this message and these fields.
     pub(super) fn new(message: String, fields: &Map<String, Value>) -> Self {
         let text = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or_default();
         Self {
@@ -31,12 +34,14 @@
         }
     }
 
+    /// Adds the node's last event about the member that the decision names.
     pub(super) fn with_member_event(mut self, last_event: Option<Self>) -> Self {
         self.member_report = last_event.map(|event| format!("{}: {}", event.time, event.text));
         self
     }
 }
 
+/// Describes a log event in a sentence; fields that are missing show as `-`.
 fn describe(message: &str, fields: &Map<String, Value>) -> String {
     let show = |name: &str| match fields.get(name) {
         Some(Value::String(text)) => text.clone(),
@@ -45,7 +50,7 @@
     };
     match message {
         "door refused" => format!(
-            "the node at {} refused it for its backend server {}: {} (room expected in {} ms); it did not run there",
+            "the node at {} refused it for its backend server {}: {} (capacity expected in {} ms); it did not run there",
             show("at"),
             show("instance"),
             show("reason"),
@@ -57,13 +62,13 @@
             show("cause")
         ),
         "try broke" => format!(
-            "the try at {} (backend server {}) broke after it was sent and may have run: {}",
+            "the connection of the try at {} (backend server {}) broke after the request was sent, so it may have run: {}",
             show("at"),
             show("instance"),
             show("cause")
         ),
         "member silent" => format!(
-            "the member at {} (backend server {}) showed no sign of life for {} ms; the try may run",
+            "the member at {} (backend server {}) sent nothing for {} ms; the try may still be running",
             show("at"),
             show("instance"),
             show("patience_ms")
@@ -78,7 +83,7 @@
             show("target_ms")
         ),
         "request given up" => format!(
-            "given up with {} ({} {}) after {} ms and {} tries on service {} by configuration {}; cause {}; come back in {} ms",
+            "failed with {} ({} {}) after {} ms and {} tries on service {} under configuration {}; cause {}; retry after {} ms",
             show("status"),
             show("code"),
             show("reason"),
@@ -90,19 +95,19 @@
             show("retry_after_ms")
         ),
         "request rejected" => format!(
-            "rejected with {} ({} {}) by configuration {}",
+            "rejected with {} ({} {}) under configuration {}",
             show("status"),
             show("code"),
             show("reason"),
             show("version")
         ),
         "caller left" => format!(
-            "the caller left after {} ms and {} tries; the run, if any, was cancelled",
+            "the caller closed its request after {} ms and {} tries; the run, if any, was cancelled",
             show("took_ms"),
             show("tries")
         ),
         "long answer ended" => format!(
-            "the door's long answer ended {}: {} bytes sent of {}, {} expected; made after {} ms, put off after {} ms, last sent after {} ms of {} ms until its target",
+            "the inbound proxy's long response ended {}: {} bytes sent of {}, {} expected; ready after {} ms, postponed after {} ms, last sent after {} ms; target {} ms",
             show("end"),
             show("sent"),
             show("bytes"),
@@ -121,7 +126,7 @@
             show("revision")
         ),
         "announcement missing" => format!("the announcement of {} is missing", show("at")),
-        "member gone" => format!("member {} dropped: {}", show("at"), show("cause")),
+        "member gone" => format!("member {} removed: {}", show("at"), show("cause")),
         other => format!("{other}: {}", Value::Object(fields.clone())),
     }
 }
--- a/crates/ctl/src/fleet/fleet_status.rs
+++ b/crates/ctl/src/fleet/fleet_status.rs
@@ -1,4 +1,4 @@
-//! How far the fleet follows.
+//! Configuration versions that the fleet's nodes use.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -7,75 +7,76 @@
 
 use super::{FleetSurvey, SilentNode};
 
-/// How far the fleet follows the version in force.
+/// How many nodes use the version in force, and which don't.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct FleetStatus {
-    /// Version in force, as the store says or, when newer, the nodes.
+    /// Version in force: the store's, or the nodes' newest if that is higher.
     pub version: ConfigVersion,
-    /// Why the store could not be asked.
+    /// Why the store couldn't be read; none if it was read.
     pub store: Option<String>,
-    /// Nodes that answered.
+    /// Number of nodes that answered.
     pub nodes: usize,
-    /// Those of them that follow it.
+    /// Number of these nodes that use the version in force.
     pub following: usize,
-    /// Nodes by the version that they follow, newest first.
+    /// Number of nodes that use each version, newest version first.
     pub versions: Vec<VersionShare>,
-    /// Nodes that follow an older version.
+    /// Nodes that use an older version.
     pub lagging: Vec<LaggingNode>,
-    /// Nodes that take no callers.
+    /// Instances of the nodes that don't accept callers' requests.
     pub unready: Vec<String>,
     /// Nodes that didn't answer.
     pub silent: Vec<SilentNode>,
 }
 
-/// Nodes that follow one version.
+/// Number of nodes that use one version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct VersionShare {
-    /// The version; 0 for none yet.
+    /// Version that the nodes use; 0 for nodes without a configuration.
     pub version: u64,
-    /// How many.
+    /// Number of nodes.
     pub nodes: usize,
 }
 
-/// A node that follows an older version.
+/// Node that uses an older version than the one in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LaggingNode {
-    /// Instance.
+    /// Instance on which the node runs.
     pub instance: String,
-    /// Data centre.
+    /// Data centre of the instance.
     pub data_centre: String,
-    /// Version that it follows.
+    /// Version that the node uses; 0 if it has no configuration.
     pub version: u64,
-    /// Milliseconds since the store last answered it.
+    /// Milliseconds since the store last answered the node.
     pub store_age_ms: u64,
 }
 
 impl FleetStatus {
-    /// Holds what the nodes answered against the version in force.
+    /// Compares the nodes' versions with `version`, the one read from the store.
     ///
-    /// A node is never ahead of the store, so a newer version at a node shows
-    /// that what was read of the store is old, or that it is away.
+    /// A node never has a newer version than the store. A newer version at a node therefore
+    /// means that the read from the store was stale or that the store is unavailable, so the
+    /// nodes' newest version counts. `store` says why the store couldn't be read, if so.
     pub fn new(survey: FleetSurvey, version: ConfigVersion, store: Option<String>) -> Self {
-        let answers = &survey.answers;
-        let newest = answers.iter().map(|status| status.version).max();
+        let statuses = &survey.statuses;
+        let newest = statuses.iter().map(|status| status.version).max();
         let version = version.max(ConfigVersion(newest.unwrap_or(0)));
         let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
-        for status in answers {
+        for status in statuses {
             *counts.entry(status.version).or_default() += 1;
         }
-        let lagging = answers.iter().filter(|status| status.version < version.0);
+        let lagging = statuses.iter().filter(|status| status.version < version.0);
         let lagging = lagging.map(|status| LaggingNode {
             instance: status.instance.clone(),
             data_centre: status.data_centre.clone(),
             version: status.version,
             store_age_ms: status.store_age_ms,
         });
-        let unready = answers.iter().filter(|status| !status.ready);
+        let unready = statuses.iter().filter(|status| !status.ready);
         let share = |(&version, &nodes): (&u64, &usize)| VersionShare { version, nodes };
         Self {
             version,
             store,
-            nodes: answers.len(),
+            nodes: statuses.len(),
             following: counts.range(version.0..).map(|(_, nodes)| nodes).sum(),
             versions: counts.iter().rev().map(share).collect(),
             lagging: lagging.collect(),
@@ -89,7 +90,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "version {} in force", self.version)?;
         if let Some(reason) = &self.store {
-            writeln!(f, "by the nodes alone: {reason}")?;
+            writeln!(
+                f,
+                "from the nodes only, as the store couldn't be read: {reason}"
+            )?;
         }
         writeln!(f, "{} of {} nodes follow it", self.following, self.nodes)?;
         for share in &self.versions {
@@ -98,7 +102,7 @@
         for node in &self.lagging {
             writeln!(
                 f,
-                "lagging {} ({}): version {}, store heard {} ms ago",
+                "lagging {} ({}): version {}, last response from the store {} ms ago",
                 node.instance, node.data_centre, node.version, node.store_age_ms
             )?;
         }
@@ -106,7 +110,7 @@
             writeln!(f, "not ready {instance}")?;
         }
         for node in &self.silent {
-            writeln!(f, "silent {}: {}", node.addr, node.reason)?;
+            writeln!(f, "no answer from {}: {}", node.addr, node.reason)?;
         }
         Ok(())
     }
--- a/crates/ctl/src/fleet/fleet_survey.rs
+++ b/crates/ctl/src/fleet/fleet_survey.rs
@@ -1,4 +1,4 @@
-//! Asking every node of the fleet.
+//! Reading of the status pages of every node of the fleet.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Mutex, thread};
 
@@ -7,60 +7,61 @@
 
 use super::StatusClient;
 
-/// Nodes asked at the same time: an unreachable one takes 1.5 s, and a failed
-/// rack of 40 is through in two rounds.
+/// Largest number of nodes that are asked at the same time.
+///
+/// An unreachable node takes 1.5 s, so a failed rack of 40 nodes takes two rounds.
 const CONCURRENT_REQUESTS_MAX: usize = 32;
 
-/// What the nodes answered.
+/// Results of asking every node for its status.
 #[derive(Debug, Default)]
 pub struct FleetSurvey {
-    /// Nodes that answered, by instance.
-    pub answers: Vec<NodeStatus>,
-    /// Those that didn't.
+    /// Status of each node that answered, sorted by instance.
+    pub statuses: Vec<NodeStatus>,
+    /// Nodes that didn't answer.
     pub silent: Vec<SilentNode>,
 }
 
-/// A node that didn't answer.
+/// Node whose status couldn't be read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct SilentNode {
-    /// Address of its status page.
+    /// Address of the node's status page.
     pub addr: SocketAddr,
-    /// What was met.
+    /// Error that the request for the page ended with.
     pub reason: String,
 }
 
-/// Asks the nodes whose status pages are at `addrs`.
+/// Reads the status of the nodes whose status pages are at `addrs`.
 ///
 /// # Panics
 ///
-/// Panics when an asking thread did, which is a bug.
+/// Panics if a worker thread panicked, which is a bug.
 pub fn survey(addrs: impl IntoIterator<Item = SocketAddr>) -> FleetSurvey {
     let addrs: Vec<SocketAddr> = addrs.into_iter().collect();
     let workers = addrs.len().min(CONCURRENT_REQUESTS_MAX);
     let waiting = Mutex::new(addrs.into_iter());
-    let answers = Mutex::new(BTreeMap::new());
-    let next = || waiting.lock().expect("no asker panics").next();
+    let responses = Mutex::new(BTreeMap::new());
+    let next = || waiting.lock().expect("no worker thread panics").next();
     thread::scope(|scope| {
         for _ in 0..workers {
             scope.spawn(|| {
                 while let Some(addr) = next() {
-                    let answer = StatusClient::new(addr).status();
-                    let mut answers = answers.lock().expect("no asker panics");
-                    answers.insert(addr, answer);
+                    let response = StatusClient::new(addr).status();
+                    let mut responses = responses.lock().expect("no worker thread panics");
+                    responses.insert(addr, response);
                 }
             });
         }
     });
     let mut survey = FleetSurvey::default();
-    for (addr, answer) in answers.into_inner().expect("no asker panics") {
-        match answer {
-            Ok(status) => survey.answers.push(status),
+    for (addr, response) in responses.into_inner().expect("no worker thread panics") {
+        match response {
+            Ok(status) => survey.statuses.push(status),
             Err(error) => survey.silent.push(SilentNode {
                 addr,
                 reason: error.to_string(),
             }),
         }
     }
-    survey.answers.sort_by(|a, b| a.instance.cmp(&b.instance));
+    survey.statuses.sort_by(|a, b| a.instance.cmp(&b.instance));
     survey
 }
--- a/crates/ctl/src/fleet/mod.rs
+++ b/crates/ctl/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet as its nodes tell of it.
+//! State of the fleet, as its nodes report it.
 
 mod fleet_status;
 mod fleet_survey;
--- a/crates/ctl/src/fleet/status_client.rs
+++ b/crates/ctl/src/fleet/status_client.rs
@@ -1,4 +1,4 @@
-//! Calls to a node's pages.
+//! HTTP client of a node's pages.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,28 +9,28 @@
 };
 use serde::de::DeserializeOwned;
 
-/// Long enough for a lost opening packet to be sent again.
+/// Longest time for connecting; it lets a lost SYN packet be sent again.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A node answers in milliseconds.
+/// Longest time for a whole request; a node answers in milliseconds.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Client of one node's pages.
+/// Client of one node's status and member pages.
 #[derive(Debug, Clone, Copy)]
 pub struct StatusClient {
     addr: SocketAddr,
 }
 
 impl StatusClient {
-    /// Asks the node whose pages are at `addr`.
+    /// Creates a client of the node whose pages are at `addr`.
     pub const fn new(addr: SocketAddr) -> Self {
         Self { addr }
     }
 
-    /// Reads its status.
+    /// Reads the node's status.
     ///
     /// # Errors
     ///
-    /// When the node can't be reached or answers something unexpected.
+    /// Returns an error if the node can't be reached or its response can't be parsed.
     pub fn status(self) -> attohttpc::Result<NodeStatus> {
         self.get(STATUS_PATH)
     }
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// When the node can't be reached or answers something unexpected.
+    /// Returns an error if the node can't be reached or its response can't be parsed.
     pub fn members(self) -> attohttpc::Result<Vec<MemberRecord>> {
         self.get(MEMBERS_PATH)
     }
--- a/crates/ctl/src/invocation.rs
+++ b/crates/ctl/src/invocation.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the client.
 
 use std::{
     net::SocketAddr,
@@ -20,8 +20,8 @@
   geranium-ctl status
   geranium-ctl --output json history
 
-Exit status: 0 when it worked, 2 for a bad command line, otherwise the first
-and the last digit of the result code in the message (303 ends with 33).";
+Exit status: 0 for success, 2 for a bad command line, otherwise the first and
+the last digit of the result code in the message (33 for code 303).";
 
 const DIFF_EXAMPLES: &str = "\
 Examples:
@@ -33,15 +33,15 @@
   geranium-ctl explain 9c41d07be2a35f68 /var/log/geranium/*.log
   geranium-ctl --output json explain 9c41d07be2a35f68 < all.log";
 
-/// Presets, activations and the fleet's state, for operators.
+/// Manage presets and show the state of the fleet, for operators.
 #[derive(Debug, Clone, Parser)]
 #[command(name = "geranium-ctl", version, after_help = EXAMPLES, max_term_width = 100)]
 pub struct Invocation {
-    /// The metadata store, IP:PORT.
+    /// Address of the metadata store, IP:PORT.
     #[arg(long, global = true, env = "GERANIUM_STORE", hide_env_values = true)]
     pub store: Option<SocketAddr>,
-    /// Pages of one or more nodes, IP:PORT, for `status` while the store is
-    /// away.
+    /// Pages of one or more nodes, IP:PORT, which name the other nodes to `status` while the
+    /// store is unavailable.
     #[arg(
         long,
         global = true,
@@ -59,10 +59,10 @@
         default_value_t = 9464
     )]
     pub status_port: u16,
-    /// Name under which writes are recorded.
+    /// Operator's name, which is recorded with every write.
     #[arg(long, global = true, env = "GERANIUM_OPERATOR", hide_env_values = true)]
     pub operator: Option<String>,
-    /// Tries for a write whose answer was lost; five span 6 s of pauses.
+    /// Number of tries of a write that gets no response; five tries span 6 s.
     #[arg(
         long,
         global = true,
@@ -71,7 +71,7 @@
         default_value_t = 5
     )]
     pub tries: u32,
-    /// Form of the output.
+    /// Format of the output.
     #[arg(
         long,
         global = true,
@@ -81,18 +81,19 @@
         default_value = "text"
     )]
     pub output: OutputFormat,
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// A preset's name in the store, or a file: what holds a `/` or ends with
-/// `.json` is a file.
+/// Preset given by its name in the store or by a file.
+///
+/// A text that contains a `/` or ends with `.json` means a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PresetSource {
-    /// Named preset.
+    /// Name of a preset in the store.
     Named(PresetName),
-    /// Document in a file.
+    /// Path of a file that holds a document.
     File(PathBuf),
 }
 
@@ -109,19 +110,19 @@
     }
 }
 
-/// What the client does.
+/// Command of the client.
 #[derive(Debug, Clone, Subcommand)]
 pub enum Command {
     /// Check a preset document without storing it.
     Check {
-        /// The document.
+        /// File that holds the document.
         file: PathBuf,
     },
-    /// Check a document and store it under a name; it isn't put in force.
+    /// Check a document and store it under a name, without putting it in force.
     Put {
         /// Name of the preset.
         name: PresetName,
-        /// The document.
+        /// File that holds the document.
         file: PathBuf,
     },
     /// List the named presets.
@@ -134,9 +135,9 @@
     /// Compare two presets, by service and route.
     #[command(after_help = DIFF_EXAMPLES)]
     Diff {
-        /// Name, or file (holds a `/` or ends with `.json`).
+        /// Name of a preset, or a file (contains a `/` or ends with `.json`).
         from: PresetSource,
-        /// Name, or file.
+        /// Name of a preset, or a file, to compare with.
         to: PresetSource,
     },
     /// Put a preset in force on the whole fleet.
@@ -149,18 +150,18 @@
     },
     /// List past activations, newest last.
     History {
-        /// How many, 256 at most.
+        /// Number of activations to list; the store keeps the last 256.
         #[arg(long, default_value_t = 20)]
         last: usize,
     },
-    /// Show how many nodes follow the version in force, and which don't.
+    /// Show how many nodes use the version in force, and which don't.
     Status,
-    /// Tell what became of a request, out of the nodes' logs.
+    /// Show what happened to a request, from the nodes' logs.
     #[command(after_help = EXPLAIN_EXAMPLES)]
     Explain {
-        /// Identifier of the caller's attempt.
+        /// Identifier of the caller's attempt, as the log lines have it.
         request: String,
-        /// Log files of any nodes; none, or `-`, for standard input.
+        /// Log files of any nodes; none, or `-`, means standard input.
         files: Vec<PathBuf>,
     },
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,15 +1,14 @@
 //! The operators' client: presets, activations and the fleet's state.
 //!
-//! [`Invocation`] is the command line. A [`Session`] holds what commands act
-//! on: the metadata store, how configurations are written there
-//! ([`ConfigCodec`]), and who the operator is. [`run`] executes one command
-//! and returns what to print; a [`CtlError`] carries a numbered result code,
-//! from which [`exit_status`] derives the process's exit status.
+//! [`Invocation`] is the command line. A [`Session`] holds what the commands share: the
+//! metadata store, the encoding of configurations there ([`ConfigCodec`]) and the operator's
+//! name. [`run`] executes one command and returns the text to print. A [`CtlError`] has a
+//! numbered result code, from which [`exit_status`] derives the process's exit status.
 //!
-//! A preset is a named [`PresetDocument`] in the store. [`activate`] makes it
-//! the configuration in force, by compare-and-swap: version and history are
-//! written with it, together or not at all. Writes are pursued through lost
-//! answers by [`write_with_retries`].
+//! A preset is a named [`PresetDocument`] in the store. [`activate`] makes it the
+//! configuration in force by compare-and-swap: the configuration, with its new version, and the
+//! history entry are written together or not at all. [`write_with_retries`] repeats writes
+//! whose response was lost.
 
 mod commands;
 mod ctl_error;
--- a/crates/ctl/src/output_format.rs
+++ b/crates/ctl/src/output_format.rs
@@ -1,4 +1,4 @@
-//! Forms in which answers are printed.
+//! Output formats of reports and errors.
 
 use std::fmt::Display;
 
@@ -8,17 +8,17 @@
 
 use crate::CtlError;
 
-/// Form of what is printed.
+/// Format of reports and errors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum OutputFormat {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
 impl OutputFormat {
-    /// Renders a command's report.
+    /// Formats a command's report.
     pub(crate) fn report<R: Serialize + Display>(self, report: &R) -> String {
         match self {
             Self::Text => report.to_string(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Renders an error with its number and name.
+    /// Formats an error with the number and name of its result code.
     ///
     /// # Examples
     ///
--- a/crates/ctl/src/presets/activation.rs
+++ b/crates/ctl/src/presets/activation.rs
@@ -1,4 +1,4 @@
-//! Putting presets in force.
+//! Activation of presets: writing one as the configuration in force.
 
 use geranium_node::{
     config::ConfigVersion,
@@ -16,41 +16,44 @@
     write_with_retries,
 };
 
-/// What an operator wants in force.
+/// An operator's request to put a preset in force.
 #[derive(Debug, Clone)]
 pub struct ActivationRequest {
-    /// Preset.
+    /// Name of the preset.
     pub preset: PresetName,
-    /// Version that must be in force now, if the operator says so.
+    /// Version that must be in force now, if the operator gave one.
     pub expect_version: Option<ConfigVersion>,
-    /// Who asks.
+    /// Operator, time and identifier of the write.
     pub stamp: WriteStamp,
 }
 
-/// Step over the versions that a store may have lost with its latest seconds.
+/// Step to the next version after the store came back from an older copy.
+///
+/// The store may have lost the versions written in its latest seconds, far fewer than this.
 const VERSION_STEP_AFTER_RESTORE: u64 = 1_000;
 
 /// An activation that took effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Activation {
-    /// Its record.
+    /// Record of the activation in the history.
     pub record: ActivationRecord,
-    /// False when the answer was lost and the own record was recognised.
+    /// Whether the store acknowledged the write. It is false when the response was lost and
+    /// the record was then found in the history.
     pub answered: bool,
 }
 
 /// Puts a preset in force under the next version.
 ///
-/// Configuration and history are written together, under the condition that
-/// the version read before is still in force: of several operators one wins,
-/// and a crash leaves the old version or the new one, whole.
+/// Configuration and history are written in one transaction, on condition that the
+/// configuration hasn't changed since it was read. So only one of several concurrent
+/// activations succeeds, and a crash leaves either the old version or the new one, complete.
 ///
 /// # Errors
 ///
-/// [`CtlError::LostActivation`] when another version is in force than expected
-/// or another activation came first; [`CtlError::WriteUnknown`] when no answer
-/// came; a bad preset or a failure of the store otherwise, with nothing
-/// changed.
+/// Returns [`CtlError::LostActivation`] if another version is in force than expected or
+/// another activation came first, and [`CtlError::WriteUnknown`] if it isn't known whether the
+/// write took effect. After any other error, such as a bad preset or a failure of the store,
+/// nothing was changed.
 pub async fn activate(
     store: &impl MetaStore,
     codec: ConfigCodec,
@@ -91,8 +94,8 @@
             operation: new_record.stamp.operation,
             source,
         }),
-        Ok(WriteOutcome::Refused { lost_answer }) => {
-            if lost_answer && is_recorded(store, &new_record).await? {
+        Ok(WriteOutcome::Refused { response_lost }) => {
+            if response_lost && is_recorded(store, &new_record).await? {
                 return Ok(Activation {
                     record: new_record,
                     answered: false,
@@ -104,10 +107,10 @@
     }
 }
 
-/// Returns the version of the next activation, in the store's era `era`.
+/// Returns the version for the next activation, in the store's era `era`.
 ///
-/// A store that has come back from an older copy since the last one may have lost later
-/// versions. Nodes hold those and take none that isn't higher.
+/// If the store came back from an older copy since the last activation, it may have lost
+/// later versions. Nodes still have those in force and accept only higher versions.
 async fn next_version(
     store: &impl MetaStore,
     in_force: ConfigVersion,
@@ -123,8 +126,10 @@
     Ok(ConfigVersion(in_force.0 + step))
 }
 
-/// Finds out whether an activation that was refused after a lost answer had
-/// been done before, unheard. While the store can't tell, nobody knows.
+/// Returns whether the history holds this activation.
+///
+/// A write refused after a lost response may have taken effect with an earlier try. If the
+/// store can't be read then, the outcome is unknown.
 async fn is_recorded(
     store: &impl MetaStore,
     new_record: &ActivationRecord,
@@ -139,7 +144,10 @@
     }
 }
 
-/// Says who came first; `version` is the least that is in force by now.
+/// Returns the error that names the activation which came first.
+///
+/// `version` is the lowest version that can be in force now; it is reported if the store
+/// can't be read.
 async fn lost_race_error(
     store: &impl MetaStore,
     codec: ConfigCodec,
@@ -152,7 +160,9 @@
     lost_activation_error(store, now).await
 }
 
-/// Returns the version in force and the revision of its key; 0 for none.
+/// Returns the revision of the configuration's key and the version in force.
+///
+/// Both are 0 if there is no configuration.
 async fn in_force(
     store: &impl MetaStore,
     codec: ConfigCodec,
@@ -169,10 +179,12 @@
     Ok((item.revision, input.version))
 }
 
+/// Returns [`CtlError::LostActivation`] with the activation of the version in force, if its
+/// record can be read.
 async fn lost_activation_error(store: &impl MetaStore, in_force: ConfigVersion) -> CtlError {
     let last = match read_slot(store, in_force).await {
         Ok(slot) => slot.record.filter(|record| record.version == in_force),
-        // The version alone tells enough; who made it is a courtesy.
+        // The record only adds detail to the message; the version in force is enough.
         Err(_) => None,
     };
     CtlError::LostActivation {
--- a/crates/ctl/src/presets/activation_history.rs
+++ b/crates/ctl/src/presets/activation_history.rs
@@ -1,4 +1,4 @@
-//! The history of activations.
+//! History of activations in the store.
 
 use geranium_node::{
     config::ConfigVersion,
@@ -9,17 +9,19 @@
 use super::{ActivationRecord, record};
 use crate::{CtlError, ctl_error::StoreSnafu};
 
-/// Prefix of the keys of the history.
+/// Prefix of the keys that hold the history; the number of a slot follows it.
 const HISTORY_PREFIX: &str = "geranium-operator/history/";
-/// Places of the history, used in turn: four hours' worth at 1,400 changes a
-/// day. Logs hold what is older.
+/// Number of slots of the history, which are reused in turn.
+///
+/// At 1,400 changes a day they cover four hours; older activations are in the logs.
 const HISTORY_SLOTS: u64 = 256;
 
 /// Returns the last `count` activations, oldest first.
 ///
 /// # Errors
 ///
-/// [`CtlError::Store`] or [`CtlError::BadRecord`].
+/// Returns [`CtlError::Store`] if the store fails and [`CtlError::BadRecord`] if a record
+/// can't be parsed.
 pub async fn activation_history(
     store: &impl MetaStore,
     count: usize,
@@ -39,7 +41,7 @@
     Ok(records)
 }
 
-/// Returns the place of a version in the history, and what stands there.
+/// Reads the slot of a version in the history.
 pub(super) async fn read_slot(
     store: &impl MetaStore,
     version: ConfigVersion,
@@ -53,13 +55,13 @@
     })
 }
 
-/// A place in the history.
+/// Slot of the history, as read from the store.
 #[derive(Debug)]
 pub(super) struct HistorySlot {
-    /// Key.
+    /// Key of the slot in the store.
     pub(super) key: String,
-    /// Revision of the key; 0 while nothing stands there.
+    /// Revision of the key; 0 while the slot is empty.
     pub(super) revision: Revision,
-    /// What stands there: that version's activation, or an older one's.
+    /// Activation of that version, or an older one that used the same slot.
     pub(super) record: Option<ActivationRecord>,
 }
--- a/crates/ctl/src/presets/activation_record.rs
+++ b/crates/ctl/src/presets/activation_record.rs
@@ -1,4 +1,4 @@
-//! Past activations.
+//! Records of past activations.
 
 use std::fmt;
 
@@ -8,16 +8,18 @@
 use super::PresetName;
 use crate::WriteStamp;
 
-/// One activation.
+/// Record of an activation in the history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActivationRecord {
-    /// Version that it put in force.
+    /// Version that the activation put in force.
     pub version: ConfigVersion,
-    /// Preset.
+    /// Name of the activated preset.
     pub preset: PresetName,
-    /// Who did it, and when.
+    /// Operator, time and identifier of the write.
     pub stamp: WriteStamp,
-    /// Era of the store in which it was acknowledged; 0 when that wasn't told.
+    /// Era of the store when the configuration was read before the write.
+    ///
+    /// It is 0 if the store didn't report an era.
     #[serde(default, skip_serializing_if = "StoreEra::is_none")]
     pub era: StoreEra,
 }
--- a/crates/ctl/src/presets/config_codec.rs
+++ b/crates/ctl/src/presets/config_codec.rs
@@ -1,13 +1,12 @@
-//! How configurations are written in the store.
+//! Encoding of configurations in the store.
 
 use geranium_node::{config::ConfigInput, discovery::ConfigSource};
 
-/// Where the configuration in force lies in the store, and how it is written
-/// and read.
+/// Key of the configuration in force, with its parser and serializer.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigCodec {
-    /// Key, and how it is read.
+    /// Key in the store, and the parser of its value.
     pub source: ConfigSource,
-    /// Writes a document.
+    /// Serializes a configuration to the value of the key.
     pub write: fn(&ConfigInput) -> Vec<u8>,
 }
--- a/crates/ctl/src/presets/mod.rs
+++ b/crates/ctl/src/presets/mod.rs
@@ -1,4 +1,4 @@
-//! Presets and activations in the store.
+//! Presets and their activations, as the store holds them.
 
 mod activation;
 mod activation_history;
--- a/crates/ctl/src/presets/preset_catalogue.rs
+++ b/crates/ctl/src/presets/preset_catalogue.rs
@@ -1,4 +1,4 @@
-//! The operators' named presets.
+//! Access to the named presets in the store.
 
 use geranium_node::store::{MetaStore, ReadConsistency, StoreWrite};
 use snafu::{OptionExt, ResultExt};
@@ -10,10 +10,10 @@
     write_with_retries,
 };
 
-/// Prefix of the keys of presets.
+/// Prefix of the keys that hold presets; the preset's name follows it.
 const PRESET_PREFIX: &str = "geranium-operator/preset/";
 
-/// The operators' named presets.
+/// Named presets in a store, for listing, reading and writing.
 #[derive(Debug)]
 pub struct PresetCatalogue<'a, S> {
     store: &'a S,
@@ -21,7 +21,7 @@
 }
 
 impl<'a, S: MetaStore> PresetCatalogue<'a, S> {
-    /// Looks at the presets in `store`.
+    /// Creates a catalogue of the presets in `store`; writes are retried by `retry_schedule`.
     pub const fn new(store: &'a S, retry_schedule: RetrySchedule) -> Self {
         Self {
             store,
@@ -29,11 +29,12 @@
         }
     }
 
-    /// Lists every preset, by name.
+    /// Returns every preset, sorted by name.
     ///
     /// # Errors
     ///
-    /// [`CtlError::Store`] or [`CtlError::BadRecord`].
+    /// Returns [`CtlError::Store`] if the store fails and [`CtlError::BadRecord`] if a record
+    /// can't be parsed.
     pub async fn list(&self) -> Result<Vec<PresetRecord>, CtlError> {
         let list = self
             .store
@@ -46,12 +47,12 @@
             .collect()
     }
 
-    /// Returns a preset.
+    /// Returns the preset with this name.
     ///
     /// # Errors
     ///
-    /// [`CtlError::UnknownPreset`], [`CtlError::Store`] or
-    /// [`CtlError::BadRecord`].
+    /// Returns [`CtlError::UnknownPreset`] if there is none, [`CtlError::Store`] if the store
+    /// fails and [`CtlError::BadRecord`] if the record can't be parsed.
     pub async fn get(&self, name: &PresetName) -> Result<PresetRecord, CtlError> {
         let (_, preset) = record::read(self.store, &key_of(name)).await?;
         preset.context(UnknownPresetSnafu {
@@ -59,12 +60,15 @@
         })
     }
 
-    /// Stores a checked document under a name.
+    /// Stores a document under a name; the caller has checked the document.
+    ///
+    /// A compare-and-swap keeps two operators from overwriting each other unnoticed.
     ///
     /// # Errors
     ///
-    /// [`CtlError::LostPut`] when another operator stored one meanwhile;
-    /// [`CtlError::WriteUnknown`]; [`CtlError::Store`].
+    /// Returns [`CtlError::LostPut`] if another operator stored a preset under the name between
+    /// the read and the write, [`CtlError::WriteUnknown`] if it isn't known whether the write
+    /// took effect, and [`CtlError::Store`] if the store failed and nothing was written.
     pub async fn put(
         &self,
         name: &PresetName,
@@ -91,9 +95,9 @@
                 operation: new_record.stamp.operation,
                 source,
             }),
-            Ok(WriteOutcome::Refused { lost_answer }) => {
+            Ok(WriteOutcome::Refused { response_lost }) => {
                 let current = match self.get(name).await {
-                    Err(CtlError::Store { source }) if lost_answer => {
+                    Err(CtlError::Store { source }) if response_lost => {
                         let operation = new_record.stamp.operation;
                         return Err(CtlError::WriteUnknown { operation, source });
                     }
--- a/crates/ctl/src/presets/preset_diff.rs
+++ b/crates/ctl/src/presets/preset_diff.rs
@@ -7,40 +7,40 @@
 
 use super::PresetDocument;
 
-/// What changes from one preset to another.
+/// Differences from one preset to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PresetDiff {
-    /// Changes, services first, by name; empty for equal presets.
+    /// Services, then routes, each sorted by name, then limits; empty for equal presets.
     pub changes: Vec<DiffEntry>,
 }
 
-/// One changed service or route, or the limits.
+/// One changed service or route, or the changed limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DiffEntry {
-    /// `service`, `route` or `limits`.
+    /// Kind of the entry: `service`, `route` or `limits`.
     pub kind: &'static str,
-    /// Name of the service or route.
+    /// Name of the service or route; empty for the limits.
     pub name: String,
-    /// What happened to it.
+    /// Difference between the presets in this entry.
     pub change: DiffChange,
 }
 
-/// What happened to an entry.
+/// Difference between two presets in one service or route, or in the limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiffChange {
-    /// Only the second preset has it.
+    /// Only the second preset has the entry.
     Added,
-    /// Only the first preset has it.
+    /// Only the first preset has the entry.
     Removed,
-    /// Fields whose value differs.
+    /// Both presets have the entry, and these fields differ.
     Changed(Vec<FieldChange>),
 }
 
-/// A field's value in both presets; `null` where it is absent.
+/// Values of a field in two presets; `null` where the field is absent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct FieldChange {
-    /// Path of the field within the entry.
+    /// Path of the field within the entry, with a dot between its parts.
     pub field: String,
     /// Value in the first preset.
     pub from: Value,
@@ -49,7 +49,7 @@
 }
 
 impl PresetDiff {
-    /// Compares two presets.
+    /// Returns the differences from the preset `from` to the preset `to`.
     pub fn between(from: &PresetDocument, to: &PresetDocument) -> Self {
         let services = |preset: &PresetDocument| {
             let entries = preset.services.iter();
--- a/crates/ctl/src/presets/preset_document.rs
+++ b/crates/ctl/src/presets/preset_document.rs
@@ -1,4 +1,4 @@
-//! Presets as operators write them.
+//! Preset documents, which operators write.
 
 use std::{fs, path::Path, rc::Rc};
 
@@ -13,26 +13,27 @@
     ctl_error::{BadDocumentSnafu, FileSnafu},
 };
 
-/// A preset as an operator writes it: a configuration without a version, which
-/// it gets when it is activated.
+/// Configuration without a version, as an operator writes it in a file.
+///
+/// Its activation assigns the version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PresetDocument {
-    /// Services that routes may point at.
+    /// Services that routes may name.
     pub services: Vec<ServiceInput>,
-    /// Routes from hosts and paths to services.
+    /// Routes, which map hosts and paths to services.
     pub routes: Vec<Rc<RouteInput>>,
-    /// Limits on what callers send.
+    /// Limits on callers' requests.
     pub limits: LimitsInput,
 }
 
 impl PresetDocument {
-    /// Reads and checks a file.
+    /// Reads a document from a JSON file and checks it.
     ///
     /// # Errors
     ///
-    /// [`CtlError::File`], [`CtlError::BadFile`] with line and field, or
-    /// [`CtlError::BadDocument`].
+    /// Returns [`CtlError::File`] if the file can't be read, [`CtlError::BadFile`] with line
+    /// and field if it can't be parsed, and [`CtlError::BadDocument`] if a check fails.
     pub fn from_file(path: &Path) -> Result<Self, CtlError> {
         let text = fs::read(path).context(FileSnafu { path })?;
         let mut parser = serde_json::Deserializer::from_slice(&text);
@@ -53,18 +54,20 @@
         Ok(document)
     }
 
-    /// Checks it as nodes do; `origin` says where it stands.
+    /// Runs the checks that nodes run on a configuration.
+    ///
+    /// `origin` is the file or preset that error messages name.
     ///
     /// # Errors
     ///
-    /// [`CtlError::BadDocument`].
+    /// Returns [`CtlError::BadDocument`] if a check fails.
     pub fn check(&self, origin: &str) -> Result<(), CtlError> {
         let input = self.clone().into_input(ConfigVersion(0));
         let checked = MeshConfig::checked(Rc::new(input), None);
         checked.map(drop).context(BadDocumentSnafu { origin })
     }
 
-    /// Makes the configuration that it is under a version.
+    /// Returns the configuration with this content and the given version.
     pub fn into_input(self, version: ConfigVersion) -> ConfigInput {
         ConfigInput {
             version,
--- a/crates/ctl/src/presets/preset_name.rs
+++ b/crates/ctl/src/presets/preset_name.rs
@@ -5,25 +5,25 @@
 use serde::{Deserialize, Serialize};
 use snafu::{Snafu, ensure};
 
-/// Longest name in bytes: a DNS label's limit.
+/// Largest length of a name in bytes, which is the limit of a DNS label.
 const NAME_BYTES_MAX: usize = 63;
 
-/// A checked name of a preset, which can stand in a key without escaping.
+/// Checked name of a preset, which needs no escaping in a key of the store.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct PresetName(String);
 
-/// A name that breaks the naming rule.
+/// Error for a name that is empty, too long or has other characters than allowed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
-    "`{name}` is no name: from 1 to {NAME_BYTES_MAX} lower-case letters, digits, `-` and `.`"
+    "invalid preset name `{name}`: a name has 1 to {NAME_BYTES_MAX} lower-case letters, digits, `-` and `.`"
 ))]
 pub struct PresetNameError {
     name: String,
 }
 
 impl PresetName {
-    /// Returns the name.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -44,7 +44,7 @@
 impl FromStr for PresetName {
     type Err = PresetNameError;
 
-    /// Checks a name.
+    /// Checks a name and returns it.
     ///
     /// # Examples
     ///
--- a/crates/ctl/src/presets/preset_record.rs
+++ b/crates/ctl/src/presets/preset_record.rs
@@ -1,4 +1,4 @@
-//! A named preset in the store.
+//! Records of named presets in the store.
 
 use std::fmt;
 
@@ -7,14 +7,14 @@
 use super::{PresetDocument, PresetName};
 use crate::WriteStamp;
 
-/// What a preset's name stands for.
+/// Record of a named preset, as the store holds it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PresetRecord {
-    /// Name.
+    /// Name of the preset.
     pub name: PresetName,
-    /// Who stored it, and when.
+    /// Operator, time and identifier of the write that stored this content.
     pub stamp: WriteStamp,
-    /// Content.
+    /// Content of the preset.
     pub document: PresetDocument,
 }
 
--- a/crates/ctl/src/retry_schedule.rs
+++ b/crates/ctl/src/retry_schedule.rs
@@ -1,12 +1,13 @@
-//! How long a write is pursued.
+//! Schedule of the retries of a write.
 
 use std::time::Duration;
 
-/// Pause before the second try; each later one is twice as long, so that five
-/// tries span 6 s, an operator's patience.
+/// Pause before the second try; each later pause is twice as long.
+///
+/// Five tries then span 6 s, about as long as an operator waits for a command.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 
-/// Tries for a write whose effect is unknown.
+/// Number of tries of a write without a response, and the pauses between them.
 #[derive(Debug, Clone, Copy)]
 pub struct RetrySchedule {
     tries: u32,
@@ -14,7 +15,7 @@
 }
 
 impl RetrySchedule {
-    /// Allows so many tries, at least one.
+    /// Creates a schedule with this many tries, at least one.
     pub fn new(tries: u32) -> Self {
         Self {
             tries: tries.max(1),
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Allows so many tries without a pause, for tests.
+    /// Creates a schedule with this many tries and no pauses, for tests.
     pub fn without_pause(tries: u32) -> Self {
         Self {
             first_pause: Duration::ZERO,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Returns the pause before each try.
+    /// Returns the pause before each try; the first has none.
     ///
     /// # Examples
     ///
--- a/crates/ctl/src/session.rs
+++ b/crates/ctl/src/session.rs
@@ -1,4 +1,4 @@
-//! What the commands act on.
+//! Settings that all commands share.
 
 use std::net::SocketAddr;
 
@@ -9,38 +9,38 @@
     ctl_error::{NoOperatorSnafu, NoStoreSnafu},
 };
 
-/// Everything that commands need besides their own arguments.
+/// Store, operator and settings that commands need besides their own arguments.
 #[derive(Debug)]
 pub struct Session<S> {
-    /// Metadata store, if its address was given.
+    /// Client of the metadata store; none if its address wasn't given.
     pub store: Option<S>,
-    /// How configurations are written there.
+    /// Key and encoding of the configuration in the store.
     pub codec: ConfigCodec,
-    /// Operator, if one was named.
+    /// Name of the operator; none if it wasn't given.
     pub operator: Option<String>,
-    /// Pages of nodes that tell the rest of the fleet.
+    /// Addresses of the pages of nodes that name the rest of the fleet.
     pub nodes: Vec<SocketAddr>,
-    /// Port of the nodes' status pages.
+    /// Port of the nodes' status pages, on the address of each node.
     pub status_port: u16,
-    /// How long writes are pursued.
+    /// Tries and pauses of writes that get no response.
     pub retry_schedule: RetrySchedule,
 }
 
 impl<S> Session<S> {
-    /// Returns the store.
+    /// Returns the client of the store.
     ///
     /// # Errors
     ///
-    /// [`CtlError::NoStore`] when its address wasn't given.
+    /// Returns [`CtlError::NoStore`] if the store's address wasn't given.
     pub fn store(&self) -> Result<&S, CtlError> {
         self.store.as_ref().context(NoStoreSnafu)
     }
 
-    /// Stamps a new write.
+    /// Returns the stamp of a new write by the operator.
     ///
     /// # Errors
     ///
-    /// [`CtlError::NoOperator`] when nobody is named.
+    /// Returns [`CtlError::NoOperator`] if no operator's name was given.
     pub fn stamp(&self) -> Result<WriteStamp, CtlError> {
         let operator = self.operator.as_deref().filter(|name| !name.is_empty());
         operator.map(WriteStamp::now).context(NoOperatorSnafu)
--- a/crates/ctl/src/utc_time.rs
+++ b/crates/ctl/src/utc_time.rs
@@ -1,13 +1,13 @@
-//! Wall clock times for people to read.
+//! Formatting of wall-clock times for people to read.
 
 const MS_PER_DAY: u64 = 86_400_000;
-/// Days from the start of the 400-year cycle of 1 March 0000 to the epoch.
+/// Days from 1 March 0000, the start of a 400-year cycle, to the Unix epoch.
 const EPOCH_DAYS: u64 = 719_468;
 const DAYS_PER_CYCLE: u64 = 146_097;
 
-/// Formats milliseconds since the Unix epoch as UTC.
+/// Formats milliseconds since the Unix epoch as a UTC time of ISO 8601.
 ///
-/// Years start in March here, so that the leap day comes last.
+/// The calculation starts years in March, so that a leap day is the last day of its year.
 pub fn utc_time(ms: u64) -> String {
     let days = ms / MS_PER_DAY + EPOCH_DAYS;
     let (cycle, day) = (days / DAYS_PER_CYCLE, days % DAYS_PER_CYCLE);
--- a/crates/ctl/src/write_outcome.rs
+++ b/crates/ctl/src/write_outcome.rs
@@ -1,59 +1,60 @@
-//! Writes through lost answers.
+//! Writes that are retried when their response is lost.
 
 use geranium_node::store::{MetaStore, Revision, StoreError, StoreWrite};
 use tokio::time::sleep;
 
 use crate::RetrySchedule;
 
-/// What became of a write.
+/// Outcome of a write with its retries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was done now, at this revision.
+    /// The store acknowledged the write, at this revision.
     Done(Revision),
-    /// A key isn't as expected. After a lost answer the reason may be that
-    /// this very write was done.
+    /// A key isn't at the expected revision.
+    ///
+    /// After a lost response the reason may be that an earlier try of this write took effect.
     Refused {
-        /// Whether an answer was lost before.
-        lost_answer: bool,
+        /// Whether an earlier try got no response.
+        response_lost: bool,
     },
-    /// No answer came, to any try.
+    /// It isn't known whether the write took effect; holds the last error.
     Unknown(StoreError),
 }
 
-/// Makes changes that name the revisions which they replace, again and again until an
-/// answer comes.
+/// Commits changes, retrying until the store answers or the tries are used up.
 ///
-/// A write may be done and its answer lost, or it may be done seconds later. Made again,
-/// the same changes are done once at most: what is done later finds other revisions. So
-/// whatever the answer says, the caller need only look whose record stands.
+/// Each change must name the revision that it replaces. A write whose response is lost may
+/// have taken effect, or may do so seconds later. Retries are safe all the same: the changes
+/// take effect once at most, as a later try finds other revisions. After
+/// [`WriteOutcome::Refused`], the caller reads the record to see whose write took effect.
 ///
 /// # Errors
 ///
-/// What the store refused for good; nothing was changed then.
+/// Returns the store's error if nothing was changed.
 pub async fn write_with_retries(
     store: &impl MetaStore,
     writes: &[StoreWrite<'_>],
     retry_schedule: RetrySchedule,
 ) -> Result<WriteOutcome, StoreError> {
-    let mut lost = None;
+    let mut last_failure = None;
     for pause in retry_schedule.pauses() {
         sleep(pause).await;
         match store.commit(writes).await {
             Ok(revision) => return Ok(WriteOutcome::Done(revision)),
             Err(StoreError::Conflict { .. }) => {
-                let lost_answer = matches!(lost, Some(StoreError::NoAnswer { .. }));
-                return Ok(WriteOutcome::Refused { lost_answer });
+                let response_lost = matches!(last_failure, Some(StoreError::NoAnswer { .. }));
+                return Ok(WriteOutcome::Refused { response_lost });
             }
-            Err(failure @ StoreError::NoAnswer { .. }) => lost = Some(failure),
-            // Nothing was done; that a lost answer came before still counts.
+            Err(failure @ StoreError::NoAnswer { .. }) => last_failure = Some(failure),
+            // This try did nothing, but an earlier one without a response may have taken effect.
             Err(failure @ StoreError::Busy { .. }) => {
-                lost = lost.or(Some(failure));
+                last_failure = last_failure.or(Some(failure));
             }
-            Err(failure) if lost.is_none() => return Err(failure),
+            Err(failure) if last_failure.is_none() => return Err(failure),
             Err(failure) => return Ok(WriteOutcome::Unknown(failure)),
         }
     }
-    match lost {
+    match last_failure {
         Some(failure @ StoreError::NoAnswer { .. }) => Ok(WriteOutcome::Unknown(failure)),
         Some(failure) => Err(failure),
         None => Err(StoreError::Busy { status: 0 }),
--- a/crates/ctl/src/write_stamp.rs
+++ b/crates/ctl/src/write_stamp.rs
@@ -1,4 +1,4 @@
-//! Who writes, and when.
+//! Operator, time and identifier of a write.
 
 use std::{
     fmt,
@@ -9,21 +9,23 @@
 
 use crate::utc_time::utc_time;
 
-/// Names one write of one operator.
+/// Identification of one write by one operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteStamp {
-    /// Random identifier of the write, by which it is recognised after a lost
-    /// answer.
+    /// Random identifier of the write.
+    ///
+    /// It tells whether a write whose response was lost took effect.
     pub operation: String,
-    /// Operator.
+    /// Name of the operator.
     pub operator: String,
-    /// Wall clock in milliseconds since the Unix epoch, for people to read:
-    /// nothing decides by it.
+    /// Wall-clock time of the write in milliseconds since the Unix epoch.
+    ///
+    /// It is only for people to read; no code compares it.
     pub written_at_ms: u64,
 }
 
 impl WriteStamp {
-    /// Makes a stamp for `operator` from the wall clock and random bits.
+    /// Creates the stamp of a new write by `operator`, with a random identifier.
     ///
     /// # Examples
     ///
--- a/crates/ctl/tests/all/activation_faults.rs
+++ b/crates/ctl/tests/all/activation_faults.rs
@@ -1,4 +1,4 @@
-//! Activations that break at each of their steps in turn.
+//! Activations with a fault at each of their calls to the store in turn.
 
 use geranium_ctl::{CtlError, RetrySchedule, activate, activation_history};
 use geranium_node::{
@@ -14,7 +14,7 @@
 
 const FAULTS: [CallFault; 4] = [
     CallFault::Refuse,
-    CallFault::LoseAnswer,
+    CallFault::LoseResponse,
     CallFault::LoseRequest,
     CallFault::ApplyLate,
 ];
@@ -26,7 +26,7 @@
     store.calls() - before
 }
 
-/// Checks what holds whatever happened, and that the next activation works.
+/// Checks that the next activation works and that the history has every version.
 fn assert_consistent(store: &MemoryStore, context: &str) {
     store.clear_faults();
     let before = version(store);
@@ -38,18 +38,18 @@
     assert_eq!(versions, all, "{context}");
 }
 
-/// One call of an activation fails: refused, or lost before or after it took
-/// effect, or late. The operator is told what holds: "activated" only if it is
-/// in force, "nothing was changed" only if it never will be.
+/// Guards against a report that doesn't match the store after one call of an activation is
+/// refused, lost before or after it took effect, or applied late. "Activated" is reported only
+/// if the preset is in force, "nothing was changed" only if it never will be.
 #[test]
-fn any_single_fault_is_told_truthfully() {
+fn a_single_fault_is_reported_correctly() {
     for (nth, fault) in (0..calls_of_activation()).flat_map(|nth| FAULTS.map(|fault| (nth, fault)))
     {
         let context = format!("call {nth}, {fault:?}");
         let store = store_with_presets();
         store.fail_call(nth, fault);
         let outcome = put_in_force(&store, "peak");
-        // Late writes land within the next two calls.
+        // Delayed writes are applied within the next two calls.
         version(&store);
         version(&store);
         match outcome {
@@ -70,8 +70,8 @@
     }
 }
 
-/// The store goes down in the middle of an activation and comes back an hour
-/// later. What the operator was told still holds.
+/// Guards against a half-written configuration or a wrong report when the store becomes
+/// unavailable in the middle of an activation. The report still holds after it recovers.
 #[test]
 fn an_outage_at_any_step_leaves_a_whole_configuration() {
     for nth in 0..calls_of_activation() {
@@ -87,13 +87,13 @@
     }
 }
 
-/// The answer to the write is lost and the store is gone after it. Nobody can
-/// know what holds; saying "failed" would make the operator activate twice,
-/// saying "done" would leave the fleet on the old preset.
+/// Guards against a definite report when the response to the write is lost and the store is
+/// unavailable afterwards, so that the outcome is unknown. Reporting a failure would make the
+/// operator activate twice; reporting success could leave the fleet on the old preset.
 #[test]
-fn an_outage_after_a_lost_answer_is_unknown() {
+fn an_outage_after_a_lost_response_is_reported_as_unknown() {
     let write = calls_of_activation() - 1;
-    for fault in [CallFault::LoseAnswer, CallFault::LoseRequest] {
+    for fault in [CallFault::LoseResponse, CallFault::LoseRequest] {
         let store = store_with_presets();
         store.fail_call(write, fault);
         store.fail_from(write + 1);
@@ -104,8 +104,8 @@
     }
 }
 
-/// An operator decided by version 1, and somebody else put version 2 in force
-/// meanwhile. With `--expect-version 1` nothing is overwritten unseen.
+/// Guards against overwriting a version that the operator hasn't seen: with
+/// `--expect-version 1`, an activation fails after another operator put version 2 in force.
 #[test]
 fn an_expected_version_that_passed_is_refused() {
     let store = store_with_presets();
@@ -121,8 +121,8 @@
     wait(activate(&store, codec(), &late, retry_schedule)).unwrap();
 }
 
-/// Somebody wrote to the store past the client: a preset that nodes would
-/// refuse. It must not be put in force.
+/// Guards against activating a preset that nodes would refuse, after somebody wrote it to the
+/// store without the client's checks.
 #[test]
 fn a_bad_preset_in_the_store_is_not_activated() {
     let store = store_with_presets();
@@ -141,9 +141,10 @@
     assert_eq!(version(&store), ConfigVersion(1));
 }
 
-/// One call of storing a preset fails. The operator is told what holds.
+/// Guards against a report that doesn't match the store after one call of storing a preset
+/// fails.
 #[test]
-fn a_stored_preset_is_told_truthfully() {
+fn a_fault_while_storing_a_preset_is_reported_correctly() {
     for (nth, fault) in (0..2).flat_map(|nth| FAULTS.map(|fault| (nth, fault))) {
         let context = format!("call {nth}, {fault:?}");
         let store = store_with_presets();
--- a/crates/ctl/tests/all/activation_races.rs
+++ b/crates/ctl/tests/all/activation_races.rs
@@ -1,4 +1,4 @@
-//! Operators who race each other, with faults in between.
+//! Concurrent activations by several operators, with faults of the store.
 
 use std::{collections::HashMap, thread};
 
@@ -44,7 +44,7 @@
     for _ in 0..rng.random_range(0..12) {
         let fault = match rng.random_range(0..4) {
             0 => CallFault::Refuse,
-            1 => CallFault::LoseAnswer,
+            1 => CallFault::LoseResponse,
             2 => CallFault::LoseRequest,
             _ => CallFault::ApplyLate,
         };
@@ -52,10 +52,10 @@
     }
 }
 
-/// Four operators switch presets at the same time while answers get lost. For
-/// each version exactly one of them has won; whoever is told "activated" stands
-/// in the history under that version, and whoever is told "not activated"
-/// stands nowhere in it.
+/// Guards against two winners of one version, and against reports that don't match the
+/// history, when four operators activate presets at the same time and responses get lost. An
+/// activation reported as done is in the history under its version; one reported as not
+/// activated isn't in the history.
 #[test]
 fn exactly_one_operator_wins_each_version() {
     for seed in 0..SEEDS {
@@ -78,7 +78,7 @@
 
 fn check_history(store: &MemoryStore, results: &[(ActivationRequest, ReportedResult)], seed: u64) {
     store.clear_faults();
-    // Late writes land within the next two calls.
+    // Delayed writes are applied within the next two calls.
     for _ in 0..3 {
         wait(activation_history(store, 256)).unwrap();
     }
@@ -93,7 +93,7 @@
     assert_eq!(
         by_operation.len(),
         history.len(),
-        "seed {seed}: an operation stands twice"
+        "seed {seed}: an operation is in the history twice"
     );
     for (request, result) in results {
         let found = by_operation.get(&request.stamp.operation).copied();
--- a/crates/ctl/tests/all/code_table.rs
+++ b/crates/ctl/tests/all/code_table.rs
@@ -1,6 +1,6 @@
-//! `docs/CODES.md` is made from the result codes' own source.
+//! Check that `docs/CODES.md` matches the source of the result codes.
 //!
-//! Run with `GERANIUM_UPDATE=1` to write it anew.
+//! With `GERANIUM_UPDATE=1` the test writes the page.
 
 use std::{fmt::Write, fs, path::Path};
 
@@ -21,7 +21,7 @@
 | --- | --- | --- | --- | --- |
 ";
 
-/// Collects the doc comment above each variant.
+/// Returns the number and the doc comment of each variant.
 fn meanings(source: &str) -> Vec<(u16, String)> {
     let mut found = Vec::new();
     let mut comment = String::new();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_table_fits_the_codes() {
+fn the_table_matches_the_codes() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/CODES.md");
     let table = table();
     if std::env::var_os("GERANIUM_UPDATE").is_some() {
@@ -78,6 +78,6 @@
     let written = fs::read_to_string(&path).unwrap();
     assert!(
         written == table,
-        "docs/CODES.md is out of date: see its head for how to make it"
+        "docs/CODES.md is out of date: its first paragraph says how to generate it"
     );
 }
--- a/crates/ctl/tests/all/documents.rs
+++ b/crates/ctl/tests/all/documents.rs
@@ -1,4 +1,4 @@
-//! Preset documents and differences between them.
+//! Checks of preset documents, and differences between them.
 
 use std::{fmt::Write, fs, path::Path};
 
@@ -6,7 +6,9 @@
 
 use crate::support::document;
 
-/// Documents as operators get them wrong, with what is wrong in each.
+/// Mistakes that operators make in documents: a name, and the text that is replaced.
+///
+/// The document `cut-short` ends before the text instead.
 const BAD: [(&str, &str, &str); 6] = [
     ("cut-short", "\"rank\":2", ""),
     ("unknown-field", "\"rank\":2", "\"rang\":2"),
@@ -20,9 +22,9 @@
     ("no-attempts", "\"attempts\":2", "\"attempts\":0"),
 ];
 
-/// Each bad document is refused with its code, the place and the reason.
+/// Guards against an error that doesn't name the code, the place or the reason.
 #[test]
-fn bad_documents_are_told_with_code_and_place() {
+fn bad_documents_are_reported_with_code_and_place() {
     let good = serde_json::to_string(&document(1.0)).unwrap();
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let mut messages = String::new();
--- a/crates/ctl/tests/all/examples.rs
+++ b/crates/ctl/tests/all/examples.rs
@@ -1,4 +1,4 @@
-//! The presets shipped as examples.
+//! Presets that are shipped as examples.
 
 use std::path::Path;
 
--- a/crates/ctl/tests/all/explain.rs
+++ b/crates/ctl/tests/all/explain.rs
@@ -1,9 +1,10 @@
-//! A request's story out of the nodes' logs.
+//! Timelines of requests from the nodes' logs.
 
 use geranium_ctl::LogScanner;
 
-/// Lines of two nodes, as a collector mixes them: out of order, with a prefix,
-/// with lines about others and one that is cut short.
+/// Lines of two nodes, as a log collector mixes them.
+///
+/// They are out of order and have a prefix; some are about other requests, and one is cut off.
 const LINES: &str = r#"
  3.1 n1 {"msg":"door refused","ts":"2026-06-01T10:00:03.100Z","node":"n1","request":"q7","at":"10.1.0.5:7600","instance":"i-5","reason":"leaving","retry_after_ms":50}
  2.0 n1 {"msg":"member announced","ts":"2026-06-01T10:00:02.000Z","node":"n1","at":"10.1.0.5:7600","instance":"i-5","service":"orders","state":"ready","revision":41}
@@ -20,7 +21,7 @@
     scanner.finish()
 }
 
-/// Returns what was believed at the first decision about request `q`.
+/// Returns the member report shown with the first decision about request `q`.
 fn first_member_report(text: &str) -> Option<String> {
     let mut scanner = LogScanner::new("q");
     scanner.read(text.as_bytes()).expect("bytes can be read");
@@ -28,18 +29,18 @@
 }
 
 #[test]
-fn a_story_is_in_order_and_names_its_inputs() {
+fn a_timeline_is_in_order_and_names_its_inputs() {
     insta::assert_snapshot!(timeline("q7"), @r"
     request q7
-    2026-06-01T10:00:03.100Z n1: the node at 10.1.0.5:7600 refused it for its backend server i-5: leaving (room expected in 50 ms); it did not run there
-    2026-06-01T10:00:03.250Z n1: the try at 10.1.0.6:7600 (backend server i-6) broke after it was sent and may have run: connection closed
-    2026-06-01T10:00:03.300Z n1: given up with 502 (131 backend-broke) after 220 ms and 2 tries on service orders by configuration 12; cause connection closed; come back in - ms
+    2026-06-01T10:00:03.100Z n1: the node at 10.1.0.5:7600 refused it for its backend server i-5: leaving (capacity expected in 50 ms); it did not run there
+    2026-06-01T10:00:03.250Z n1: the connection of the try at 10.1.0.6:7600 (backend server i-6) broke after the request was sent, so it may have run: connection closed
+    2026-06-01T10:00:03.300Z n1: failed with 502 (131 backend-broke) after 220 ms and 2 tries on service orders under configuration 12; cause connection closed; retry after - ms
     3 lines were dropped or withheld under load; more may have happened
     ");
 }
 
 #[test]
-fn what_was_believed_before_stands_beside_a_decision() {
+fn the_last_member_report_is_shown_with_a_decision() {
     let text = r#"{"msg":"member announced","ts":"1","node":"n1","at":"a","service":"s","instance":"i","state":"ready","revision":4}
 {"msg":"door refused","ts":"2","node":"n1","request":"q","at":"a","instance":"i","reason":"full","retry_after_ms":9}"#;
     let member_report = first_member_report(text);
@@ -49,9 +50,9 @@
     );
 }
 
-/// Guards against a story without its belief where many announcements share a line.
+/// Guards against a missing member report when many announcements share a log line.
 #[test]
-fn a_belief_is_found_among_many_in_one_line() {
+fn a_member_report_is_found_in_a_line_about_many_members() {
     let text = r#"{"msg":"members announced","ts":"1","node":"n1","count":2,"members":"a 4 ready s i; b 5 leaving t j"}
 {"msg":"door refused","ts":"2","node":"n1","request":"q","at":"b","instance":"j","reason":"leaving","retry_after_ms":9}"#;
     let member_report = first_member_report(text);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn an_unknown_request_has_no_events_and_tells_of_missing_lines() {
+fn an_unknown_request_has_no_events_and_counts_missing_lines() {
     let timeline = timeline("nobody");
     assert!(timeline.events.is_empty());
     assert_eq!((timeline.dropped_lines, timeline.unreadable_lines), (3, 1));
--- a/crates/ctl/tests/all/fleet.rs
+++ b/crates/ctl/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet's state, asked from nodes' pages.
+//! Status of the fleet, read from the nodes' pages.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -11,7 +11,7 @@
 
 use crate::support::{MemoryStore, codec, put_in_force, store_with_presets, wait};
 
-/// Starts a node's pages on an address of its own and a port that all share.
+/// Serves a node's pages at its own IP address, on the port that all nodes share.
 fn serve_pages(ip: [u8; 4], port: u16, status: Value, members: Value) {
     let listener = TcpListener::bind(SocketAddr::from((ip, port))).unwrap();
     thread::spawn(move || {
@@ -52,8 +52,9 @@
     })
 }
 
-/// Nodes that follow `versions`, and one that is announced and silent; returns
-/// the port of their pages and the address of the first.
+/// Starts nodes that use `versions`; one more node is announced but doesn't answer.
+///
+/// Returns the port of their pages and the address of the first node's.
 fn start(group: u8, versions: &[u64]) -> (u16, SocketAddr) {
     let ips: Vec<[u8; 4]> = (1..=versions.len() as u8 + 1)
         .map(|number| [127, 9, group, number])
@@ -84,8 +85,8 @@
     Ok(serde_json::from_str(&text).unwrap())
 }
 
-/// A peak preset is in force, one node lags and one doesn't answer. An operator
-/// sees both by name, having named a single node.
+/// Guards against a status that leaves out a node with an older version or one that doesn't
+/// answer, when the operator named a single node.
 #[test]
 fn status_names_lagging_and_silent_nodes() {
     let (port, node) = start(1, &[2, 1, 2]);
@@ -100,10 +101,10 @@
     assert_eq!(report["silent"].as_array().unwrap().len(), 1);
 }
 
-/// The store is away, or what was read of it is old. The nodes' newest version
-/// is what the fleet follows.
+/// Guards against showing an old version as the one in force when the store is unavailable or
+/// the read from it is stale. The nodes' newest version counts then.
 #[test]
-fn status_goes_by_the_nodes_when_the_store_is_behind_or_away() {
+fn status_uses_the_nodes_version_when_the_store_is_behind_or_away() {
     let (port, node) = start(2, &[2, 1]);
     for store in [Some(store_with_presets()), None] {
         let is_away = store.is_none();
--- a/crates/ctl/tests/all/main.rs
+++ b/crates/ctl/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' client, one module a subject.
+//! Tests of the operators' client, one module for each subject.
 
 mod activation_faults;
 mod activation_races;
--- a/crates/ctl/tests/all/messages.rs
+++ b/crates/ctl/tests/all/messages.rs
@@ -1,4 +1,4 @@
-//! What operators read: help, reports and errors.
+//! Texts for operators: help, reports and errors.
 
 use std::path::Path;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Hides what differs from run to run.
+/// Replaces operation identifiers and times, which differ between runs.
 fn redact(text: &str) -> String {
     let words = text.split_inclusive([' ', '\n', ',', '"']).map(|word| {
         let bare = word.trim_end_matches([' ', '\n', ',', '"', ')']);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn reports_read_well() {
+fn reports_are_readable() {
     let session = session();
     let commands = [
         Command::List,
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn errors_tell_who_and_what() {
+fn errors_name_their_code_and_cause() {
     let lost = || StoreError::NoAnswer {
         reason: "connection refused".to_owned(),
     };
--- a/crates/ctl/tests/all/store_copies.rs
+++ b/crates/ctl/tests/all/store_copies.rs
@@ -1,11 +1,12 @@
-//! A store that comes back from an older copy between activations.
+//! Activations after the store came back from an older copy of its data.
 
 use geranium_ctl::activation_history;
 use geranium_node::store::StoreEra;
 
 use crate::support::{put_in_force, store_with_presets, version, wait};
 
-/// Guards against a version that nodes don't take, as they hold one that the store has lost.
+/// Guards against a version that nodes refuse because they already have a higher one, which
+/// the store has lost.
 #[test]
 fn the_next_version_is_above_those_that_were_lost() {
     let store = store_with_presets();
--- a/crates/ctl/tests/all/support/memory_store.rs
+++ b/crates/ctl/tests/all/support/memory_store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, whose calls can be made to fail.
+//! In-memory store whose calls can be made to fail.
 
 use std::{
     collections::BTreeMap,
@@ -14,21 +14,21 @@
 /// How a call fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFault {
-    /// It is turned away; nothing is done.
+    /// The store refuses the call and does nothing.
     Refuse,
-    /// It is done, and its answer lost.
-    LoseAnswer,
-    /// It is lost on its way.
+    /// The call takes effect, and its response is lost.
+    LoseResponse,
+    /// The call is lost before it reaches the store.
     LoseRequest,
-    /// It gets no answer, and is done two calls later if its condition holds.
+    /// The call gets no response and takes effect two calls later, if its condition holds then.
     ApplyLate,
 }
 
-/// A store in memory.
+/// In-memory store.
 #[derive(Debug, Default)]
 pub struct MemoryStore(Mutex<MemoryState>);
 
-/// A copy of what a store in memory holds.
+/// Copy of the data of an in-memory store.
 #[derive(Debug)]
 pub struct MemorySnapshot {
     items: BTreeMap<String, (Revision, Vec<u8>)>,
@@ -54,7 +54,7 @@
 }
 
 impl MemoryStore {
-    /// Returns how many calls were made.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
@@ -66,18 +66,18 @@
         state.faults.insert(call, fault);
     }
 
-    /// Is away from the `nth` call from now on.
+    /// Makes every call fail, beginning with the `nth` from now.
     pub fn fail_from(&self, nth: u64) {
         let mut state = self.state();
         state.down_from = Some(state.calls + nth);
     }
 
-    /// Is back.
+    /// Ends the failure that [`Self::fail_from`] began.
     pub fn recover(&self) {
         self.state().down_from = None;
     }
 
-    /// Copies what it holds.
+    /// Returns a copy of the data.
     pub fn copy(&self) -> MemorySnapshot {
         let state = self.state();
         MemorySnapshot {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Comes back from a copy, in a new era.
+    /// Replaces the data by a copy and begins a new era.
     pub fn restore_from(&self, copy: MemorySnapshot) {
         let mut state = self.state();
         state.era = StoreEra(state.era.0 + 1);
@@ -98,7 +98,7 @@
         state.revision = copy.revision;
     }
 
-    /// Forgets the faults that didn't come to pass.
+    /// Removes the faults that haven't occurred yet.
     pub fn clear_faults(&self) {
         self.state().faults.clear();
     }
@@ -109,7 +109,7 @@
 }
 
 impl MemoryState {
-    /// Counts a call and returns the fault that it meets.
+    /// Counts a call, applies due delayed writes and returns the call's fault.
     fn start_call(&mut self) -> Result<Option<CallFault>, StoreError> {
         let call = self.calls;
         self.calls += 1;
@@ -165,7 +165,7 @@
     }
 }
 
-fn lost() -> StoreError {
+fn lost_response() -> StoreError {
     StoreError::NoAnswer {
         reason: "lost".to_owned(),
     }
@@ -179,7 +179,7 @@
     ) -> Result<StoreRead, StoreError> {
         let mut state = self.state();
         if state.start_call()?.is_some() {
-            return Err(lost());
+            return Err(lost_response());
         }
         Ok(StoreRead {
             item: state.item(key),
@@ -194,7 +194,7 @@
     ) -> Result<StoreList, StoreError> {
         let mut state = self.state();
         if state.start_call()?.is_some() {
-            return Err(lost());
+            return Err(lost_response());
         }
         let keys = state.items.keys().filter(|key| key.starts_with(prefix));
         Ok(StoreList {
@@ -225,15 +225,15 @@
         let mut state = self.state();
         match state.start_call()? {
             None | Some(CallFault::Refuse) => state.apply(&writes),
-            Some(CallFault::LoseAnswer) => {
-                let _answer = state.apply(&writes);
-                Err(lost())
+            Some(CallFault::LoseResponse) => {
+                let _response = state.apply(&writes);
+                Err(lost_response())
             }
-            Some(CallFault::LoseRequest) => Err(lost()),
+            Some(CallFault::LoseRequest) => Err(lost_response()),
             Some(CallFault::ApplyLate) => {
                 let at = state.calls + 1;
                 state.delayed_writes.push((at, writes));
-                Err(lost())
+                Err(lost_response())
             }
         }
     }
--- a/crates/ctl/tests/all/support/mod.rs
+++ b/crates/ctl/tests/all/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several subjects share.
+//! Test support that several modules share.
 
 mod memory_store;
 
@@ -17,7 +17,7 @@
 pub const WRITE_TRIES: u32 = 3;
 pub const CONFIG_KEY: &str = "config";
 
-/// Writes configurations as the product's own JSON.
+/// Returns a codec that stores configurations as the product's own JSON.
 pub fn codec() -> ConfigCodec {
     ConfigCodec {
         source: ConfigSource {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Runs a future to its end.
+/// Runs a future to completion.
 pub fn wait<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -44,7 +44,7 @@
     text.parse().unwrap()
 }
 
-/// A small preset whose one route waits for so many seconds.
+/// Returns a small preset whose only route has this timeout in seconds.
 pub fn document(timeout_s: f64) -> PresetDocument {
     let text = format!(
         r#"{{"services":[{{"name":"verdskra","health_path":"/health","connections":130}}],
@@ -80,7 +80,7 @@
     ))
 }
 
-/// A store with `ordinary-day` in force as version 1, and `peak` beside it.
+/// Returns a store with `ordinary-day` in force as version 1, and the preset `peak`.
 pub fn store_with_presets() -> MemoryStore {
     let store = MemoryStore::default();
     put(&store, "ordinary-day", 1.0).unwrap();
@@ -89,7 +89,7 @@
     store
 }
 
-/// The configuration in force.
+/// Reads the configuration in force.
 pub fn active_config(store: &MemoryStore) -> ConfigInput {
     let read = wait(store.read(CONFIG_KEY, ReadConsistency::Linearizable)).unwrap();
     (codec().source.parse)(&read.item.unwrap().value).unwrap()
