--- a/crates/ctl/src/ctl_error.rs
+++ b/crates/ctl/src/ctl_error.rs
@@ -103,7 +103,7 @@
     WriteUnknown {
         /// Identifier of the write, as in its stamp.
         operation: String,
-        /// Last error of the store.
+        /// Error of the store that one of the tries ended with.
         source: StoreError,
     },
     /// The member page of a node can't be read.
--- a/crates/ctl/src/explain/timeline_event.rs
+++ b/crates/ctl/src/explain/timeline_event.rs
@@ -16,7 +16,7 @@
     pub text: String,
     /// Time and text of the node's last event about the member that the decision names.
     ///
-    /// None if its log has no earlier event about that member.
+    /// None if no such event was read from the logs before the decision.
     #[serde(rename = "belief")]
     pub member_report: Option<String>,
 }
--- a/crates/ctl/src/write_outcome.rs
+++ b/crates/ctl/src/write_outcome.rs
@@ -17,7 +17,7 @@
         /// Whether an earlier try got no response.
         response_lost: bool,
     },
-    /// It isn't known whether the write took effect; holds the last error.
+    /// It isn't known whether the write took effect; holds the error of one of the tries.
     Unknown(StoreError),
 }
 
@@ -36,25 +36,25 @@
     writes: &[StoreWrite<'_>],
     retry_schedule: RetrySchedule,
 ) -> Result<WriteOutcome, StoreError> {
-    let mut last_failure = None;
+    let mut earlier_failure = None;
     for pause in retry_schedule.pauses() {
         sleep(pause).await;
         match store.commit(writes).await {
             Ok(revision) => return Ok(WriteOutcome::Done(revision)),
             Err(StoreError::Conflict { .. }) => {
-                let response_lost = matches!(last_failure, Some(StoreError::NoAnswer { .. }));
+                let response_lost = matches!(earlier_failure, Some(StoreError::NoAnswer { .. }));
                 return Ok(WriteOutcome::Refused { response_lost });
             }
-            Err(failure @ StoreError::NoAnswer { .. }) => last_failure = Some(failure),
+            Err(failure @ StoreError::NoAnswer { .. }) => earlier_failure = Some(failure),
             // This try did nothing, but an earlier one without a response may have taken effect.
             Err(failure @ StoreError::Busy { .. }) => {
-                last_failure = last_failure.or(Some(failure));
+                earlier_failure = earlier_failure.or(Some(failure));
             }
-            Err(failure) if last_failure.is_none() => return Err(failure),
+            Err(failure) if earlier_failure.is_none() => return Err(failure),
             Err(failure) => return Ok(WriteOutcome::Unknown(failure)),
         }
     }
-    match last_failure {
+    match earlier_failure {
         Some(failure @ StoreError::NoAnswer { .. }) => Ok(WriteOutcome::Unknown(failure)),
         Some(failure) => Err(failure),
         None => Err(StoreError::Busy { status: 0 }),
