--- a/crates/ctl/src/commands/activate_command.rs
+++ b/crates/ctl/src/commands/activate_command.rs
@@ -1,4 +1,4 @@
-//! `activate`.
+//! The command `activate`.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use crate::{ActivationRecord, ActivationRequest, CtlError, PresetName, Session, activate};
 
-/// What `activate` prints.
+/// Output of `activate`.
 #[derive(Debug, Serialize)]
 pub struct ActivateReport {
     activated: ActivationRecord,
@@ -24,7 +24,13 @@
         expect_version,
         stamp: session.stamp()?,
     };
-    let activation = activate(session.store()?, session.codec, &request, session.patience).await?;
+    let activation = activate(
+        session.store()?,
+        session.codec,
+        &request,
+        session.retry_schedule,
+    )
+    .await?;
     Ok(ActivateReport {
         activated: activation.record,
         answered: activation.answered,
@@ -37,7 +43,7 @@
         if !self.answered {
             writeln!(
                 f,
-                "the store's answer was lost; the own record was recognised"
+                "the store's response was lost, but the history holds this activation"
             )?;
         }
         Ok(())
--- a/crates/ctl/src/commands/preset_commands.rs
+++ b/crates/ctl/src/commands/preset_commands.rs
@@ -1,4 +1,4 @@
-//! `check`, `put`, `list`, `show` and `diff`.
+//! The commands `check`, `put`, `list`, `show` and `diff`.
 
 use std::{fmt, path::Path};
 
@@ -10,25 +10,25 @@
     Session,
 };
 
-/// What `check` prints.
+/// Output of `check`.
 #[derive(Debug, Serialize)]
 pub struct CheckReport {
     services: usize,
     routes: usize,
 }
 
-/// What `put` prints.
+/// Output of `put`.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 pub struct PutReport(PresetRecord);
 
-/// What `list` prints.
+/// Output of `list`.
 #[derive(Debug, Serialize)]
 pub struct ListReport {
     presets: Vec<PresetRecord>,
 }
 
-/// What `show` prints.
+/// Output of `show`.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 pub struct ShowReport(PresetRecord);
@@ -47,13 +47,13 @@
     file: &Path,
 ) -> Result<PutReport, CtlError> {
     let document = PresetDocument::from_file(file)?;
-    let catalogue = PresetCatalogue::new(session.store()?, session.patience);
+    let catalogue = PresetCatalogue::new(session.store()?, session.retry_schedule);
     let stored = catalogue.put(name, document, session.stamp()?).await?;
     Ok(PutReport(stored))
 }
 
 pub async fn list(session: &Session<impl MetaStore>) -> Result<ListReport, CtlError> {
-    let catalogue = PresetCatalogue::new(session.store()?, session.patience);
+    let catalogue = PresetCatalogue::new(session.store()?, session.retry_schedule);
     Ok(ListReport {
         presets: catalogue.list().await?,
     })
@@ -63,7 +63,7 @@
     session: &Session<impl MetaStore>,
     name: &PresetName,
 ) -> Result<ShowReport, CtlError> {
-    let catalogue = PresetCatalogue::new(session.store()?, session.patience);
+    let catalogue = PresetCatalogue::new(session.store()?, session.retry_schedule);
     Ok(ShowReport(catalogue.get(name).await?))
 }
 
@@ -84,7 +84,7 @@
     match source {
         PresetSource::File(path) => PresetDocument::from_file(path),
         PresetSource::Named(name) => {
-            let catalogue = PresetCatalogue::new(session.store()?, session.patience);
+            let catalogue = PresetCatalogue::new(session.store()?, session.retry_schedule);
             Ok(catalogue.get(name).await?.document)
         }
     }
@@ -93,7 +93,7 @@
 impl fmt::Display for CheckReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { services, routes } = self;
-        writeln!(f, "good: {services} services, {routes} routes")
+        writeln!(f, "valid: {services} services, {routes} routes")
     }
 }
 
--- a/crates/ctl/src/commands/status_command.rs
+++ b/crates/ctl/src/commands/status_command.rs
@@ -1,4 +1,4 @@
-//! `status`.
+//! The command `status`.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -15,22 +15,23 @@
     fleet,
 };
 
-/// What the store says of the fleet.
+/// Version in force and addresses of the nodes, from the store or from a node.
 struct StoreView {
     version: ConfigVersion,
     peer_addrs: Vec<SocketAddr>,
 }
 
-/// Asks every node that the store names. While the store is away, the nodes
-/// that were given on the command line name the others.
+/// Reads the status of every node that is announced in the store.
+///
+/// If the store can't be read, the nodes given on the command line name the others.
 pub async fn status(session: &Session<impl MetaStore>) -> Result<FleetStatus, CtlError> {
-    let seen = look(session).await;
-    if let (Err(_), true) = (&seen, session.nodes.is_empty()) {
-        return Err(seen.err().unwrap_or(CtlError::NoStore));
+    let store_result = read_store(session).await;
+    if let (Err(_), true) = (&store_result, session.nodes.is_empty()) {
+        return Err(store_result.err().unwrap_or(CtlError::NoStore));
     }
-    let (view, store) = match seen {
+    let (view, store) = match store_result {
         Ok(view) => (view, None),
-        Err(error) => (named_by_nodes(session)?, Some(error.to_string())),
+        Err(error) => (read_members_from_nodes(session)?, Some(error.to_string())),
     };
     let pages = view.peer_addrs.iter();
     let pages = pages.map(|peer_addr| SocketAddr::new(peer_addr.ip(), session.status_port));
@@ -38,7 +39,8 @@
     Ok(FleetStatus::new(fleet::survey(pages), view.version, store))
 }
 
-async fn look(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
+/// Reads the version in force and the announced nodes from the store.
+async fn read_store(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
     let store = session.store()?;
     let source = session.codec.source;
     let read = store
@@ -49,7 +51,7 @@
         Some(item) => {
             let input = (source.parse)(&item.value);
             input
-                .context(BadDocumentSnafu { place: source.key })?
+                .context(BadDocumentSnafu { origin: source.key })?
                 .version
         }
         None => ConfigVersion(0),
@@ -64,7 +66,10 @@
     })
 }
 
-fn named_by_nodes(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
+/// Reads the known members from the first node of the command line that answers.
+///
+/// Returns the last node's error if none answers.
+fn read_members_from_nodes(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
     let mut failure = CtlError::NoStore;
     for &addr in &session.nodes {
         match StatusClient::new(addr)
--- a/crates/ctl/src/explain/log_scan.rs
+++ b/crates/ctl/src/explain/log_scanner.rs
@@ -1,4 +1,4 @@
-//! Reading of log lines.
+//! Search of nodes' logs for the lines about one request.
 
 use std::{
     collections::HashMap,
@@ -7,52 +7,53 @@
 
 use serde_json::{Map, Value};
 
-use super::{RequestStory, StoryEvent};
+use super::{RequestTimeline, TimelineEvent};
 
-/// Messages about what a node believes of a member, which may explain a
-/// decision that names the member.
-const BELIEFS: [&str; 3] = ["member announced", "announcement missing", "member gone"];
+/// Messages about a member's announcement, which may explain why a node sent a request there.
+const MEMBER_MESSAGES: [&str; 3] = ["member announced", "announcement missing", "member gone"];
 
-/// Collects what logs tell about one request.
+/// Collects the log events of one request from the logs of any number of nodes.
 #[derive(Debug)]
-pub struct LogScan {
+pub struct LogScanner {
     request: String,
-    events: Vec<StoryEvent>,
-    /// Last line about each member, by the node that wrote it.
-    beliefs: HashMap<(String, String), StoryEvent>,
+    events: Vec<TimelineEvent>,
+    /// Last announcement event of each member, by the node that logged it and the member's
+    /// address.
+    member_events: HashMap<(String, String), TimelineEvent>,
     dropped: u64,
     unreadable: u64,
 }
 
-impl LogScan {
-    /// Makes a scan for the request with this identifier.
+impl LogScanner {
+    /// Creates a scanner for the request with this identifier.
     pub fn new(request: impl Into<String>) -> Self {
         Self {
             request: request.into(),
             events: Vec::new(),
-            beliefs: HashMap::new(),
+            member_events: HashMap::new(),
             dropped: 0,
             unreadable: 0,
         }
     }
 
-    /// Reads lines to the end. What stands before the first brace of a line,
-    /// as log collectors put it, is passed over.
+    /// Reads log lines up to the end of the input.
+    ///
+    /// Text before the first brace of a line, such as a log collector's prefix, is skipped.
     ///
     /// # Errors
     ///
-    /// When the input can't be read.
+    /// Returns an error if the input can't be read.
     pub fn read(&mut self, lines: impl BufRead) -> Result<()> {
         for line in lines.lines() {
-            self.take(&line?);
+            self.scan_line(&line?);
         }
         Ok(())
     }
 
-    /// Puts what was found in order.
-    pub fn finish(mut self) -> RequestStory {
+    /// Returns the events that were found, in order of their time.
+    pub fn finish(mut self) -> RequestTimeline {
         self.events.sort_by(|a, b| a.time.cmp(&b.time));
-        RequestStory {
+        RequestTimeline {
             request: self.request,
             events: self.events,
             dropped_lines: self.dropped,
@@ -60,7 +61,8 @@
         }
     }
 
-    fn take(&mut self, line: &str) {
+    /// Keeps the line's event if it is about the request or about a member's announcement.
+    fn scan_line(&mut self, line: &str) {
         let Some(start) = line.find('{') else {
             return;
         };
@@ -75,22 +77,22 @@
             self.dropped += count.and_then(Value::as_u64).unwrap_or(0);
         }
         if message == "members announced" {
-            self.take_members(&fields);
+            self.scan_members_line(&fields);
             return;
         }
         let (node, at) = (text("node").to_owned(), text("at").to_owned());
-        let concerned = text("request") == self.request;
-        let event = StoryEvent::new(message, &fields);
-        if BELIEFS.contains(&&*event.message) {
-            self.beliefs.insert((node, at), event);
-        } else if concerned {
-            let belief = self.beliefs.get(&(node, at)).cloned();
-            self.events.push(event.because(belief));
+        let is_about_request = text("request") == self.request;
+        let event = TimelineEvent::new(message, &fields);
+        if MEMBER_MESSAGES.contains(&&*event.message) {
+            self.member_events.insert((node, at), event);
+        } else if is_about_request {
+            let last_event = self.member_events.get(&(node, at)).cloned();
+            self.events.push(event.with_member_event(last_event));
         }
     }
 
-    /// Takes in a line that tells of many announcements.
-    fn take_members(&mut self, line: &Map<String, Value>) {
+    /// Splits a line about many announcements into one event for each member.
+    fn scan_members_line(&mut self, line: &Map<String, Value>) {
         let text = |name: &str| line.get(name).and_then(Value::as_str).unwrap_or_default();
         for row in text("members").split("; ") {
             let names = ["at", "revision", "state", "service", "instance"];
@@ -102,8 +104,8 @@
             }
             let at = fields.get("at").and_then(Value::as_str).unwrap_or_default();
             let member = (text("node").to_owned(), at.to_owned());
-            let event = StoryEvent::new("member announced".to_owned(), &fields);
-            self.beliefs.insert(member, event);
+            let event = TimelineEvent::new("member announced".to_owned(), &fields);
+            self.member_events.insert(member, event);
         }
     }
 }
--- a/crates/ctl/src/presets/activation.rs
+++ b/crates/ctl/src/presets/activation.rs
@@ -1,4 +1,4 @@
-//! Putting presets in force.
+//! Activation of presets: writing one as the configuration in force.
 
 use geranium_node::{
     config::ConfigVersion,
@@ -7,57 +7,60 @@
 use snafu::ResultExt;
 
 use super::{
-    ActivationRecord, ConfigCodec, PresetCatalogue, PresetName, activation_history::place_of,
+    ActivationRecord, ConfigCodec, PresetCatalogue, PresetName, activation_history::read_slot,
     record,
 };
 use crate::{
-    CtlError, Patience, SettledWrite, WriteStamp,
+    CtlError, RetrySchedule, WriteOutcome, WriteStamp,
     ctl_error::{BadDocumentSnafu, StoreSnafu},
-    settle,
+    write_with_retries,
 };
 
-/// What an operator wants in force.
+/// An operator's request to put a preset in force.
 #[derive(Debug, Clone)]
 pub struct ActivationRequest {
-    /// Preset.
+    /// Name of the preset.
     pub preset: PresetName,
-    /// Version that must be in force now, if the operator says so.
+    /// Version that must be in force now, if the operator gave one.
     pub expect_version: Option<ConfigVersion>,
-    /// Who asks.
+    /// Operator, time and identifier of the write.
     pub stamp: WriteStamp,
 }
 
-/// Step over the versions that a store may have lost with its latest seconds.
-const LOST_VERSIONS: u64 = 1_000;
+/// Step to the next version after the store came back from an older copy.
+///
+/// The store may have lost the versions written in its latest seconds, far fewer than this.
+const VERSION_STEP_AFTER_RESTORE: u64 = 1_000;
 
 /// An activation that took effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Activation {
-    /// Its record.
+    /// Record of the activation in the history.
     pub record: ActivationRecord,
-    /// False when the answer was lost and the own record was recognised.
+    /// Whether the store acknowledged the write. It is false when the response was lost and
+    /// the record was then found in the history.
     pub answered: bool,
 }
 
 /// Puts a preset in force under the next version.
 ///
-/// Configuration and history are written together, under the condition that
-/// the version read before is still in force: of several operators one wins,
-/// and a crash leaves the old version or the new one, whole.
+/// Configuration and history are written in one transaction, on condition that the
+/// configuration hasn't changed since it was read. So only one of several concurrent
+/// activations succeeds, and a crash leaves either the old version or the new one, complete.
 ///
 /// # Errors
 ///
-/// [`CtlError::LostActivation`] when another version is in force than expected
-/// or another activation came first; [`CtlError::WriteUnknown`] when no answer
-/// came; a bad preset or a failure of the store otherwise, with nothing
-/// changed.
+/// Returns [`CtlError::LostActivation`] if another version is in force than expected or
+/// another activation came first, and [`CtlError::WriteUnknown`] if it isn't known whether the
+/// write took effect. After any other error, such as a bad preset or a failure of the store,
+/// nothing was changed.
 pub async fn activate(
     store: &impl MetaStore,
     codec: ConfigCodec,
     request: &ActivationRequest,
-    patience: Patience,
+    retry_schedule: RetrySchedule,
 ) -> Result<Activation, CtlError> {
-    let catalogue = PresetCatalogue::new(store, patience);
+    let catalogue = PresetCatalogue::new(store, retry_schedule);
     let preset = catalogue.get(&request.preset).await?;
     preset.document.check(preset.name.as_str())?;
     let (revision, in_force) = in_force(store, codec).await?;
@@ -65,87 +68,101 @@
         .expect_version
         .is_some_and(|expected| expected != in_force)
     {
-        return Err(lost(store, in_force).await);
+        return Err(lost_activation_error(store, in_force).await);
     }
     let era = revision.era();
     let version = next_version(store, in_force, era).await?;
-    let own = ActivationRecord {
+    let new_record = ActivationRecord {
         version,
         preset: preset.name,
         stamp: request.stamp.clone(),
         era,
     };
-    let place = place_of(store, version).await?;
-    let entry = record::bytes(&own);
+    let slot = read_slot(store, version).await?;
+    let entry = record::to_bytes(&new_record);
     let config = (codec.write)(&preset.document.into_input(version));
     let writes = [
         StoreWrite::put(codec.source.key, &config, revision),
-        StoreWrite::put(&place.key, &entry, place.revision),
+        StoreWrite::put(&slot.key, &entry, slot.revision),
     ];
-    match settle(store, &writes, patience).await {
-        Ok(SettledWrite::Done(_)) => Ok(Activation {
-            record: own,
+    match write_with_retries(store, &writes, retry_schedule).await {
+        Ok(WriteOutcome::Done(_)) => Ok(Activation {
+            record: new_record,
             answered: true,
         }),
-        Ok(SettledWrite::Unknown(source)) => Err(CtlError::WriteUnknown {
-            operation: own.stamp.operation,
+        Ok(WriteOutcome::Unknown(source)) => Err(CtlError::WriteUnknown {
+            operation: new_record.stamp.operation,
             source,
         }),
-        Ok(SettledWrite::Refused { lost_answer }) => {
-            if lost_answer && stands(store, &own).await? {
+        Ok(WriteOutcome::Refused { response_lost }) => {
+            if response_lost && is_recorded(store, &new_record).await? {
                 return Ok(Activation {
-                    record: own,
+                    record: new_record,
                     answered: false,
                 });
             }
-            Err(overtaken(store, codec, version).await)
+            Err(lost_race_error(store, codec, version).await)
         }
         Err(source) => Err(CtlError::Store { source }),
     }
 }
 
-/// Returns the version of the next activation, in the store's era `era`.
+/// Returns the version for the next activation, in the store's era `era`.
 ///
-/// A store that has come back from an older copy since the last one may have lost later
-/// versions. Nodes hold those and take none that isn't higher.
+/// If the store came back from an older copy since the last activation, it may have lost
+/// later versions. Nodes still have those in force and accept only higher versions.
 async fn next_version(
     store: &impl MetaStore,
     in_force: ConfigVersion,
     era: StoreEra,
 ) -> Result<ConfigVersion, CtlError> {
-    let last = place_of(store, in_force).await?.record;
+    let last = read_slot(store, in_force).await?.record;
     let last = last.filter(|record| record.version == in_force);
     let step = if last.is_some_and(|record| record.era < era) {
-        LOST_VERSIONS
+        VERSION_STEP_AFTER_RESTORE
     } else {
         1
     };
     Ok(ConfigVersion(in_force.0 + step))
 }
 
-/// Finds out whether an activation that was refused after a lost answer had
-/// been done before, unheard. While the store can't tell, nobody knows.
-async fn stands(store: &impl MetaStore, own: &ActivationRecord) -> Result<bool, CtlError> {
-    match place_of(store, own.version).await {
-        Ok(place) => Ok(place.record.as_ref() == Some(own)),
+/// Returns whether the history holds this activation.
+///
+/// A write refused after a lost response may have taken effect with an earlier try. If the
+/// store can't be read then, the outcome is unknown.
+async fn is_recorded(
+    store: &impl MetaStore,
+    new_record: &ActivationRecord,
+) -> Result<bool, CtlError> {
+    match read_slot(store, new_record.version).await {
+        Ok(slot) => Ok(slot.record.as_ref() == Some(new_record)),
         Err(CtlError::Store { source }) => Err(CtlError::WriteUnknown {
-            operation: own.stamp.operation.clone(),
+            operation: new_record.stamp.operation.clone(),
             source,
         }),
         Err(other) => Err(other),
     }
 }
 
-/// Says who came first; `version` is the least that is in force by now.
-async fn overtaken(store: &impl MetaStore, codec: ConfigCodec, version: ConfigVersion) -> CtlError {
+/// Returns the error that names the activation which came first.
+///
+/// `version` is the lowest version that can be in force now; it is reported if the store
+/// can't be read.
+async fn lost_race_error(
+    store: &impl MetaStore,
+    codec: ConfigCodec,
+    version: ConfigVersion,
+) -> CtlError {
     let now = match in_force(store, codec).await {
         Ok((_, now)) => now,
         Err(_) => version,
     };
-    lost(store, now).await
+    lost_activation_error(store, now).await
 }
 
-/// Returns the version in force and the revision of its key; 0 for none.
+/// Returns the revision of the configuration's key and the version in force.
+///
+/// Both are 0 if there is no configuration.
 async fn in_force(
     store: &impl MetaStore,
     codec: ConfigCodec,
@@ -158,14 +175,16 @@
         return Ok((Revision(0), ConfigVersion(0)));
     };
     let input = (codec.source.parse)(&item.value);
-    let input = input.context(BadDocumentSnafu { place: &*item.key })?;
+    let input = input.context(BadDocumentSnafu { origin: &*item.key })?;
     Ok((item.revision, input.version))
 }
 
-async fn lost(store: &impl MetaStore, in_force: ConfigVersion) -> CtlError {
-    let last = match place_of(store, in_force).await {
-        Ok(place) => place.record.filter(|record| record.version == in_force),
-        // The version alone tells enough; who made it is a courtesy.
+/// Returns [`CtlError::LostActivation`] with the activation of the version in force, if its
+/// record can be read.
+async fn lost_activation_error(store: &impl MetaStore, in_force: ConfigVersion) -> CtlError {
+    let last = match read_slot(store, in_force).await {
+        Ok(slot) => slot.record.filter(|record| record.version == in_force),
+        // The record only adds detail to the message; the version in force is enough.
         Err(_) => None,
     };
     CtlError::LostActivation {
--- a/crates/ctl/src/presets/preset_catalogue.rs
+++ b/crates/ctl/src/presets/preset_catalogue.rs
@@ -1,36 +1,40 @@
-//! The operators' named presets.
+//! Access to the named presets in the store.
 
 use geranium_node::store::{MetaStore, ReadConsistency, StoreWrite};
 use snafu::{OptionExt, ResultExt};
 
 use super::{PresetDocument, PresetName, PresetRecord, record};
 use crate::{
-    CtlError, Patience, SettledWrite, WriteStamp,
+    CtlError, RetrySchedule, WriteOutcome, WriteStamp,
     ctl_error::{StoreSnafu, UnknownPresetSnafu},
-    settle,
+    write_with_retries,
 };
 
-/// Prefix of the keys of presets.
+/// Prefix of the keys that hold presets; the preset's name follows it.
 const PRESET_PREFIX: &str = "geranium-operator/preset/";
 
-/// The operators' named presets.
+/// Named presets in a store, for listing, reading and writing.
 #[derive(Debug)]
 pub struct PresetCatalogue<'a, S> {
     store: &'a S,
-    patience: Patience,
+    retry_schedule: RetrySchedule,
 }
 
 impl<'a, S: MetaStore> PresetCatalogue<'a, S> {
-    /// Looks at the presets in `store`.
-    pub const fn new(store: &'a S, patience: Patience) -> Self {
-        Self { store, patience }
+    /// Creates a catalogue of the presets in `store`; writes are retried by `retry_schedule`.
+    pub const fn new(store: &'a S, retry_schedule: RetrySchedule) -> Self {
+        Self {
+            store,
+            retry_schedule,
+        }
     }
 
-    /// Lists every preset, by name.
+    /// Returns every preset, sorted by name.
     ///
     /// # Errors
     ///
-    /// [`CtlError::Store`] or [`CtlError::BadRecord`].
+    /// Returns [`CtlError::Store`] if the store fails and [`CtlError::BadRecord`] if a record
+    /// can't be parsed.
     pub async fn list(&self) -> Result<Vec<PresetRecord>, CtlError> {
         let list = self
             .store
@@ -43,12 +47,12 @@
             .collect()
     }
 
-    /// Returns a preset.
+    /// Returns the preset with this name.
     ///
     /// # Errors
     ///
-    /// [`CtlError::UnknownPreset`], [`CtlError::Store`] or
-    /// [`CtlError::BadRecord`].
+    /// Returns [`CtlError::UnknownPreset`] if there is none, [`CtlError::Store`] if the store
+    /// fails and [`CtlError::BadRecord`] if the record can't be parsed.
     pub async fn get(&self, name: &PresetName) -> Result<PresetRecord, CtlError> {
         let (_, preset) = record::read(self.store, &key_of(name)).await?;
         preset.context(UnknownPresetSnafu {
@@ -56,12 +60,15 @@
         })
     }
 
-    /// Stores a checked document under a name.
+    /// Stores a document under a name; the caller has checked the document.
+    ///
+    /// A compare-and-swap keeps two operators from overwriting each other unnoticed.
     ///
     /// # Errors
     ///
-    /// [`CtlError::LostPut`] when another operator stored one meanwhile;
-    /// [`CtlError::WriteUnknown`]; [`CtlError::Store`].
+    /// Returns [`CtlError::LostPut`] if another operator stored a preset under the name between
+    /// the read and the write, [`CtlError::WriteUnknown`] if it isn't known whether the write
+    /// took effect, and [`CtlError::Store`] if the store failed and nothing was written.
     pub async fn put(
         &self,
         name: &PresetName,
@@ -75,29 +82,29 @@
             .await
             .context(StoreSnafu)?;
         let revision = read.item.map(|item| item.revision).unwrap_or_default();
-        let own = PresetRecord {
+        let new_record = PresetRecord {
             name: name.clone(),
             stamp,
             document,
         };
-        let value = record::bytes(&own);
+        let value = record::to_bytes(&new_record);
         let writes = [StoreWrite::put(&key, &value, revision)];
-        match settle(self.store, &writes, self.patience).await {
-            Ok(SettledWrite::Done(_)) => Ok(own),
-            Ok(SettledWrite::Unknown(source)) => Err(CtlError::WriteUnknown {
-                operation: own.stamp.operation,
+        match write_with_retries(self.store, &writes, self.retry_schedule).await {
+            Ok(WriteOutcome::Done(_)) => Ok(new_record),
+            Ok(WriteOutcome::Unknown(source)) => Err(CtlError::WriteUnknown {
+                operation: new_record.stamp.operation,
                 source,
             }),
-            Ok(SettledWrite::Refused { lost_answer }) => {
+            Ok(WriteOutcome::Refused { response_lost }) => {
                 let current = match self.get(name).await {
-                    Err(CtlError::Store { source }) if lost_answer => {
-                        let operation = own.stamp.operation;
+                    Err(CtlError::Store { source }) if response_lost => {
+                        let operation = new_record.stamp.operation;
                         return Err(CtlError::WriteUnknown { operation, source });
                     }
                     found => found?,
                 };
-                if current.stamp == own.stamp {
-                    return Ok(own);
+                if current.stamp == new_record.stamp {
+                    return Ok(new_record);
                 }
                 let current = Box::new(current);
                 Err(CtlError::LostPut { current })
--- a/crates/ctl/tests/all/activation_faults.rs
+++ b/crates/ctl/tests/all/activation_faults.rs
@@ -1,6 +1,6 @@
-//! Activations that break at each of their steps in turn.
+//! Activations with a fault at each of their calls to the store in turn.
 
-use geranium_ctl::{CtlError, Patience, activate, activation_history};
+use geranium_ctl::{CtlError, RetrySchedule, activate, activation_history};
 use geranium_node::{
     config::ConfigVersion,
     result_code::ResultCode,
@@ -8,27 +8,27 @@
 };
 
 use crate::support::{
-    CallFault, MemoryStore, codec, document, in_force, prepared, put, put_in_force, request,
-    version, wait,
+    CallFault, MemoryStore, active_config, codec, document, put, put_in_force, request,
+    store_with_presets, version, wait,
 };
 
 const FAULTS: [CallFault; 4] = [
     CallFault::Refuse,
-    CallFault::LoseAnswer,
+    CallFault::LoseResponse,
     CallFault::LoseRequest,
-    CallFault::LandLate,
+    CallFault::ApplyLate,
 ];
 
 fn calls_of_activation() -> u64 {
-    let store = prepared();
+    let store = store_with_presets();
     let before = store.calls();
     put_in_force(&store, "peak").unwrap();
     store.calls() - before
 }
 
-/// Checks what holds whatever happened, and that the next activation works.
-fn assert_sound(store: &MemoryStore, context: &str) {
-    store.mend();
+/// Checks that the next activation works and that the history has every version.
+fn assert_consistent(store: &MemoryStore, context: &str) {
+    store.clear_faults();
     let before = version(store);
     let next = put_in_force(store, "ordinary-day").unwrap().record;
     assert_eq!(next.version.0, before.0 + 1, "{context}");
@@ -38,90 +38,94 @@
     assert_eq!(versions, all, "{context}");
 }
 
-/// One call of an activation fails: refused, or lost before or after it took
-/// effect, or late. The operator is told what holds: "activated" only if it is
-/// in force, "nothing was changed" only if it never will be.
+/// Guards against a report that doesn't match the store after one call of an activation is
+/// refused, lost before or after it took effect, or applied late. "Activated" is reported only
+/// if the preset is in force, "nothing was changed" only if it never will be.
 #[test]
-fn any_single_fault_is_told_truthfully() {
+fn a_single_fault_is_reported_correctly() {
     for (nth, fault) in (0..calls_of_activation()).flat_map(|nth| FAULTS.map(|fault| (nth, fault)))
     {
         let context = format!("call {nth}, {fault:?}");
-        let store = prepared();
+        let store = store_with_presets();
         store.fail_call(nth, fault);
         let outcome = put_in_force(&store, "peak");
-        // Late writes land within the next two calls.
+        // Delayed writes are applied within the next two calls.
         version(&store);
         version(&store);
         match outcome {
             Ok(activation) => {
                 assert_eq!(version(&store), activation.record.version, "{context}");
-                assert_eq!(in_force(&store).routes, document(2.0).routes, "{context}");
+                assert_eq!(
+                    active_config(&store).routes,
+                    document(2.0).routes,
+                    "{context}"
+                );
             }
             Err(CtlError::Store { .. }) => {
                 assert_eq!(version(&store), ConfigVersion(1), "{context}");
             }
             Err(other) => panic!("{context}: {other}"),
         }
-        assert_sound(&store, &context);
+        assert_consistent(&store, &context);
     }
 }
 
-/// The store goes down in the middle of an activation and comes back an hour
-/// later. What the operator was told still holds.
+/// Guards against a half-written configuration or a wrong report when the store becomes
+/// unavailable in the middle of an activation. The report still holds after it recovers.
 #[test]
 fn an_outage_at_any_step_leaves_a_whole_configuration() {
     for nth in 0..calls_of_activation() {
         let context = format!("down from call {nth}");
-        let store = prepared();
-        store.go_down_after(nth);
+        let store = store_with_presets();
+        store.fail_from(nth);
         let outcome = put_in_force(&store, "peak");
-        store.come_up();
+        store.recover();
         let error = outcome.unwrap_err();
         assert_eq!(error.code(), ResultCode::StoreUnavailable, "{context}");
         assert_eq!(version(&store), ConfigVersion(1), "{context}");
-        assert_sound(&store, &context);
+        assert_consistent(&store, &context);
     }
 }
 
-/// The answer to the write is lost and the store is gone after it. Nobody can
-/// know what holds; saying "failed" would make the operator activate twice,
-/// saying "done" would leave the fleet on the old preset.
+/// Guards against a definite report when the response to the write is lost and the store is
+/// unavailable afterwards, so that the outcome is unknown. Reporting a failure would make the
+/// operator activate twice; reporting success could leave the fleet on the old preset.
 #[test]
-fn an_outage_after_a_lost_answer_is_unknown() {
+fn an_outage_after_a_lost_response_is_reported_as_unknown() {
     let write = calls_of_activation() - 1;
-    for fault in [CallFault::LoseAnswer, CallFault::LoseRequest] {
-        let store = prepared();
+    for fault in [CallFault::LoseResponse, CallFault::LoseRequest] {
+        let store = store_with_presets();
         store.fail_call(write, fault);
-        store.go_down_after(write + 1);
+        store.fail_from(write + 1);
         let error = put_in_force(&store, "peak").unwrap_err();
         assert_eq!(error.code(), ResultCode::WriteUnknown, "{error}");
-        store.come_up();
-        assert_sound(&store, "after the outage");
+        store.recover();
+        assert_consistent(&store, "after the outage");
     }
 }
 
-/// An operator decided by version 1, and somebody else put version 2 in force
-/// meanwhile. With `--expect-version 1` nothing is overwritten unseen.
+/// Guards against overwriting a version that the operator hasn't seen: with
+/// `--expect-version 1`, an activation fails after another operator put version 2 in force.
 #[test]
 fn an_expected_version_that_passed_is_refused() {
-    let store = prepared();
+    let store = store_with_presets();
     put_in_force(&store, "peak").unwrap();
     let mut late = request("ordinary-day", "bera");
     late.expect_version = Some(ConfigVersion(1));
-    let patience = Patience::without_pause(1);
-    let error = wait(activate(&store, codec(), &late, patience)).unwrap_err();
+    let retry_schedule = RetrySchedule::without_pause(1);
+    let error = wait(activate(&store, codec(), &late, retry_schedule)).unwrap_err();
     assert_eq!(error.code(), ResultCode::LostRace);
     assert!(error.to_string().contains("by anna"), "{error}");
     assert_eq!(version(&store), ConfigVersion(2));
     late.expect_version = Some(ConfigVersion(2));
-    wait(activate(&store, codec(), &late, patience)).unwrap();
+    wait(activate(&store, codec(), &late, retry_schedule)).unwrap();
 }
 
-/// Somebody wrote to the store past the client: a preset that nodes would
-/// refuse. It must not be put in force.
+/// Guards against activating a preset that nodes would refuse, after somebody wrote it to the
+/// store without the client's checks.
 #[test]
 fn a_bad_preset_in_the_store_is_not_activated() {
-    let store = prepared();
+    let store = store_with_presets();
     put(&store, "peak", 2.0).unwrap();
     let key = "geranium-operator/preset/peak";
     let item = wait(store.read(key, ReadConsistency::Linearizable))
@@ -137,20 +141,25 @@
     assert_eq!(version(&store), ConfigVersion(1));
 }
 
-/// One call of storing a preset fails. The operator is told what holds.
+/// Guards against a report that doesn't match the store after one call of storing a preset
+/// fails.
 #[test]
-fn a_stored_preset_is_told_truthfully() {
+fn a_fault_while_storing_a_preset_is_reported_correctly() {
     for (nth, fault) in (0..2).flat_map(|nth| FAULTS.map(|fault| (nth, fault))) {
         let context = format!("call {nth}, {fault:?}");
-        let store = prepared();
+        let store = store_with_presets();
         store.fail_call(nth, fault);
         let outcome = put(&store, "peak", 3.0);
         version(&store);
         version(&store);
-        store.mend();
+        store.clear_faults();
         put_in_force(&store, "peak").unwrap();
         let stored = if outcome.is_ok() { 3.0 } else { 2.0 };
         let routes = document(stored).routes;
-        assert_eq!(in_force(&store).routes, routes, "{context}: {outcome:?}");
+        assert_eq!(
+            active_config(&store).routes,
+            routes,
+            "{context}: {outcome:?}"
+        );
     }
 }
--- a/crates/ctl/tests/all/fleet.rs
+++ b/crates/ctl/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet's state, asked from nodes' pages.
+//! Status of the fleet, read from the nodes' pages.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -6,22 +6,22 @@
     thread,
 };
 
-use geranium_ctl::{Command, CtlError, OutputFormat, Patience, Session, run};
+use geranium_ctl::{Command, CtlError, OutputFormat, RetrySchedule, Session, run};
 use serde_json::{Value, json};
 
-use crate::support::{MemoryStore, codec, prepared, put_in_force, wait};
+use crate::support::{MemoryStore, codec, put_in_force, store_with_presets, wait};
 
-/// Starts a node's pages on an address of its own and a port that all share.
-fn start_pages(ip: [u8; 4], port: u16, status: Value, members: Value) {
+/// Serves a node's pages at its own IP address, on the port that all nodes share.
+fn serve_pages(ip: [u8; 4], port: u16, status: Value, members: Value) {
     let listener = TcpListener::bind(SocketAddr::from((ip, port))).unwrap();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            answer(&mut stream.unwrap(), &status, &members);
+            respond(&mut stream.unwrap(), &status, &members);
         }
     });
 }
 
-fn answer(stream: &mut TcpStream, status: &Value, members: &Value) {
+fn respond(stream: &mut TcpStream, status: &Value, members: &Value) {
     let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
     let first = lines.next().unwrap().unwrap();
     while lines.next().is_some_and(|line| !line.unwrap().is_empty()) {}
@@ -52,8 +52,9 @@
     })
 }
 
-/// Nodes that follow `versions`, and one that is announced and silent; returns
-/// the port of their pages and the address of the first.
+/// Starts nodes that use `versions`; one more node is announced but doesn't answer.
+///
+/// Returns the port of their pages and the address of the first node's.
 fn start(group: u8, versions: &[u64]) -> (u16, SocketAddr) {
     let ips: Vec<[u8; 4]> = (1..=versions.len() as u8 + 1)
         .map(|number| [127, 9, group, number])
@@ -63,7 +64,7 @@
     drop(free);
     let members: Value = ips.iter().map(|ip| member(*ip)).collect();
     for (ip, version) in ips.iter().zip(versions) {
-        start_pages(*ip, port, status(*ip, *version), members.clone());
+        serve_pages(*ip, port, status(*ip, *version), members.clone());
     }
     (port, SocketAddr::from((ips[0], port)))
 }
@@ -75,40 +76,40 @@
         operator: None,
         nodes: vec![node],
         status_port: port,
-        patience: Patience::without_pause(1),
+        retry_schedule: RetrySchedule::without_pause(1),
     }
 }
 
-fn ask(session: &Session<MemoryStore>) -> Result<Value, CtlError> {
+fn fetch_status(session: &Session<MemoryStore>) -> Result<Value, CtlError> {
     let text = wait(run(session, &Command::Status, OutputFormat::Json))?;
     Ok(serde_json::from_str(&text).unwrap())
 }
 
-/// A peak preset is in force, one node lags and one doesn't answer. An operator
-/// sees both by name, having named a single node.
+/// Guards against a status that leaves out a node with an older version or one that doesn't
+/// answer, when the operator named a single node.
 #[test]
 fn status_names_lagging_and_silent_nodes() {
     let (port, node) = start(1, &[2, 1, 2]);
-    let store = prepared();
+    let store = store_with_presets();
     put_in_force(&store, "peak").unwrap();
-    let told = ask(&session(None, port, node)).unwrap();
+    let report = fetch_status(&session(None, port, node)).unwrap();
     assert_eq!(
-        (&told["version"], &told["nodes"], &told["following"]),
+        (&report["version"], &report["nodes"], &report["following"]),
         (&json!(2), &json!(3), &json!(2))
     );
-    assert_eq!(told["lagging"][0]["instance"], "till-2");
-    assert_eq!(told["silent"].as_array().unwrap().len(), 1);
+    assert_eq!(report["lagging"][0]["instance"], "till-2");
+    assert_eq!(report["silent"].as_array().unwrap().len(), 1);
 }
 
-/// The store is away, or what was read of it is old. The nodes' newest version
-/// is what the fleet follows.
+/// Guards against showing an old version as the one in force when the store is unavailable or
+/// the read from it is stale. The nodes' newest version counts then.
 #[test]
-fn status_goes_by_the_nodes_when_the_store_is_behind_or_away() {
+fn status_uses_the_nodes_version_when_the_store_is_behind_or_away() {
     let (port, node) = start(2, &[2, 1]);
-    for store in [Some(prepared()), None] {
+    for store in [Some(store_with_presets()), None] {
         let is_away = store.is_none();
-        let told = ask(&session(store, port, node)).unwrap();
-        assert_eq!(told["version"], json!(2));
-        assert_eq!(told["store"].is_string(), is_away);
+        let report = fetch_status(&session(store, port, node)).unwrap();
+        assert_eq!(report["version"], json!(2));
+        assert_eq!(report["store"].is_string(), is_away);
     }
 }
--- a/crates/ctl/tests/all/messages.rs
+++ b/crates/ctl/tests/all/messages.rs
@@ -1,29 +1,29 @@
-//! What operators read: help, reports and errors.
+//! Texts for operators: help, reports and errors.
 
 use std::path::Path;
 
 use clap::{CommandFactory, Parser};
 use geranium_ctl::{
-    Command, CtlError, Invocation, OutputFormat, Patience, Session, exit_status, run,
+    Command, CtlError, Invocation, OutputFormat, RetrySchedule, Session, exit_status, run,
 };
 use geranium_node::{config::ConfigVersion, result_code::ResultCode, store::StoreError};
 use strum::VariantArray;
 
-use crate::support::{MemoryStore, codec, name, prepared, wait};
+use crate::support::{MemoryStore, codec, name, store_with_presets, wait};
 
 fn session() -> Session<MemoryStore> {
     Session {
-        store: Some(prepared()),
+        store: Some(store_with_presets()),
         codec: codec(),
         operator: Some("anna".to_owned()),
         nodes: Vec::new(),
         status_port: 9464,
-        patience: Patience::without_pause(1),
+        retry_schedule: RetrySchedule::without_pause(1),
     }
 }
 
-/// Hides what differs from run to run.
-fn stable(text: &str) -> String {
+/// Replaces operation identifiers and times, which differ between runs.
+fn redact(text: &str) -> String {
     let words = text.split_inclusive([' ', '\n', ',', '"']).map(|word| {
         let bare = word.trim_end_matches([' ', '\n', ',', '"', ')']);
         let is_hex = bare.len() == 32 && bare.chars().all(|c| c.is_ascii_hexdigit());
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn reports_read_well() {
+fn reports_are_readable() {
     let session = session();
     let commands = [
         Command::List,
@@ -60,15 +60,15 @@
         },
     ];
     let reports =
-        commands.map(|command| stable(&wait(run(&session, &command, OutputFormat::Text)).unwrap()));
+        commands.map(|command| redact(&wait(run(&session, &command, OutputFormat::Text)).unwrap()));
     insta::assert_snapshot!(reports.join("--\n"));
     let last = Command::History { last: 1 };
     let json = wait(run(&session, &last, OutputFormat::Json)).unwrap();
-    insta::assert_snapshot!(stable(&json));
+    insta::assert_snapshot!(redact(&json));
 }
 
 #[test]
-fn errors_tell_who_and_what() {
+fn errors_name_their_code_and_cause() {
     let lost = || StoreError::NoAnswer {
         reason: "connection refused".to_owned(),
     };
--- a/crates/ctl/tests/all/support/memory_store.rs
+++ b/crates/ctl/tests/all/support/memory_store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, whose calls can be made to fail.
+//! In-memory store whose calls can be made to fail.
 
 use std::{
     collections::BTreeMap,
@@ -14,23 +14,23 @@
 /// How a call fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFault {
-    /// It is turned away; nothing is done.
+    /// The store refuses the call and does nothing.
     Refuse,
-    /// It is done, and its answer lost.
-    LoseAnswer,
-    /// It is lost on its way.
+    /// The call takes effect, and its response is lost.
+    LoseResponse,
+    /// The call is lost before it reaches the store.
     LoseRequest,
-    /// It gets no answer, and is done two calls later if its condition holds.
-    LandLate,
+    /// The call gets no response and takes effect two calls later, if its condition holds then.
+    ApplyLate,
 }
 
-/// A store in memory.
+/// In-memory store.
 #[derive(Debug, Default)]
 pub struct MemoryStore(Mutex<MemoryState>);
 
-/// A copy of what a store in memory holds.
+/// Copy of the data of an in-memory store.
 #[derive(Debug)]
-pub struct MemoryCopy {
+pub struct MemorySnapshot {
     items: BTreeMap<String, (Revision, Vec<u8>)>,
     revision: u64,
 }
@@ -43,7 +43,7 @@
     calls: u64,
     faults: BTreeMap<u64, CallFault>,
     down_from: Option<u64>,
-    late: Vec<(u64, Vec<OwnedWrite>)>,
+    delayed_writes: Vec<(u64, Vec<OwnedWrite>)>,
 }
 
 #[derive(Debug, Clone)]
@@ -54,7 +54,7 @@
 }
 
 impl MemoryStore {
-    /// Returns how many calls were made.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
@@ -66,28 +66,28 @@
         state.faults.insert(call, fault);
     }
 
-    /// Is away from the `nth` call from now on.
-    pub fn go_down_after(&self, nth: u64) {
+    /// Makes every call fail, beginning with the `nth` from now.
+    pub fn fail_from(&self, nth: u64) {
         let mut state = self.state();
         state.down_from = Some(state.calls + nth);
     }
 
-    /// Is back.
-    pub fn come_up(&self) {
+    /// Ends the failure that [`Self::fail_from`] began.
+    pub fn recover(&self) {
         self.state().down_from = None;
     }
 
-    /// Copies what it holds.
-    pub fn copy(&self) -> MemoryCopy {
+    /// Returns a copy of the data.
+    pub fn copy(&self) -> MemorySnapshot {
         let state = self.state();
-        MemoryCopy {
+        MemorySnapshot {
             items: state.items.clone(),
             revision: state.revision,
         }
     }
 
-    /// Comes back from a copy, in a new era.
-    pub fn come_back_from(&self, copy: MemoryCopy) {
+    /// Replaces the data by a copy and begins a new era.
+    pub fn restore_from(&self, copy: MemorySnapshot) {
         let mut state = self.state();
         state.era = StoreEra(state.era.0 + 1);
         let (era, items) = (state.era, copy.items.into_iter());
@@ -98,8 +98,8 @@
         state.revision = copy.revision;
     }
 
-    /// Forgets the faults that didn't come to pass.
-    pub fn mend(&self) {
+    /// Removes the faults that haven't occurred yet.
+    pub fn clear_faults(&self) {
         self.state().faults.clear();
     }
 
@@ -109,12 +109,15 @@
 }
 
 impl MemoryState {
-    /// Counts a call and returns the fault that it meets.
-    fn begin(&mut self) -> Result<Option<CallFault>, StoreError> {
+    /// Counts a call, applies due delayed writes and returns the call's fault.
+    fn start_call(&mut self) -> Result<Option<CallFault>, StoreError> {
         let call = self.calls;
         self.calls += 1;
-        let (due, late) = self.late.drain(..).partition(|(at, _)| *at <= call);
-        self.late = late;
+        let (due, delayed_writes) = self
+            .delayed_writes
+            .drain(..)
+            .partition(|(at, _)| *at <= call);
+        self.delayed_writes = delayed_writes;
         let due: Vec<(u64, Vec<OwnedWrite>)> = due;
         for (_, writes) in due {
             let _refused = self.apply(&writes);
@@ -162,17 +165,21 @@
     }
 }
 
-fn lost() -> StoreError {
+fn lost_response() -> StoreError {
     StoreError::NoAnswer {
         reason: "lost".to_owned(),
     }
 }
 
 impl MetaStore for MemoryStore {
-    async fn read(&self, key: &str, _age: ReadConsistency) -> Result<StoreRead, StoreError> {
+    async fn read(
+        &self,
+        key: &str,
+        _consistency: ReadConsistency,
+    ) -> Result<StoreRead, StoreError> {
         let mut state = self.state();
-        if state.begin()?.is_some() {
-            return Err(lost());
+        if state.start_call()?.is_some() {
+            return Err(lost_response());
         }
         Ok(StoreRead {
             item: state.item(key),
@@ -180,10 +187,14 @@
         })
     }
 
-    async fn list(&self, prefix: &str, _age: ReadConsistency) -> Result<StoreList, StoreError> {
+    async fn list(
+        &self,
+        prefix: &str,
+        _consistency: ReadConsistency,
+    ) -> Result<StoreList, StoreError> {
         let mut state = self.state();
-        if state.begin()?.is_some() {
-            return Err(lost());
+        if state.start_call()?.is_some() {
+            return Err(lost_response());
         }
         let keys = state.items.keys().filter(|key| key.starts_with(prefix));
         Ok(StoreList {
@@ -212,17 +223,17 @@
         });
         let writes: Vec<OwnedWrite> = writes.collect();
         let mut state = self.state();
-        match state.begin()? {
+        match state.start_call()? {
             None | Some(CallFault::Refuse) => state.apply(&writes),
-            Some(CallFault::LoseAnswer) => {
-                let _answer = state.apply(&writes);
-                Err(lost())
+            Some(CallFault::LoseResponse) => {
+                let _response = state.apply(&writes);
+                Err(lost_response())
             }
-            Some(CallFault::LoseRequest) => Err(lost()),
-            Some(CallFault::LandLate) => {
+            Some(CallFault::LoseRequest) => Err(lost_response()),
+            Some(CallFault::ApplyLate) => {
                 let at = state.calls + 1;
-                state.late.push((at, writes));
-                Err(lost())
+                state.delayed_writes.push((at, writes));
+                Err(lost_response())
             }
         }
     }
--- a/crates/ctl/tests/all/support/mod.rs
+++ b/crates/ctl/tests/all/support/mod.rs
@@ -1,10 +1,10 @@
-//! What several subjects share.
+//! Test support that several modules share.
 
 mod memory_store;
 
 use geranium_ctl::{
-    Activation, ActivationRequest, ConfigCodec, CtlError, Patience, PresetCatalogue,
-    PresetDocument, PresetName, PresetRecord, WriteStamp, activate,
+    Activation, ActivationRequest, ConfigCodec, CtlError, PresetCatalogue, PresetDocument,
+    PresetName, PresetRecord, RetrySchedule, WriteStamp, activate,
 };
 use geranium_node::{
     config::{ConfigError, ConfigInput, ConfigVersion},
@@ -14,10 +14,10 @@
 
 pub use memory_store::{CallFault, MemoryStore};
 
-pub const PATIENCE: u32 = 3;
+pub const WRITE_TRIES: u32 = 3;
 pub const CONFIG_KEY: &str = "config";
 
-/// Writes configurations as the product's own JSON.
+/// Returns a codec that stores configurations as the product's own JSON.
 pub fn codec() -> ConfigCodec {
     ConfigCodec {
         source: ConfigSource {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Runs a future to its end.
+/// Runs a future to completion.
 pub fn wait<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -44,7 +44,7 @@
     text.parse().unwrap()
 }
 
-/// A small preset whose one route waits for so many seconds.
+/// Returns a small preset whose only route has this timeout in seconds.
 pub fn document(timeout_s: f64) -> PresetDocument {
     let text = format!(
         r#"{{"services":[{{"name":"verdskra","health_path":"/health","connections":130}}],
@@ -57,7 +57,7 @@
 }
 
 pub fn put(store: &MemoryStore, preset: &str, timeout_s: f64) -> Result<PresetRecord, CtlError> {
-    let catalogue = PresetCatalogue::new(store, Patience::without_pause(PATIENCE));
+    let catalogue = PresetCatalogue::new(store, RetrySchedule::without_pause(WRITE_TRIES));
     let stamp = WriteStamp::now("anna");
     wait(catalogue.put(&name(preset), document(timeout_s), stamp))
 }
@@ -76,12 +76,12 @@
         store,
         codec(),
         &request,
-        Patience::without_pause(PATIENCE),
+        RetrySchedule::without_pause(WRITE_TRIES),
     ))
 }
 
-/// A store with `ordinary-day` in force as version 1, and `peak` beside it.
-pub fn prepared() -> MemoryStore {
+/// Returns a store with `ordinary-day` in force as version 1, and the preset `peak`.
+pub fn store_with_presets() -> MemoryStore {
     let store = MemoryStore::default();
     put(&store, "ordinary-day", 1.0).unwrap();
     put(&store, "peak", 2.0).unwrap();
@@ -89,12 +89,12 @@
     store
 }
 
-/// The configuration in force.
-pub fn in_force(store: &MemoryStore) -> ConfigInput {
+/// Reads the configuration in force.
+pub fn active_config(store: &MemoryStore) -> ConfigInput {
     let read = wait(store.read(CONFIG_KEY, ReadConsistency::Linearizable)).unwrap();
     (codec().source.parse)(&read.item.unwrap().value).unwrap()
 }
 
 pub fn version(store: &MemoryStore) -> ConfigVersion {
-    in_force(store).version
+    active_config(store).version
 }
