--- a/crates/rig/src/rig_endpoint.rs
+++ b/crates/rig/src/rig_endpoint.rs
@@ -7,7 +7,7 @@
 
 use geranium_node::node_clock::NodeClock;
 use geranium_standins::{
-    BeatState, EndpointFault, EndpointOptions, EndpointServer, Heartbeat, Machine, RunRecord,
+    EndpointFault, EndpointOptions, EndpointServer, Heartbeat, HeartbeatState, Machine, RunRecord,
     farewell_body, farewell_path,
 };
 use tokio::{
@@ -53,7 +53,7 @@
     /// Unix milliseconds of the start.
     born_ms: u64,
     sequence: u64,
-    state: BeatState,
+    state: HeartbeatState,
     server: Option<EndpointServer>,
     fault: EndpointFault,
     work: Duration,
@@ -77,7 +77,7 @@
             name: 0,
             born_ms: 0,
             sequence: 0,
-            state: BeatState::Ready,
+            state: HeartbeatState::Ready,
             server: None,
             fault: EndpointFault::Sound,
             work: WORK_TIME,
@@ -137,7 +137,7 @@
             loop {
                 let beat = {
                     let mut life = self.life();
-                    life.state = BeatState::Draining;
+                    life.state = HeartbeatState::Draining;
                     if let Some(server) = &life.server {
                         server.options().healthy = false;
                     }
@@ -239,7 +239,7 @@
         self.end();
         self.born_ms = NodeClock::unix_ms().max(self.born_ms + 1);
         self.sequence = 0;
-        self.state = BeatState::Ready;
+        self.state = HeartbeatState::Ready;
         let options = self.options(machine);
         self.server = Some(EndpointServer::start(machine.addrs.endpoint, options));
     }
--- a/crates/rig/src/rig_node.rs
+++ b/crates/rig/src/rig_node.rs
@@ -107,7 +107,7 @@
         let store_link = LinkProxy::open(store, plan.store)?;
         let machine = Machine {
             addrs,
-            endpoint_seen: endpoint,
+            app_addr: endpoint,
             data_centre: plan.data_centre.to_owned(),
             service: plan.service.to_owned(),
             store,
--- a/crates/rig/src/soak/fault_actor.rs
+++ b/crates/rig/src/soak/fault_actor.rs
@@ -191,7 +191,7 @@
     fn come_back(&self, fleet: &RigFleet) {
         if let Some(copy) = self.copies.front() {
             let mut state = fleet.store.state();
-            for (key, value) in state.come_back_from(copy.clone()) {
+            for (key, value) in state.restore_from(copy.clone()) {
                 state.operator_put(&key, &value);
             }
         }
@@ -321,7 +321,7 @@
         FaultKind::StoreLost => KvFault::Lost,
         FaultKind::StoreLate => KvFault::Late(STORE_LATE),
         FaultKind::StoreSlow => KvFault::Slow(STORE_DELAY),
-        FaultKind::StoreForgets => KvFault::Deaf,
+        FaultKind::StoreForgets => KvFault::SilentWatches,
         FaultKind::StoreGarbles => KvFault::Garbled,
         FaultKind::StoreTurnsAway => {
             let fault = if begins {
@@ -344,7 +344,7 @@
     };
     store.set_faults(if begins { fault } else { KvFault::Sound });
     match (kind, begins) {
-        (FaultKind::StoreSilent, true) => store.state().lapse_leases(),
+        (FaultKind::StoreSilent, true) => store.state().expire_leases(),
         (FaultKind::StoreForgets, false) => store.state().compact(),
         _ => {}
     }
--- a/crates/standins/src/heartbeat.rs
+++ b/crates/standins/src/heartbeat.rs
@@ -4,7 +4,7 @@
 
 /// State that a backend server reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BeatState {
+pub enum HeartbeatState {
     /// Takes work.
     Ready,
     /// Is about to leave.
@@ -27,7 +27,7 @@
     /// Requests that it runs at a time.
     pub slots: u32,
     /// State.
-    pub state: BeatState,
+    pub state: HeartbeatState,
     /// Number of the heartbeat.
     pub sequence: u64,
 }
@@ -41,8 +41,8 @@
     /// Returns the body.
     pub fn body(&self) -> String {
         let state = match self.state {
-            BeatState::Ready => "ready",
-            BeatState::Draining => "draining",
+            HeartbeatState::Ready => "ready",
+            HeartbeatState::Draining => "draining",
         };
         let born = self
             .born_ms
--- a/crates/standins/src/kv_fault.rs
+++ b/crates/standins/src/kv_fault.rs
@@ -24,7 +24,7 @@
     /// Answers come after a while.
     Slow(Duration),
     /// Watches hear nothing of what changes.
-    Deaf,
+    SilentWatches,
     /// Answers aren't JSON.
     Garbled,
 }
--- a/crates/standins/src/kv_server.rs
+++ b/crates/standins/src/kv_server.rs
@@ -246,7 +246,7 @@
         let begun = Instant::now();
         while begun.elapsed() < wait {
             let fault = shared.fault(port);
-            if !matches!(fault, KvFault::Sound | KvFault::Deaf) {
+            if !matches!(fault, KvFault::Sound | KvFault::SilentWatches) {
                 return (503, Value::Null);
             }
             if fault == KvFault::Sound {
--- a/crates/standins/src/kv_state.rs
+++ b/crates/standins/src/kv_state.rs
@@ -86,7 +86,7 @@
     }
 
     /// Writes a key with a value that is no base64.
-    pub fn spoil(&mut self, key: &str) {
+    pub fn put_malformed(&mut self, key: &str) {
         self.write(key, "%%% no base64".to_owned(), 0);
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Ends every lease, as if the store had been away for long.
-    pub fn lapse_leases(&mut self) {
+    pub fn expire_leases(&mut self) {
         for lease in self.leases.values_mut() {
             lease.ends_at = Instant::now();
         }
@@ -126,7 +126,7 @@
     /// Comes back from a copy in a new era. Leases of the copy run anew; revisions and lease
     /// numbers since are given out again. Returns what operators wrote since the copy, which
     /// they write again.
-    pub fn come_back_from(&mut self, copy: KvCopy) -> Vec<(String, Vec<u8>)> {
+    pub fn restore_from(&mut self, copy: KvCopy) -> Vec<(String, Vec<u8>)> {
         let lost = self.items.iter().filter(|(key, item)| {
             let before = copy.items.get(*key);
             key.starts_with("op/") && before.map(|before| before.revision) != Some(item.revision)
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -25,7 +25,7 @@
 pub use caller::{CALLER_HOST, CallerAnswer, CallerCall};
 pub use endpoint_fault::EndpointFault;
 pub use endpoint_server::{EndpointOptions, EndpointServer};
-pub use heartbeat::{BeatState, Heartbeat, farewell_body, farewell_path};
+pub use heartbeat::{Heartbeat, HeartbeatState, farewell_body, farewell_path};
 pub use kv_fault::KvFault;
 pub use kv_server::KvServer;
 pub use kv_state::{KvCopy, KvState};
--- a/crates/standins/src/machine.rs
+++ b/crates/standins/src/machine.rs
@@ -32,7 +32,7 @@
     pub addrs: MachineAddrs,
     /// Address at which the node reaches the backend server, which a link in
     /// between may make differ from the server's own.
-    pub endpoint_seen: SocketAddr,
+    pub app_addr: SocketAddr,
     /// Data centre.
     pub data_centre: String,
     /// Service of its backend server.
@@ -62,7 +62,7 @@
         } = self.addrs;
         let (name, ip) = (self.name(), peer_addr.ip());
         let (zone, service, store) = (&self.data_centre, &self.service, self.store);
-        let (app, link_mbps) = (self.endpoint_seen, self.link_mbps);
+        let (app, link_mbps) = (self.app_addr, self.link_mbps);
         let first_start = self.first_start;
         format!(
             r#"[LocalNode]
--- a/crates/standins/src/route_document.rs
+++ b/crates/standins/src/route_document.rs
@@ -26,7 +26,7 @@
     }
 
     /// Makes a route to several services with weights.
-    pub fn shared(prefix: impl Into<String>, kind: &'static str, shares: &[(&str, u32)]) -> Self {
+    pub fn weighted(prefix: impl Into<String>, kind: &'static str, shares: &[(&str, u32)]) -> Self {
         let share = |(service, weight): &(&str, u32)| json!({"Service": service, "Weight": weight});
         let shares: Vec<Value> = shares.iter().map(share).collect();
         Self {
