--- a/crates/rig/src/demo/demo_run.rs
+++ b/crates/rig/src/demo/demo_run.rs
@@ -22,7 +22,7 @@
 /// Directory of the example presets.
 const EXAMPLES: &str = "examples";
 /// Longest time for a fleet to start or recover.
-const SETTLE_MAX: Duration = Duration::from_secs(60);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Shows both users' fleets and returns whether every promise held.
 ///
@@ -34,7 +34,7 @@
     let mut held = true;
     for (user, nodes) in USERS {
         println!("== {user}: {nodes} instances in three data centres");
-        held &= show(user, nodes, options, &programs).await?;
+        held &= show_user(user, nodes, options, &programs).await?;
     }
     println!(
         "{}",
@@ -47,7 +47,7 @@
     Ok(held)
 }
 
-async fn show(
+async fn show_user(
     user: &str,
     count: usize,
     options: &DemoOptions,
@@ -55,7 +55,7 @@
 ) -> Result<bool, RigError> {
     let step = Duration::from_secs(options.seconds);
     let mut fleet = RigFleet::start(count, programs)?;
-    let settled = fleet.settle(SETTLE_MAX).await?;
+    let settled = fleet.settle(SETTLE_TIMEOUT).await?;
     println!("every node ready after {} ms", settled.as_millis());
     let ctl = OperatorClient::new(programs, &fleet.store)?;
     show_presets(user, &ctl, &fleet).await?;
@@ -75,14 +75,14 @@
     fleet.nodes[0].kill();
     fleet.nodes[5].kill();
     fleet.nodes[4].endpoint.crash();
-    fleet.nodes[2].endpoint.leave(Duration::from_secs(4)).await;
+    fleet.nodes[2].endpoint.drain(Duration::from_secs(4)).await;
     sleep(step).await;
     fleet.nodes[0].start_process()?;
     fleet.nodes[5].start_process()?;
-    fleet.nodes[4].endpoint.come_back();
+    fleet.nodes[4].endpoint.restart_new_identifier();
     fleet.nodes[2].endpoint.deregister().await;
-    fleet.nodes[2].endpoint.come_back();
-    let recovered = fleet.settle(SETTLE_MAX).await?;
+    fleet.nodes[2].endpoint.restart_new_identifier();
+    let recovered = fleet.settle(SETTLE_TIMEOUT).await?;
     println!("all back after {} ms", recovered.as_millis());
     sleep(step).await;
     let nodes = fleet.nodes.iter();
@@ -92,9 +92,9 @@
             .clone()
             .flat_map(|node| node.endpoint.runs())
             .collect(),
-        leavings: nodes
+        acked_drains: nodes
             .clone()
-            .flat_map(|node| node.endpoint.leavings())
+            .flat_map(|node| node.endpoint.acked_drains())
             .collect(),
         faults: Vec::new(),
         events: nodes.map(|node| node.events().to_vec()).collect(),
@@ -121,9 +121,9 @@
             if status.contains(&all) {
                 break;
             }
-            if begun.elapsed() > SETTLE_MAX {
+            if begun.elapsed() > SETTLE_TIMEOUT {
                 let what = format!("{all}: {status}");
-                let limit = SETTLE_MAX;
+                let limit = SETTLE_TIMEOUT;
                 return Err(RigError::Timeout { what, limit });
             }
             sleep(Duration::from_millis(20)).await;
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -24,7 +24,7 @@
 pub use link_proxy::LinkProxy;
 pub use load::{CallKind, CallOutcome, CallRecord, CallSender, CallerLoad, LoadPlan};
 pub use program_paths::ProgramPaths;
-pub use rig_endpoint::{AckedLeaving, RigEndpoint};
+pub use rig_endpoint::{AckedDrain, RigEndpoint};
 pub use rig_error::RigError;
 pub use rig_fleet::{FILES, ORDERS, PRICES, RigFleet, marker_path};
 pub use rig_node::{NodeEvent, NodeEventKind, NodePlan, RigNode};
--- a/crates/rig/src/link_proxy.rs
+++ b/crates/rig/src/link_proxy.rs
@@ -22,7 +22,7 @@
 use crate::{LinkFault, RigError, rig_error::LinkSnafu};
 
 /// Bytes read at a time.
-const BUFFER: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
 /// A proxy on loopback that passes bytes on as its fault lets it.
 ///
@@ -103,28 +103,38 @@
             continue;
         };
         let number = shared.opened.fetch_add(1, Ordering::Relaxed);
-        tokio::spawn(carry(stream, target, number, Arc::clone(&shared)));
+        tokio::spawn(forward_connection(
+            stream,
+            target,
+            number,
+            Arc::clone(&shared),
+        ));
     }
 }
 
-async fn carry(near: TcpStream, target: SocketAddr, number: u64, shared: Arc<LinkShared>) {
+async fn forward_connection(
+    client: TcpStream,
+    target: SocketAddr,
+    number: u64,
+    shared: Arc<LinkShared>,
+) {
     let mut fault = shared.fault.subscribe();
     let fault_now = *fault.borrow_and_update();
     if fault_now == LinkFault::Reset {
-        return make_reset(&near);
+        return make_reset(&client);
     }
-    let Ok(far) = TcpStream::connect(target).await else {
-        return make_reset(&near);
+    let Ok(server) = TcpStream::connect(target).await else {
+        return make_reset(&client);
     };
-    let _best_effort = (near.set_nodelay(true), far.set_nodelay(true));
+    let _best_effort = (client.set_nodelay(true), server.set_nodelay(true));
     let handles = [
-        SockRef::from(&near).try_clone(),
-        SockRef::from(&far).try_clone(),
+        SockRef::from(&client).try_clone(),
+        SockRef::from(&server).try_clone(),
     ];
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let towards = pump(near_in, far_out, Direction::Towards, number, &shared);
-    let from = pump(far_in, near_out, Direction::From, number, &shared);
+    let (client_in, client_out) = client.into_split();
+    let (server_in, server_out) = server.into_split();
+    let towards = forward_bytes(client_in, server_out, Direction::Towards, number, &shared);
+    let from = forward_bytes(server_in, client_out, Direction::From, number, &shared);
     let reset = fault.wait_for(|fault| *fault == LinkFault::Reset);
     tokio::select! {
         _ = async { tokio::join!(towards, from) } => {}
@@ -137,14 +147,14 @@
 }
 
 /// Passes bytes on in one direction until an end closes.
-async fn pump(
+async fn forward_bytes(
     mut input: OwnedReadHalf,
     mut output: OwnedWriteHalf,
     direction: Direction,
     number: u64,
     shared: &LinkShared,
 ) {
-    let mut buffer = vec![0; BUFFER];
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(count @ 1..) = input.read(&mut buffer).await {
         let fault = *shared.fault.borrow();
         let muted = number < shared.muted.load(Ordering::Relaxed);
--- a/crates/rig/src/load/call_record.rs
+++ b/crates/rig/src/load/call_record.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use geranium_standins::CallerAnswer;
+use geranium_standins::CallerResponse;
 use serde::Serialize;
 use strum::{Display, VariantArray};
 
@@ -29,7 +29,7 @@
     /// An answer came, whole.
     Answered {
         /// Its head.
-        answer: CallerAnswer,
+        answer: CallerResponse,
         /// Whether the body is the one that belongs to the request.
         own: bool,
     },
@@ -83,7 +83,7 @@
     /// Whether it was told that it hasn't run and won't.
     pub fn is_refused(&self) -> bool {
         match &self.outcome {
-            CallOutcome::Answered { answer, .. } => answer.promises_not_run(),
+            CallOutcome::Answered { answer, .. } => answer.says_not_run(),
             _ => false,
         }
     }
--- a/crates/rig/src/load/call_sender.rs
+++ b/crates/rig/src/load/call_sender.rs
@@ -7,7 +7,7 @@
 };
 
 use bytes::Bytes;
-use geranium_standins::{CallerAnswer, CallerCall};
+use geranium_standins::{CallerRequest, CallerResponse};
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper_util::rt::TokioIo;
@@ -19,11 +19,11 @@
 use super::CallOutcome;
 
 /// Callers allow a connection one second.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time beyond the deadline after which nothing more is expected.
-const OVERTIME: Duration = Duration::from_secs(2);
+const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 /// Most connections kept for later requests.
-const KEPT_MAX: usize = 8;
+const IDLE_CONNECTIONS_MAX: usize = 8;
 
 type Sender = SendRequest<Full<Bytes>>;
 
@@ -54,22 +54,22 @@
         }
     }
 
-    /// Sends a request and waits for its answer, `patience` at most when the
+    /// Sends a request and waits for its answer, `leave_after` at most when the
     /// caller leaves early. `body` is what a good answer begins with.
     pub async fn send(
         &self,
-        call: &CallerCall,
+        call: &CallerRequest,
         reuse: bool,
-        patience: Option<Duration>,
+        leave_after: Option<Duration>,
     ) -> SentCall {
         let kept = if reuse { self.take() } else { None };
         let was_kept = kept.is_some();
         let sent = Instant::now();
-        let end = tokio::time::Instant::now() + call.deadline + OVERTIME;
+        let end = tokio::time::Instant::now() + call.deadline + RESPONSE_GRACE;
         let exchange = timeout_at(end, self.exchange(call, kept));
-        let outcome = match patience {
+        let outcome = match leave_after {
             None => exchange.await.unwrap_or(CallOutcome::Silent),
-            Some(patience) => match timeout(patience, exchange).await {
+            Some(leave_after) => match timeout(leave_after, exchange).await {
                 Ok(ended) => ended.unwrap_or(CallOutcome::Silent),
                 Err(_left) => CallOutcome::Left,
             },
@@ -81,7 +81,7 @@
         }
     }
 
-    async fn exchange(&self, call: &CallerCall, kept: Option<Sender>) -> CallOutcome {
+    async fn exchange(&self, call: &CallerRequest, kept: Option<Sender>) -> CallOutcome {
         let sender = match kept {
             Some(sender) => Some(sender),
             None => self.connect().await,
@@ -98,12 +98,12 @@
                 };
             }
         };
-        let answer = CallerAnswer::read(response.status(), response.headers());
+        let answer = CallerResponse::read(response.status(), response.headers());
         match response.into_body().collect().await {
             Ok(body) => {
                 self.keep(sender);
                 let body = body.to_bytes();
-                let own = !answer.status.is_success() || is_own(call, &answer, &body);
+                let own = !answer.status.is_success() || matches_request(call, &answer, &body);
                 CallOutcome::Answered { answer, own }
             }
             Err(_) => CallOutcome::Broken,
@@ -111,7 +111,7 @@
     }
 
     async fn connect(&self) -> Option<Sender> {
-        let stream = timeout(CONNECT_TIME, TcpStream::connect(self.addr)).await;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr)).await;
         let stream = stream.ok()?.ok()?;
         let _best_effort = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
@@ -128,7 +128,7 @@
 
     fn keep(&self, sender: Sender) {
         let mut kept = self.kept.lock().expect("no holder panics");
-        if kept.len() < KEPT_MAX && !sender.is_closed() {
+        if kept.len() < IDLE_CONNECTIONS_MAX && !sender.is_closed() {
             kept.push(sender);
         }
     }
@@ -136,7 +136,7 @@
 
 /// Whether a good answer is signed, names the request, and holds its body and
 /// as many further bytes as were asked for.
-fn is_own(call: &CallerCall, answer: &CallerAnswer, body: &[u8]) -> bool {
+fn matches_request(call: &CallerRequest, answer: &CallerResponse, body: &[u8]) -> bool {
     let named = answer.id.as_deref() == Some(&*call.id);
     let echoed = body.starts_with(call.body.as_bytes());
     let asked = call.path.split_once("bytes=").map(|(_, text)| text);
--- a/crates/rig/src/load/caller_load.rs
+++ b/crates/rig/src/load/caller_load.rs
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use geranium_standins::CallerCall;
+use geranium_standins::CallerRequest;
 use http::Method;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use tokio::{
@@ -23,19 +23,19 @@
 /// Time for which callers wait.
 const DEADLINE: Duration = Duration::from_secs(2);
 /// Time after which a caller that leaves early is gone.
-const LEAVES_AFTER: Duration = Duration::from_millis(120);
+const ABANDON_AFTER: Duration = Duration::from_millis(120);
 /// Time that an abandoned request would run, in milliseconds.
 const ABANDONED_WORK_MS: u64 = 3_000;
 /// Bytes of a file.
 const FILE_BYTES: u64 = 60_000;
 /// Time between requests that crash backend servers.
-const CRASH_GAP: Duration = Duration::from_secs(4);
+const CRASH_INTERVAL: Duration = Duration::from_secs(4);
 /// Times that each of them is sent.
 const CRASH_SENDS: usize = 12;
 /// Pause of their caller after an answer.
 const CRASH_PAUSE: Duration = Duration::from_millis(5);
 /// Time beyond the last request after which every record is there.
-const LAST_RECORDS: Duration = Duration::from_millis(4_200);
+const RECORDS_GRACE: Duration = Duration::from_millis(4_200);
 
 /// A load.
 #[derive(Debug, Clone)]
@@ -105,7 +105,7 @@
         for task in self.tasks {
             task.await.expect("no caller panics");
         }
-        sleep(LAST_RECORDS).await;
+        sleep(RECORDS_GRACE).await;
         std::mem::take(&mut *self.records.lock().expect("no holder panics"))
     }
 }
@@ -130,11 +130,11 @@
                 () = sleep_until(next) => {}
                 _ = stop.wait_for(|stop| *stop) => return,
             }
-            self.start_one();
+            self.send_next();
         }
     }
 
-    fn start_one(&mut self) {
+    fn send_next(&mut self) {
         let kind = match self.rng.random_range(0..100) {
             0..58 => CallKind::Lookup,
             58..85 => CallKind::Order,
@@ -142,13 +142,13 @@
             _ => CallKind::Abandoned,
         };
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let call = call_of(kind, number);
+        let call = new_call(kind, number);
         let reuse = self.rng.random_bool(0.6);
-        let patience = (kind == CallKind::Abandoned).then_some(LEAVES_AFTER);
+        let leave_after = (kind == CallKind::Abandoned).then_some(ABANDON_AFTER);
         let (node, sender) = (self.node, self.sender.clone());
         let records = Arc::clone(&self.records);
         tokio::spawn(async move {
-            let sent = sender.send(&call, reuse, patience).await;
+            let sent = sender.send(&call, reuse, leave_after).await;
             let record = CallRecord {
                 id: call.id,
                 node,
@@ -175,22 +175,22 @@
     async fn run(self, mut stop: watch::Receiver<bool>) {
         for request in 0_u64.. {
             tokio::select! {
-                () = sleep(CRASH_GAP) => {}
+                () = sleep(CRASH_INTERVAL) => {}
                 _ = stop.wait_for(|stop| *stop) => return,
             }
-            for turn in 0..CRASH_SENDS {
-                let node = turn % self.senders.len();
-                self.send(request, turn, node).await;
+            for attempt in 0..CRASH_SENDS {
+                let node = attempt % self.senders.len();
+                self.send(request, attempt, node).await;
                 sleep(CRASH_PAUSE).await;
             }
         }
     }
 
-    async fn send(&self, request: u64, turn: usize, node: usize) {
-        let call = CallerCall {
-            id: format!("crash-{request}-{turn}"),
+    async fn send(&self, request: u64, attempt: usize, node: usize) {
+        let call = CallerRequest {
+            id: format!("crash-{request}-{attempt}"),
             path: format!("/p/crash-{request}"),
-            ..call_of(CallKind::Crash, request)
+            ..new_call(CallKind::Crash, request)
         };
         let sent = self.senders[node].send(&call, false, None).await;
         let record = CallRecord {
@@ -207,7 +207,7 @@
     }
 }
 
-fn call_of(kind: CallKind, number: u64) -> CallerCall {
+fn new_call(kind: CallKind, number: u64) -> CallerRequest {
     let (method, path) = match kind {
         CallKind::Lookup => (Method::GET, format!("/p/{number}")),
         CallKind::Order => (Method::POST, format!("/o/{number}")),
@@ -216,7 +216,7 @@
         CallKind::Crash => (Method::GET, format!("/p/crash-{number}")),
     };
     let id = format!("call-{number}");
-    CallerCall {
+    CallerRequest {
         body: if kind == CallKind::Order {
             format!("order {number} ")
         } else {
--- a/crates/rig/src/rig_endpoint.rs
+++ b/crates/rig/src/rig_endpoint.rs
@@ -1,4 +1,4 @@
-//! A backend server beside a node, with its life.
+//! A backend server beside a node, with its state.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -8,7 +8,7 @@
 use geranium_node::node_clock::NodeClock;
 use geranium_standins::{
     EndpointFault, EndpointOptions, EndpointServer, Heartbeat, HeartbeatState, Machine, RunRecord,
-    farewell_body, farewell_path,
+    deregistration_body, deregistration_path,
 };
 use tokio::{
     task::JoinHandle,
@@ -18,19 +18,19 @@
 use crate::http_post::http_post;
 
 /// Time between heartbeats.
-const BEAT_TIME: Duration = Duration::from_millis(700);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(700);
 /// Longest wait for an acknowledgment, as the platform's.
-const ACK_TIME: Duration = Duration::from_secs(1);
+const ACK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time of a run, unless the request asks for another.
-const WORK_TIME: Duration = Duration::from_millis(20);
+const RUN_TIME: Duration = Duration::from_millis(20);
 /// Bytes of an answer, unless the request asks for others.
-const ANSWER_BYTES: usize = 300;
+const RESPONSE_BYTES: usize = 300;
 /// Requests that a backend server runs at a time.
 const SLOTS: u32 = 12;
 
 /// A leaving that a node has acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AckedLeaving {
+pub struct AckedDrain {
     /// Identifier of the one that leaves.
     pub instance: String,
     /// Unix milliseconds of its start.
@@ -39,7 +39,7 @@
     pub at: Instant,
 }
 
-impl AckedLeaving {
+impl AckedDrain {
     /// Whether it is of the start under `instance` at `born_ms`.
     pub fn is_of(&self, instance: &str, born_ms: u64) -> bool {
         self.instance == instance && self.born_ms == born_ms
@@ -47,18 +47,18 @@
 }
 
 #[derive(Debug)]
-struct EndpointLife {
+struct EndpointState {
     /// Number of the identifier.
-    name: u64,
+    instance_number: u64,
     /// Unix milliseconds of the start.
     born_ms: u64,
     sequence: u64,
-    state: HeartbeatState,
+    reported: HeartbeatState,
     server: Option<EndpointServer>,
     fault: EndpointFault,
     work: Duration,
     past_runs: Vec<RunRecord>,
-    leavings: Vec<AckedLeaving>,
+    acked_drains: Vec<AckedDrain>,
 }
 
 /// A backend server beside a node: it reports there, crashes, leaves and comes
@@ -66,168 +66,168 @@
 #[derive(Debug)]
 pub struct RigEndpoint {
     machine: Machine,
-    life: Arc<Mutex<EndpointLife>>,
-    beats: JoinHandle<()>,
+    state: Arc<Mutex<EndpointState>>,
+    heartbeats: JoinHandle<()>,
 }
 
 impl RigEndpoint {
     /// Starts it on its machine.
     pub fn start(machine: Machine) -> Self {
-        let life = EndpointLife {
-            name: 0,
+        let state = EndpointState {
+            instance_number: 0,
             born_ms: 0,
             sequence: 0,
-            state: HeartbeatState::Ready,
+            reported: HeartbeatState::Ready,
             server: None,
             fault: EndpointFault::Sound,
-            work: WORK_TIME,
+            work: RUN_TIME,
             past_runs: Vec::new(),
-            leavings: Vec::new(),
+            acked_drains: Vec::new(),
         };
-        let life = Arc::new(Mutex::new(life));
-        let beats = tokio::spawn(beat(machine.clone(), Arc::clone(&life)));
+        let state = Arc::new(Mutex::new(state));
+        let heartbeats = tokio::spawn(send_heartbeats(machine.clone(), Arc::clone(&state)));
         let endpoint = Self {
             machine,
-            life,
-            beats,
+            state,
+            heartbeats,
         };
-        endpoint.come_back();
+        endpoint.restart_new_identifier();
         endpoint
     }
 
     /// Ends it without a word; open requests break off.
     pub fn crash(&self) {
-        self.life().end();
+        self.state().stop_server();
     }
 
     /// Starts it again under another identifier.
-    pub fn come_back(&self) {
-        let mut life = self.life();
-        life.name += 1;
-        life.begin(&self.machine);
+    pub fn restart_new_identifier(&self) {
+        let mut state = self.state();
+        state.instance_number += 1;
+        state.start_server(&self.machine);
     }
 
     /// Starts it again under the identifier that it had.
-    pub fn come_back_as_before(&self) {
-        self.life().begin(&self.machine);
+    pub fn restart_same_identifier(&self) {
+        self.state().start_server(&self.machine);
     }
 
     /// Gives it a fault.
     pub fn set_fault(&self, fault: EndpointFault) {
-        let mut life = self.life();
-        life.fault = fault;
-        if let Some(server) = &life.server {
+        let mut state = self.state();
+        state.fault = fault;
+        if let Some(server) = &state.server {
             server.options().fault = with_crashes(fault);
         }
     }
 
     /// Makes every run take so many times as long as usual.
     pub fn slow_down(&self, times: u32) {
-        let mut life = self.life();
-        life.work = WORK_TIME * times;
-        if let Some(server) = &life.server {
-            server.options().work = WORK_TIME * times;
+        let mut state = self.state();
+        state.work = RUN_TIME * times;
+        if let Some(server) = &state.server {
+            server.options().work = RUN_TIME * times;
         }
     }
 
     /// Reports that it leaves and waits until its node acknowledges, or
     /// `patience` is over.
-    pub async fn leave(&self, patience: Duration) {
+    pub async fn drain(&self, limit: Duration) {
         let acknowledged = async {
             loop {
-                let beat = {
-                    let mut life = self.life();
-                    life.state = HeartbeatState::Draining;
-                    if let Some(server) = &life.server {
+                let heartbeat = {
+                    let mut state = self.state();
+                    state.reported = HeartbeatState::Draining;
+                    if let Some(server) = &state.server {
                         server.options().healthy = false;
                     }
-                    life.beat(&self.machine)
+                    state.next_heartbeat(&self.machine)
                 };
-                if send(&self.machine, &beat.path(), beat.body()).await {
-                    self.note_leaving(beat.instance, beat.born_ms.unwrap_or(0));
+                if post(&self.machine, &heartbeat.path(), heartbeat.body()).await {
+                    self.record_drain(heartbeat.instance, heartbeat.born_ms.unwrap_or(0));
                     return;
                 }
-                sleep(BEAT_TIME / 4).await;
+                sleep(HEARTBEAT_INTERVAL / 4).await;
             }
         };
-        let _unheard = timeout(patience, acknowledged).await;
+        let _unacknowledged = timeout(limit, acknowledged).await;
     }
 
     /// Says farewell and ends.
     pub async fn deregister(&self) {
         let (instance, born_ms) = {
-            let life = self.life();
-            (life.instance(&self.machine), life.born_ms)
+            let state = self.state();
+            (state.instance(&self.machine), state.born_ms)
         };
-        if send(
+        if post(
             &self.machine,
-            &farewell_path(&instance),
-            farewell_body(born_ms),
+            &deregistration_path(&instance),
+            deregistration_body(born_ms),
         )
         .await
         {
-            self.note_leaving(instance, born_ms);
+            self.record_drain(instance, born_ms);
         }
         self.crash();
     }
 
     /// Returns everything that it ran, in all its starts.
     pub fn runs(&self) -> Vec<RunRecord> {
-        let life = self.life();
-        let present = life.server.iter().flat_map(EndpointServer::runs);
-        life.past_runs.iter().cloned().chain(present).collect()
+        let state = self.state();
+        let current = state.server.iter().flat_map(EndpointServer::runs);
+        state.past_runs.iter().cloned().chain(current).collect()
     }
 
     /// Returns the leavings that its node acknowledged.
-    pub fn leavings(&self) -> Vec<AckedLeaving> {
-        self.life().leavings.clone()
+    pub fn acked_drains(&self) -> Vec<AckedDrain> {
+        self.state().acked_drains.clone()
     }
 
     /// Whether it lives.
-    pub fn lives(&self) -> bool {
-        self.life().server.is_some()
+    pub fn is_running(&self) -> bool {
+        self.state().server.is_some()
     }
 
     /// Posts heartbeats that aren't its own: of a service that isn't there, and
     /// of no known state.
     pub async fn post_foreign(&self) {
-        let mut beat = self.life().beat(&self.machine);
-        let unknown = beat.body().replace("ready", "odd");
-        let path = beat.path();
-        "i-foreign".clone_into(&mut beat.instance);
-        "nowhere".clone_into(&mut beat.service);
-        for (path, body) in [(path, unknown), (beat.path(), beat.body())] {
+        let mut heartbeat = self.state().next_heartbeat(&self.machine);
+        let unknown = heartbeat.body().replace("ready", "odd");
+        let path = heartbeat.path();
+        "i-foreign".clone_into(&mut heartbeat.instance);
+        "nowhere".clone_into(&mut heartbeat.service);
+        for (path, body) in [(path, unknown), (heartbeat.path(), heartbeat.body())] {
             // The node refuses them, or is down.
-            let _refused = send(&self.machine, &path, body).await;
+            let _refused = post(&self.machine, &path, body).await;
         }
     }
 
-    fn note_leaving(&self, instance: String, born_ms: u64) {
-        let leaving = AckedLeaving {
+    fn record_drain(&self, instance: String, born_ms: u64) {
+        let drain = AckedDrain {
             instance,
             born_ms,
             at: Instant::now(),
         };
-        let mut life = self.life();
-        let known = |known: &AckedLeaving| leaving.is_of(&known.instance, known.born_ms);
-        if !life.leavings.iter().any(known) {
-            life.leavings.push(leaving);
+        let mut state = self.state();
+        let known = |known: &AckedDrain| drain.is_of(&known.instance, known.born_ms);
+        if !state.acked_drains.iter().any(known) {
+            state.acked_drains.push(drain);
         }
     }
 
-    fn life(&self) -> MutexGuard<'_, EndpointLife> {
-        self.life.lock().expect("no holder panics")
+    fn state(&self) -> MutexGuard<'_, EndpointState> {
+        self.state.lock().expect("no holder panics")
     }
 }
 
 impl Drop for RigEndpoint {
     fn drop(&mut self) {
-        self.beats.abort();
+        self.heartbeats.abort();
     }
 }
 
-impl EndpointLife {
-    fn end(&mut self) {
+impl EndpointState {
+    fn stop_server(&mut self) {
         if let Some(server) = self.server.take() {
             self.past_runs.extend(server.end());
         }
@@ -235,11 +235,11 @@
 
     /// Begins a start. Two faults may do so at once: each ends what the other has
     /// begun, as one address takes one server.
-    fn begin(&mut self, machine: &Machine) {
-        self.end();
+    fn start_server(&mut self, machine: &Machine) {
+        self.stop_server();
         self.born_ms = NodeClock::unix_ms().max(self.born_ms + 1);
         self.sequence = 0;
-        self.state = HeartbeatState::Ready;
+        self.reported = HeartbeatState::Ready;
         let options = self.options(machine);
         self.server = Some(EndpointServer::start(machine.addrs.endpoint, options));
     }
@@ -247,14 +247,14 @@
     /// Starts it again, as another start, if a request has crashed it.
     fn restart_crashed(&mut self, machine: &Machine) {
         if self.server.as_ref().is_some_and(EndpointServer::has_ended) {
-            self.name += 1;
-            self.begin(machine);
+            self.instance_number += 1;
+            self.start_server(machine);
         }
     }
 
     fn instance(&self, machine: &Machine) -> String {
         let ip = machine.addrs.peer_addr.ip().to_string().replace('.', "-");
-        format!("i-{ip}-{}", self.name)
+        format!("i-{ip}-{}", self.instance_number)
     }
 
     fn options(&self, machine: &Machine) -> EndpointOptions {
@@ -262,13 +262,13 @@
             instance: self.instance(machine),
             born_ms: self.born_ms,
             work: self.work,
-            response_bytes: ANSWER_BYTES,
+            response_bytes: RESPONSE_BYTES,
             healthy: true,
             fault: with_crashes(self.fault),
         }
     }
 
-    fn beat(&mut self, machine: &Machine) -> Heartbeat {
+    fn next_heartbeat(&mut self, machine: &Machine) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
             instance: self.instance(machine),
@@ -277,7 +277,7 @@
             address: machine.addrs.endpoint,
             data_centre: machine.data_centre.clone(),
             slots: SLOTS,
-            state: self.state,
+            state: self.reported,
             sequence: self.sequence,
         }
     }
@@ -293,23 +293,23 @@
 }
 
 /// Sends heartbeats while the backend server lives.
-async fn beat(machine: Machine, life: Arc<Mutex<EndpointLife>>) {
+async fn send_heartbeats(machine: Machine, state: Arc<Mutex<EndpointState>>) {
     loop {
-        let beat = {
-            let mut life = life.lock().expect("no holder panics");
-            life.restart_crashed(&machine);
-            let lives = life.server.is_some();
-            lives.then(|| life.beat(&machine))
+        let heartbeat = {
+            let mut state = state.lock().expect("no holder panics");
+            state.restart_crashed(&machine);
+            let running = state.server.is_some();
+            running.then(|| state.next_heartbeat(&machine))
         };
-        if let Some(beat) = beat {
+        if let Some(heartbeat) = heartbeat {
             // One that isn't acknowledged is followed by the next.
-            let _acknowledged = send(&machine, &beat.path(), beat.body()).await;
+            let _acknowledged = post(&machine, &heartbeat.path(), heartbeat.body()).await;
         }
-        sleep(BEAT_TIME).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-async fn send(machine: &Machine, path: &str, body: String) -> bool {
-    let status = timeout(ACK_TIME, http_post(machine.addrs.reports, path, &body)).await;
+async fn post(machine: &Machine, path: &str, body: String) -> bool {
+    let status = timeout(ACK_TIMEOUT, http_post(machine.addrs.reports, path, &body)).await;
     matches!(status, Ok(Some(200..300)))
 }
--- a/crates/rig/src/rig_fleet.rs
+++ b/crates/rig/src/rig_fleet.rs
@@ -25,7 +25,7 @@
 /// Versions whose marker routes a configuration holds.
 const MARKERS_KEPT: u64 = 40;
 /// Time between looks.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Nodes around one store, each with a port of the store of its own.
 #[derive(Debug)]
@@ -120,7 +120,7 @@
             if self.is_settled().await {
                 return Ok(begun.elapsed());
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         let what = "every node ready and announced".to_owned();
         Err(RigError::Timeout { what, limit })
--- a/crates/rig/src/rig_node.rs
+++ b/crates/rig/src/rig_node.rs
@@ -24,7 +24,7 @@
 const NODE_PROGRAM: &str = "geranium-node";
 /// Port of the machine at which the link to the node's port for other nodes
 /// listens.
-const HOP_LINK_PORT: u16 = 7611;
+const PEER_LINK_PORT: u16 = 7611;
 /// Port of the machine at which the link to the backend server listens.
 const ENDPOINT_LINK_PORT: u16 = 7612;
 /// Port of the machine at which the link to the store listens.
@@ -84,7 +84,7 @@
     settings: PathBuf,
     directory: PathBuf,
     events: Vec<NodeEvent>,
-    lives: Arc<AtomicUsize>,
+    process_starts: Arc<AtomicUsize>,
 }
 
 impl RigNode {
@@ -100,8 +100,8 @@
     /// When a program, file or address can't be had.
     pub fn start(plan: &NodePlan<'_>) -> Result<Self, RigError> {
         let addrs = MachineAddrs::free();
-        let links = [HOP_LINK_PORT, ENDPOINT_LINK_PORT, STORE_LINK_PORT];
-        let [peer_addr, endpoint, store] = links.map(|port| addrs.other(port));
+        let links = [PEER_LINK_PORT, ENDPOINT_LINK_PORT, STORE_LINK_PORT];
+        let [peer_addr, endpoint, store] = links.map(|port| addrs.with_port(port));
         let peer_link = LinkProxy::open(peer_addr, addrs.peer_addr)?;
         let endpoint_link = LinkProxy::open(endpoint, addrs.endpoint)?;
         let store_link = LinkProxy::open(store, plan.store)?;
@@ -126,7 +126,7 @@
             settings,
             directory: plan.directory.to_owned(),
             events: Vec::new(),
-            lives: Arc::default(),
+            process_starts: Arc::default(),
         };
         node.start_process()?;
         Ok(node)
@@ -143,8 +143,8 @@
     }
 
     /// Returns the count of its process's starts.
-    pub fn lives(&self) -> Arc<AtomicUsize> {
-        Arc::clone(&self.lives)
+    pub fn process_starts(&self) -> Arc<AtomicUsize> {
+        Arc::clone(&self.process_starts)
     }
 
     /// Starts the process unless it runs.
@@ -171,10 +171,10 @@
             .env("GERANIUMSPRING_SETTINGS", &self.settings);
         // Counted first: whoever hears the new process must not take it for
         // the one before.
-        self.lives.fetch_add(1, Ordering::Release);
+        self.process_starts.fetch_add(1, Ordering::Release);
         let process = ChildProcess::spawn(&self.machine.name(), command, &self.directory)?;
         self.process = Some(process);
-        self.note(NodeEventKind::Started);
+        self.record_event(NodeEventKind::Started);
         Ok(())
     }
 
@@ -185,8 +185,8 @@
         };
         process.signal(signal);
         match signal {
-            ProcessSignal::Kill => self.note(NodeEventKind::Killed),
-            ProcessSignal::Terminate => self.note(NodeEventKind::Terminated),
+            ProcessSignal::Kill => self.record_event(NodeEventKind::Killed),
+            ProcessSignal::Terminate => self.record_event(NodeEventKind::Terminated),
             ProcessSignal::Hangup | ProcessSignal::Continue | ProcessSignal::Stop => {}
         }
     }
@@ -213,7 +213,7 @@
             )
         });
         if !asked {
-            self.note(NodeEventKind::Ended);
+            self.record_event(NodeEventKind::Ended);
         }
         false
     }
@@ -225,7 +225,7 @@
         status == Ok(Some(200))
     }
 
-    fn note(&mut self, kind: NodeEventKind) {
+    fn record_event(&mut self, kind: NodeEventKind) {
         let at = Instant::now();
         self.events.push(NodeEvent { at, kind });
     }
--- a/crates/rig/src/soak/breach.rs
+++ b/crates/rig/src/soak/breach.rs
@@ -1,52 +1,52 @@
-//! Promises that were broken.
+//! Promises of the fleet, and records of those that were broken.
 
 use serde::Serialize;
 use strum::{Display, VariantArray};
 
-/// A promise that the fleet makes.
+/// A promise that the fleet makes to callers and operators.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, VariantArray, Serialize,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Promise {
-    /// A good answer is whole, signed, and the asker's own.
+    /// A good response is complete, signed, and belongs to its request.
     OwnAnswer,
-    /// Backend servers run only what callers sent, unchanged.
+    /// Backend servers run only requests that callers sent, unchanged.
     AskedFor,
-    /// An order runs once at most.
+    /// An order runs at most once.
     OnceAtMost,
-    /// What was called unrun has not run and never does.
+    /// A request that was reported as not run hasn't run and never will.
     TrueRefusal,
-    /// No request is left without an answer by a process that goes on.
+    /// A running node leaves no request without a response.
     Answered,
-    /// A backend server that left gets no new work.
+    /// A backend server that has drained gets no new requests.
     Drained,
-    /// A request whose caller has left is cancelled.
+    /// A request whose caller has disconnected is cancelled.
     Cancelled,
-    /// A request that crashes backend servers reaches few of them.
+    /// A request that crashes backend servers reaches only a few of them.
     FewCrashes,
-    /// No process goes back to an older configuration.
+    /// No node process goes back to an older configuration.
     NeverOlder,
-    /// Every node follows the version in force.
+    /// Every node applies the active configuration version.
     InForce,
-    /// The fleet serves again when the faults are over.
+    /// The fleet serves again after the faults have ended.
     Recovered,
-    /// No process ends by itself.
+    /// No node process exits unasked.
     KeepsRunning,
 }
 
-/// A promise that was broken.
+/// A broken promise, with the observation that shows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Breach {
-    /// The promise.
+    /// The promise that was broken.
     pub promise: Promise,
-    /// What was seen.
+    /// What was observed.
     pub what: String,
 }
 
 impl Breach {
-    /// Notes what was seen.
+    /// Creates a breach from what was observed.
     pub fn new(promise: Promise, what: impl Into<String>) -> Self {
         let what = what.into();
         Self { promise, what }
--- a/crates/rig/src/soak/fault_actor.rs
+++ b/crates/rig/src/soak/fault_injector.rs
@@ -1,4 +1,4 @@
-//! Carries out faults.
+//! Injects planned faults into a fleet.
 
 use std::{
     collections::VecDeque,
@@ -9,71 +9,72 @@
 use geranium_standins::{EndpointFault, KvCopy, KvFault};
 use tokio::{task::JoinHandle, time::sleep};
 
-use super::{FaultKind, FaultSpan, PlannedFault, version_probe::ProbeBoard};
+use super::{FaultKind, FaultSpan, PlannedFault, version_probe::ProbeRecords};
 use crate::{LinkFault, LinkProxy, ProcessSignal, RigEndpoint, RigError, RigFleet, RigNode};
 
-/// Delay of a slow link.
+/// Delay that a slow link adds.
 const LINK_DELAY: Duration = Duration::from_millis(80);
-/// Delay of a slow store.
+/// Delay that a slow store adds.
 const STORE_DELAY: Duration = Duration::from_millis(250);
-/// Time after which late writes of the store are done.
-const STORE_LATE: Duration = Duration::from_millis(1_200);
-/// How many times slower slow backend servers are.
-const SLOW_TIMES: u32 = 8;
-/// Longest wait of a leaving backend server for its acknowledgment.
-const LEAVE_PATIENCE: Duration = Duration::from_secs(4);
-/// Time for which it serves after that, a little more than nodes may need.
-const LEAVE_SERVES: Duration = Duration::from_millis(2_600);
-/// Time from the signal to end to the kill.
-const GRACE: Duration = Duration::from_secs(6);
-/// What another writer leaves in the store: no text, an announcement's beginning,
-/// fields of another type, another kind of text.
+/// Delay after which the store executes late writes.
+const STORE_WRITE_DELAY: Duration = Duration::from_millis(1_200);
+/// Factor by which slow backend servers take longer.
+const SLOWDOWN_FACTOR: u32 = 8;
+/// Longest time that a draining backend server waits for its acknowledgment.
+const DRAIN_ACK_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time for which a backend server serves after that, slightly more than nodes may
+/// need to stop sending.
+const DRAIN_SERVE_TIME: Duration = Duration::from_millis(2_600);
+/// Time from the request to terminate to the kill.
+const TERMINATE_GRACE: Duration = Duration::from_secs(6);
+/// Values that another program writes to the store: bytes that aren't text, a
+/// truncated announcement, fields of other types, and other JSON.
 const FOREIGN_VALUES: [&[u8]; 4] = [
     b"\xff\xfe\x00",
     br#"{"hop":"127.0.0.1:1","start":{"instance":"i-x"#,
     br#"{"hop":7,"start":[],"service":null,"state":"odd"}"#,
     b"[[[[1]]]]",
 ];
-/// Time between copies of the store.
-const COPY_GAP: Duration = Duration::from_secs(1);
-/// Copies that are kept: the store comes back from one some seconds old.
-const COPIES_KEPT: usize = 4;
-/// Time between versions in a storm.
-const STORM_GAP: Duration = Duration::from_millis(200);
+/// Interval between copies of the store.
+const COPY_INTERVAL: Duration = Duration::from_secs(1);
+/// Most copies kept; the store is restored from one that is some seconds old.
+const COPIES_MAX: usize = 4;
+/// Interval between versions during a configuration storm.
+const STORM_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Carries out faults on a fleet, and notes when they took place.
+/// Injects faults into a fleet, and records when each took place.
 #[derive(Debug)]
-pub(super) struct FaultActor {
-    board: Arc<ProbeBoard>,
+pub(super) struct FaultInjector {
+    records: Arc<ProbeRecords>,
     spans: Vec<FaultSpan>,
-    leaving: Vec<JoinHandle<()>>,
-    /// Nodes to be killed unless they have ended by then.
-    ending: Vec<(usize, Instant)>,
-    /// Nodes held down, with the number of faults that hold each.
-    held: Vec<u32>,
-    storms: u32,
-    stormed: Instant,
-    /// Copies of the store, the oldest first.
+    tasks: Vec<JoinHandle<()>>,
+    /// Nodes asked to terminate, with the time at which they are killed.
+    terminating: Vec<(usize, Instant)>,
+    /// Number of active faults that keep each node down.
+    held_down: Vec<u32>,
+    config_storms: u32,
+    published_at: Instant,
+    /// Copies of the store, oldest first.
     copies: VecDeque<KvCopy>,
-    copied: Instant,
+    copied_at: Instant,
 }
 
-impl FaultActor {
-    pub(super) fn new(nodes: usize, board: Arc<ProbeBoard>) -> Self {
+impl FaultInjector {
+    pub(super) fn new(nodes: usize, records: Arc<ProbeRecords>) -> Self {
         Self {
-            board,
+            records,
             spans: Vec::new(),
-            leaving: Vec::new(),
-            ending: Vec::new(),
-            held: vec![0; nodes],
-            storms: 0,
-            stormed: Instant::now(),
+            tasks: Vec::new(),
+            terminating: Vec::new(),
+            held_down: vec![0; nodes],
+            config_storms: 0,
+            published_at: Instant::now(),
             copies: VecDeque::new(),
-            copied: Instant::now(),
+            copied_at: Instant::now(),
         }
     }
 
-    /// Begins a fault.
+    /// Starts a fault.
     pub(super) fn begin(&mut self, fleet: &mut RigFleet, fault: &PlannedFault) {
         let now = Instant::now();
         self.spans.push(FaultSpan {
@@ -82,12 +83,12 @@
             from: now,
             to: now + Duration::from_millis(fault.end_ms - fault.start_ms),
         });
-        self.set(fleet, fault, true);
+        self.apply(fleet, fault, true);
     }
 
     /// Ends a fault.
     pub(super) fn end(&mut self, fleet: &mut RigFleet, fault: &PlannedFault) {
-        self.set(fleet, fault, false);
+        self.apply(fleet, fault, false);
         let same = |span: &&mut FaultSpan| {
             span.kind == fault.kind && span.targets == fault.targets && span.to > Instant::now()
         };
@@ -96,69 +97,71 @@
         }
     }
 
-    /// Does what is due between faults: kills what doesn't end, starts again
-    /// what has ended, and publishes while the configuration storms.
+    /// Does the work that is due between faults: kills nodes that don't terminate,
+    /// restarts nodes that have exited, copies the store, and publishes versions during
+    /// a configuration storm.
     ///
     /// # Errors
     ///
-    /// When a process can't be started.
-    pub(super) fn tend(&mut self, fleet: &mut RigFleet) -> Result<(), RigError> {
+    /// Fails if a process can't be started.
+    pub(super) fn advance(&mut self, fleet: &mut RigFleet) -> Result<(), RigError> {
         let now = Instant::now();
-        self.ending.retain(|(node, at)| {
+        self.terminating.retain(|(node, at)| {
             if now >= *at {
                 fleet.nodes[*node].kill();
             }
             now < *at
         });
         for (number, node) in fleet.nodes.iter_mut().enumerate() {
-            if !node.is_running() && self.held[number] == 0 {
-                self.ending.retain(|(ending, _)| *ending != number);
+            if !node.is_running() && self.held_down[number] == 0 {
+                self.terminating
+                    .retain(|(terminating, _)| *terminating != number);
                 node.start_process()?;
             }
         }
-        if self.copies.is_empty() || self.copied.elapsed() >= COPY_GAP {
-            self.copied = now;
+        if self.copies.is_empty() || self.copied_at.elapsed() >= COPY_INTERVAL {
+            self.copied_at = now;
             self.copies.push_back(fleet.store.state().copy());
-            if self.copies.len() > COPIES_KEPT {
+            if self.copies.len() > COPIES_MAX {
                 self.copies.pop_front();
             }
         }
-        if self.storms > 0 && self.stormed.elapsed() >= STORM_GAP {
+        if self.config_storms > 0 && self.published_at.elapsed() >= STORM_INTERVAL {
             self.publish(fleet);
         }
         Ok(())
     }
 
-    /// Whether a process that was told to stop has yet to end and to be started again.
-    pub(super) fn is_ending(&self) -> bool {
-        !self.ending.is_empty()
+    /// Whether a process that was asked to terminate hasn't been restarted yet.
+    pub(super) fn is_terminating(&self) -> bool {
+        !self.terminating.is_empty()
     }
 
-    /// Waits for backend servers that are leaving.
+    /// Waits for backend servers that are draining.
     pub(super) async fn finish(&mut self) {
-        for leaving in self.leaving.drain(..) {
-            // One that panicked shows in the recovery.
-            let _ended = leaving.await;
+        for task in self.tasks.drain(..) {
+            // A panic in a task shows in the recovery check.
+            let _ended = task.await;
         }
     }
 
-    /// Returns the faults as they took place.
+    /// Returns the time spans of all faults.
     pub(super) fn into_spans(self) -> Vec<FaultSpan> {
         self.spans
     }
 
     fn publish(&mut self, fleet: &mut RigFleet) {
-        self.stormed = Instant::now();
+        self.published_at = Instant::now();
         let version = fleet.publish();
-        self.board.publish(version);
+        self.records.publish(version);
     }
 
-    fn set(&mut self, fleet: &mut RigFleet, fault: &PlannedFault, begins: bool) {
+    fn apply(&mut self, fleet: &mut RigFleet, fault: &PlannedFault, begins: bool) {
         match fault.kind {
-            FaultKind::NodeKill => self.hold(fleet, &fault.targets, begins),
+            FaultKind::NodeKill => self.hold_down(fleet, &fault.targets, begins),
             FaultKind::HerdKill => {
                 let all: Vec<usize> = (0..fleet.nodes.len()).collect();
-                self.hold(fleet, &all, begins);
+                self.hold_down(fleet, &all, begins);
             }
             FaultKind::NodeTerminate if begins => self.terminate(fleet, &fault.targets),
             FaultKind::NodePause => {
@@ -167,28 +170,28 @@
                 } else {
                     ProcessSignal::Continue
                 };
-                signal_all(fleet, &fault.targets, signal);
+                signal_nodes(fleet, &fault.targets, signal);
             }
-            FaultKind::NodeHangup => signal_all(fleet, &fault.targets, ProcessSignal::Hangup),
-            FaultKind::EndpointLeave if begins => self.leave(fleet, &fault.targets),
-            FaultKind::ForeignWriter if begins => self.write_foreign(fleet, &fault.targets),
+            FaultKind::NodeHangup => signal_nodes(fleet, &fault.targets, ProcessSignal::Hangup),
+            FaultKind::EndpointLeave if begins => self.drain_endpoints(fleet, &fault.targets),
+            FaultKind::ForeignWriter if begins => self.write_foreign_values(fleet, &fault.targets),
             FaultKind::NodeTerminate | FaultKind::EndpointLeave | FaultKind::ForeignWriter => {}
             FaultKind::StoreCopy if begins => fleet.store.set_faults(KvFault::Reset),
-            FaultKind::StoreCopy => self.come_back(fleet),
+            FaultKind::StoreCopy => self.restore_store(fleet),
             FaultKind::ConfigStorm => {
-                self.storms = self
-                    .storms
-                    .saturating_add_signed(if begins { 1 } else { -1 });
+                self.config_storms =
+                    self.config_storms
+                        .saturating_add_signed(if begins { 1 } else { -1 });
                 self.publish(fleet);
             }
-            kind if set_link(fleet, kind, &fault.targets, begins) => {}
-            kind if set_endpoint(fleet, kind, &fault.targets, begins) => {}
-            kind => set_store(fleet, kind, &fault.targets, begins),
+            kind if apply_link_fault(fleet, kind, &fault.targets, begins) => {}
+            kind if apply_endpoint_fault(fleet, kind, &fault.targets, begins) => {}
+            kind => apply_store_fault(fleet, kind, &fault.targets, begins),
         }
     }
 
-    /// Lets the store come back from its oldest copy. Operators write again what is missing.
-    fn come_back(&self, fleet: &RigFleet) {
+    /// Restores the store from its oldest copy. Operators write again what is missing.
+    fn restore_store(&self, fleet: &RigFleet) {
         if let Some(copy) = self.copies.front() {
             let mut state = fleet.store.state();
             for (key, value) in state.restore_from(copy.clone()) {
@@ -198,27 +201,27 @@
         fleet.store.set_faults(KvFault::Sound);
     }
 
-    fn hold(&mut self, fleet: &mut RigFleet, targets: &[usize], begins: bool) {
+    fn hold_down(&mut self, fleet: &mut RigFleet, targets: &[usize], begins: bool) {
         for &target in targets {
             if begins {
-                self.held[target] += 1;
+                self.held_down[target] += 1;
                 fleet.nodes[target].kill();
             } else {
-                self.held[target] = self.held[target].saturating_sub(1);
+                self.held_down[target] = self.held_down[target].saturating_sub(1);
             }
         }
     }
 
     fn terminate(&mut self, fleet: &mut RigFleet, targets: &[usize]) {
-        signal_all(fleet, targets, ProcessSignal::Terminate);
-        let at = Instant::now() + GRACE;
-        self.ending
+        signal_nodes(fleet, targets, ProcessSignal::Terminate);
+        let at = Instant::now() + TERMINATE_GRACE;
+        self.terminating
             .extend(targets.iter().map(|&target| (target, at)));
     }
 
-    /// Writes what is no announcement in the place of members' and beside them,
-    /// and posts heartbeats that no backend server sent.
-    fn write_foreign(&mut self, fleet: &RigFleet, targets: &[usize]) {
+    /// Overwrites announcements with values that aren't, adds others beside them, and
+    /// posts heartbeats that no backend server sent.
+    fn write_foreign_values(&mut self, fleet: &RigFleet, targets: &[usize]) {
         for &target in targets {
             let node = &fleet.nodes[target];
             let key = node.announcement_key();
@@ -229,36 +232,36 @@
             }
             drop(state);
             let endpoint = Arc::clone(&node.endpoint);
-            self.leaving
+            self.tasks
                 .push(tokio::spawn(async move { endpoint.post_foreign().await }));
         }
     }
 
-    fn leave(&mut self, fleet: &RigFleet, targets: &[usize]) {
+    fn drain_endpoints(&mut self, fleet: &RigFleet, targets: &[usize]) {
         for &target in targets {
             let endpoint = Arc::clone(&fleet.nodes[target].endpoint);
-            if endpoint.lives() {
-                self.leaving.push(tokio::spawn(leave_and_return(endpoint)));
+            if endpoint.is_running() {
+                self.tasks.push(tokio::spawn(drain_and_replace(endpoint)));
             }
         }
     }
 }
 
-async fn leave_and_return(endpoint: Arc<RigEndpoint>) {
-    endpoint.leave(LEAVE_PATIENCE).await;
-    sleep(LEAVE_SERVES).await;
+async fn drain_and_replace(endpoint: Arc<RigEndpoint>) {
+    endpoint.drain(DRAIN_ACK_TIMEOUT).await;
+    sleep(DRAIN_SERVE_TIME).await;
     endpoint.deregister().await;
-    endpoint.come_back();
+    endpoint.restart_new_identifier();
 }
 
-fn signal_all(fleet: &mut RigFleet, targets: &[usize], signal: ProcessSignal) {
+fn signal_nodes(fleet: &mut RigFleet, targets: &[usize], signal: ProcessSignal) {
     for &target in targets {
         fleet.nodes[target].signal(signal);
     }
 }
 
-/// Sets a fault of links; `false` when the kind is none.
-fn set_link(fleet: &RigFleet, kind: FaultKind, targets: &[usize], begins: bool) -> bool {
+/// Applies or ends a link fault; returns `false` for faults of another kind.
+fn apply_link_fault(fleet: &RigFleet, kind: FaultKind, targets: &[usize], begins: bool) -> bool {
     let link: fn(&RigNode) -> &LinkProxy = match kind {
         FaultKind::EndpointReset | FaultKind::EndpointMute => |node| &node.endpoint_link,
         FaultKind::StoreCut | FaultKind::StoreMute => |node| &node.store_link,
@@ -286,8 +289,14 @@
     true
 }
 
-/// Sets a fault of backend servers; `false` when the kind is none.
-fn set_endpoint(fleet: &RigFleet, kind: FaultKind, targets: &[usize], begins: bool) -> bool {
+/// Applies or ends a backend server fault; returns `false` for faults of another
+/// kind.
+fn apply_endpoint_fault(
+    fleet: &RigFleet,
+    kind: FaultKind,
+    targets: &[usize],
+    begins: bool,
+) -> bool {
     let fault = match kind {
         FaultKind::EndpointSheds => EndpointFault::Sheds,
         FaultKind::EndpointFails => EndpointFault::Fails,
@@ -302,9 +311,9 @@
         let endpoint = &fleet.nodes[target].endpoint;
         match (kind, begins) {
             (FaultKind::EndpointCrash | FaultKind::EndpointReturn, true) => endpoint.crash(),
-            (FaultKind::EndpointReturn, false) => endpoint.come_back_as_before(),
-            (FaultKind::EndpointCrash, false) => endpoint.come_back(),
-            (FaultKind::EndpointSlow, true) => endpoint.slow_down(SLOW_TIMES),
+            (FaultKind::EndpointReturn, false) => endpoint.restart_same_identifier(),
+            (FaultKind::EndpointCrash, false) => endpoint.restart_new_identifier(),
+            (FaultKind::EndpointSlow, true) => endpoint.slow_down(SLOWDOWN_FACTOR),
             (FaultKind::EndpointSlow, false) => endpoint.slow_down(1),
             (_, true) => endpoint.set_fault(fault),
             (_, false) => endpoint.set_fault(EndpointFault::Sound),
@@ -313,13 +322,13 @@
     true
 }
 
-fn set_store(fleet: &RigFleet, kind: FaultKind, targets: &[usize], begins: bool) {
+fn apply_store_fault(fleet: &RigFleet, kind: FaultKind, targets: &[usize], begins: bool) {
     let store = &fleet.store;
     let fault = match kind {
         FaultKind::StoreBusy => KvFault::Busy,
         FaultKind::StoreSilent => KvFault::Silent,
         FaultKind::StoreLost => KvFault::Lost,
-        FaultKind::StoreLate => KvFault::Late(STORE_LATE),
+        FaultKind::StoreLate => KvFault::Late(STORE_WRITE_DELAY),
         FaultKind::StoreSlow => KvFault::Slow(STORE_DELAY),
         FaultKind::StoreForgets => KvFault::SilentWatches,
         FaultKind::StoreGarbles => KvFault::Garbled,
@@ -336,7 +345,7 @@
         }
         FaultKind::StoreRevokes => {
             if begins {
-                revoke(fleet, targets);
+                revoke_announcements(fleet, targets);
             }
             return;
         }
@@ -350,7 +359,7 @@
     }
 }
 
-fn revoke(fleet: &RigFleet, targets: &[usize]) {
+fn revoke_announcements(fleet: &RigFleet, targets: &[usize]) {
     let mut state = fleet.store.state();
     for &target in targets {
         state.revoke(fleet.nodes[target].announcement_key().as_str());
--- a/crates/rig/src/soak/fault_kind.rs
+++ b/crates/rig/src/soak/fault_kind.rs
@@ -1,102 +1,102 @@
-//! What fails.
+//! Kinds of faults.
 
 use serde::Serialize;
 use strum::{Display, VariantArray};
 
-/// Kind of a fault.
+/// Kind of a fault, named by what fails and how.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, VariantArray, Serialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Node processes are killed and come back.
+    /// Node processes are killed and restarted.
     NodeKill,
-    /// Node processes are asked to end, and come back.
+    /// Node processes are asked to terminate and are restarted.
     NodeTerminate,
-    /// Node processes stand still.
+    /// Node processes are stopped with `SIGSTOP` and continued later.
     NodePause,
-    /// Nodes are told that their settings have changed.
+    /// Nodes are told to reload their settings.
     NodeHangup,
     /// Every node process is killed at once.
     HerdKill,
     /// Links between nodes are slow.
     HopDelay,
-    /// Links between nodes are reset.
+    /// Connections between nodes are reset.
     HopReset,
-    /// Links between nodes lose everything.
+    /// Links between nodes lose all bytes.
     HopCut,
-    /// Links to nodes lose what goes there.
+    /// Links to nodes lose the bytes sent to the node.
     HopCutTowards,
-    /// Links to nodes lose what comes from there.
+    /// Links to nodes lose the bytes sent by the node.
     HopCutFrom,
-    /// Open connections between nodes go silent for good.
+    /// Open connections between nodes lose all bytes for good.
     HopMute,
-    /// Connections between node and backend server are reset.
+    /// Connections between a node and its backend server are reset.
     EndpointReset,
-    /// Open connections between node and backend server go silent for good.
+    /// Open connections between a node and its backend server lose all bytes for good.
     EndpointMute,
-    /// Nodes are cut off from the store.
+    /// Links from nodes to the store lose all bytes.
     StoreCut,
-    /// Open connections to the store go silent for good.
+    /// Open connections to the store lose all bytes for good.
     StoreMute,
-    /// The store turns every node away.
+    /// The store rejects every node with 503.
     StoreBusy,
-    /// The store turns some nodes away.
+    /// The store rejects some nodes with 429.
     StoreTurnsAway,
-    /// The store doesn't answer, and its leases run out.
+    /// The store doesn't respond, and all leases expire.
     StoreSilent,
-    /// The store does writes without answering.
+    /// The store executes writes without responding.
     StoreLost,
-    /// The store does writes a second later, without answering.
+    /// The store executes writes about a second late, without responding.
     StoreLate,
     /// The store is slow.
     StoreSlow,
-    /// Watches hear nothing, then the history is gone.
+    /// Watches report no changes, then the history is compacted.
     StoreForgets,
-    /// The store answers with bytes that mean nothing.
+    /// The store responds with bytes that aren't JSON.
     StoreGarbles,
-    /// The store drops announcements without a word.
+    /// The store deletes announcements of nodes.
     StoreRevokes,
-    /// Backend servers crash and come back as other starts.
+    /// Backend servers crash and restart under another identifier.
     EndpointCrash,
-    /// Backend servers leave in order and are replaced.
+    /// Backend servers drain, deregister and are replaced.
     EndpointLeave,
-    /// Backend servers are slow.
+    /// Backend servers take longer to run requests.
     EndpointSlow,
-    /// Backend servers refuse everything.
+    /// Backend servers reject every request without running it.
     EndpointSheds,
-    /// Backend servers fail everything.
+    /// Backend servers answer every request with 500.
     EndpointFails,
-    /// Backend servers run requests and lose the answers.
+    /// Backend servers run requests and lose the responses.
     EndpointLosesAnswers,
-    /// Backend servers answer to other requests.
+    /// Backend servers respond with the identifier of another request.
     EndpointCrossesAnswers,
     /// The configuration changes several times a second.
     ConfigStorm,
-    /// Backend servers crash and come back under the identifier that they had.
+    /// Backend servers crash and restart under the same identifier.
     EndpointReturn,
-    /// Something else writes unreadable announcements to the store, in the place
-    /// of members' and beside them, and posts heartbeats.
+    /// Another program writes unreadable announcements to the store, in place of
+    /// members' announcements and beside them, and posts heartbeats.
     ForeignWriter,
-    /// The store is away and comes back from a copy some seconds old.
+    /// The store is unavailable and is then restored from a copy some seconds old.
     StoreCopy,
 }
 
 impl FaultKind {
-    /// Kinds that are laid over a plan of the others. They are drawn for
-    /// themselves: among the others they would change what each seed plays, and
-    /// seeds that once found a fault are played again as they were.
-    pub const LAID_OVER: [Self; 2] = [Self::EndpointReturn, Self::ForeignWriter];
+    /// Kinds that are overlaid on a base plan. They are drawn separately: as base kinds
+    /// they would change the plan of every seed, and seeds that once found a fault must
+    /// replay the same plan.
+    pub const OVERLAY_KINDS: [Self; 2] = [Self::EndpointReturn, Self::ForeignWriter];
 
-    /// Kinds that are laid over both, drawn for themselves for the same reason.
-    pub const LAID_LAST: [Self; 1] = [Self::StoreCopy];
+    /// Kinds that are overlaid on both, drawn separately for the same reason.
+    pub const LAST_OVERLAY_KINDS: [Self; 1] = [Self::StoreCopy];
 
-    /// Kinds of which a plan is drawn.
-    pub fn drawn() -> &'static [Self] {
-        let laid = Self::LAID_OVER.len() + Self::LAID_LAST.len();
+    /// Kinds from which a base plan is drawn.
+    pub fn base_kinds() -> &'static [Self] {
+        let laid = Self::OVERLAY_KINDS.len() + Self::LAST_OVERLAY_KINDS.len();
         &Self::VARIANTS[..Self::VARIANTS.len() - laid]
     }
 
-    /// Whether it concerns single instances, not the whole fleet.
+    /// Whether the fault affects single instances rather than the whole fleet.
     pub const fn has_targets(self) -> bool {
         !matches!(
             self,
@@ -113,18 +113,17 @@
         )
     }
 
-    /// Whether nodes may not hear of a crash of a backend server while it lasts, or may
-    /// forget it.
+    /// Whether nodes may miss or forget a crash of a backend server during the fault.
     pub const fn hides_crashes(self) -> bool {
         let restarts = matches!(
             self,
             Self::NodeKill | Self::NodeTerminate | Self::HerdKill | Self::EndpointReset
         );
-        restarts || self.hides_leaving() || matches!(self, Self::HopReset)
+        restarts || self.hides_departed_callers() || matches!(self, Self::HopReset)
     }
 
-    /// Whether a caller's leaving may go unheard while it lasts.
-    pub const fn hides_leaving(self) -> bool {
+    /// Whether nodes may miss that a caller has disconnected during the fault.
+    pub const fn hides_departed_callers(self) -> bool {
         matches!(
             self,
             Self::NodePause
--- a/crates/rig/src/soak/promise_check.rs
+++ b/crates/rig/src/soak/promise_check.rs
@@ -1,4 +1,4 @@
-//! Holds what a soak saw against the promises.
+//! Checks the evidence of a soak against the promises.
 
 use std::{
     collections::HashMap,
@@ -10,37 +10,40 @@
 use super::{Breach, Promise, SoakEvidence, version_probe::PROBE_PREFIX};
 use crate::{CallKind, CallOutcome, CallRecord, NodeEventKind};
 
-/// Longest time after an acknowledged leaving in which work may come.
-const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// Time by which clocks of two threads may read an event differently.
+/// Longest time after an acknowledged drain during which requests may still arrive.
+const DRAIN_MAX: Duration = Duration::from_secs(2);
+/// Margin for the difference between two threads' readings of the time of one
+/// event.
 const CLOCK_SLACK: Duration = Duration::from_millis(250);
-/// Time after which work at one that left is a breach on any machine, however
-/// busy: by then it would be gone.
-const DRAIN_SURE: Duration = Duration::from_secs(8);
-/// Time around a request in which its node must not have been touched for the
-/// request to count as lost.
-const TOUCH_TIME: Duration = Duration::from_millis(500);
-
-/// Crashes of one request while nodes hear of one another.
+/// Time after a drain at which a new request is a breach even on an overloaded
+/// machine: a request sent before would have been dropped by then.
+const DRAIN_MAX_UNTIMED: Duration = Duration::from_secs(8);
+/// Margin around a request within which a fault of its node excuses a missing
+/// response.
+const DISTURBANCE_MARGIN: Duration = Duration::from_millis(500);
+
+/// Most backend servers that one request may crash while nodes can reach one
+/// another.
 const CRASHES_MAX: usize = 2;
-/// Crashes of one request under any faults: three, and three retries of nodes that don't
-/// know of them.
-const CRASHES_SURE: usize = 6;
-/// Time after a fault in which nodes that couldn't be told of a crash are told again.
-const TELL_TIME: Duration = Duration::from_secs(3);
-
-/// Returns every breach; those of promises with a time bound only if `timed`.
+/// Most backend servers that one request may crash under any faults: three, and
+/// three more by retries of nodes that don't know of these crashes.
+const CRASHES_MAX_UNDER_FAULTS: usize = 6;
+/// Time after a fault within which nodes that couldn't be reached learn of a crash.
+const CRASH_REPORT_MARGIN: Duration = Duration::from_secs(3);
+
+/// Returns every breach of a promise. Unless `timed`, time bounds are relaxed for
+/// busy machines.
 pub fn check_promises(evidence: &SoakEvidence, timed: bool) -> Vec<Breach> {
     let runs = runs_by_request(&evidence.runs);
     let mut breaches = Vec::new();
     for call in &evidence.calls {
         let ran = runs.get(&*call.id).map_or(&[][..], Vec::as_slice);
-        breaches.extend(check_answer(call));
+        breaches.extend(check_response(call));
         breaches.extend(check_runs(call, ran));
-        breaches.extend(check_lost(evidence, call, ran));
+        breaches.extend(check_unanswered(evidence, call, ran));
         breaches.extend(check_cancelled(evidence, call, ran));
     }
-    breaches.extend(check_asked(evidence));
+    breaches.extend(check_requested(evidence));
     breaches.extend(check_crashes(evidence, timed));
     breaches.extend(check_drains(evidence, timed));
     breaches.extend(check_processes(evidence));
@@ -55,9 +58,9 @@
     found
 }
 
-fn check_answer(call: &CallRecord) -> Option<Breach> {
-    let foreign = matches!(&call.outcome, CallOutcome::Answered { own: false, .. });
-    foreign.then(|| Breach::new(Promise::OwnAnswer, format!("{call:?}")))
+fn check_response(call: &CallRecord) -> Option<Breach> {
+    let mismatched = matches!(&call.outcome, CallOutcome::Answered { own: false, .. });
+    mismatched.then(|| Breach::new(Promise::OwnAnswer, format!("{call:?}")))
 }
 
 fn check_runs(call: &CallRecord, ran: &[&RunRecord]) -> Vec<Breach> {
@@ -76,32 +79,37 @@
     breaches
 }
 
-/// A request that was read and got no answer though its node's process was
-/// left alone. One on a kept connection that was passed on to nobody may have
-/// crossed the node's close.
-fn check_lost(evidence: &SoakEvidence, call: &CallRecord, ran: &[&RunRecord]) -> Option<Breach> {
+/// Finds a request that was read and got no response although nothing disturbed its
+/// node's process. A request on a reused connection that reached no backend server
+/// is excused: it may have crossed the node's close.
+fn check_unanswered(
+    evidence: &SoakEvidence,
+    call: &CallRecord,
+    ran: &[&RunRecord],
+) -> Option<Breach> {
     let lost = matches!(call.outcome, CallOutcome::Closed);
     if !lost || (call.kept && ran.is_empty()) {
         return None;
     }
-    if was_touched(evidence, call.node, call.sent, call.ended) {
+    if was_disturbed(evidence, call.node, call.sent, call.ended) {
         return None;
     }
     Some(Breach::new(Promise::Answered, format!("{call:?}, {ran:?}")))
 }
 
-/// Whether a process was killed, ended or stood still around a time. A
-/// process that was asked to end is one that promises to answer.
-fn was_touched(evidence: &SoakEvidence, node: usize, from: Instant, to: Instant) -> bool {
+/// Whether a process was killed, exited by itself or was paused around a time. A
+/// request to terminate is no excuse: the node promises to respond to what it has
+/// accepted.
+fn was_disturbed(evidence: &SoakEvidence, node: usize, from: Instant, to: Instant) -> bool {
     let events = evidence.events.get(node).into_iter().flatten();
     let mut hard =
         events.filter(|event| matches!(event.kind, NodeEventKind::Killed | NodeEventKind::Ended));
     let paused = evidence.faults.iter().any(|fault| {
         fault.kind == super::FaultKind::NodePause
             && fault.concerns(node)
-            && fault.overlaps(from, to, TOUCH_TIME)
+            && fault.overlaps(from, to, DISTURBANCE_MARGIN)
     });
-    let near = |at: Instant| from <= at + TOUCH_TIME && at <= to + TOUCH_TIME;
+    let near = |at: Instant| from <= at + DISTURBANCE_MARGIN && at <= to + DISTURBANCE_MARGIN;
     paused || hard.any(|event| near(event.at))
 }
 
@@ -114,32 +122,32 @@
         return None;
     }
     let to = call.ended + Duration::from_secs(4);
-    let hidden = evidence
-        .faults
-        .iter()
-        .any(|fault| fault.kind.hides_leaving() && fault.overlaps(call.sent, to, TOUCH_TIME));
+    let hidden = evidence.faults.iter().any(|fault| {
+        fault.kind.hides_departed_callers() && fault.overlaps(call.sent, to, DISTURBANCE_MARGIN)
+    });
     let whole = ran.iter().find(|run| !run.cancelled)?;
     (!hidden).then(|| {
-        let what = format!("{} went on at {}", call.id, whole.instance);
+        let what = format!("{} was not cancelled at {}", call.id, whole.instance);
         Breach::new(Promise::Cancelled, what)
     })
 }
 
-fn check_asked(evidence: &SoakEvidence) -> Vec<Breach> {
+fn check_requested(evidence: &SoakEvidence) -> Vec<Breach> {
     let calls = evidence.calls.iter();
     let calls: HashMap<&str, &CallRecord> = calls.map(|call| (&*call.id, call)).collect();
-    let unasked = evidence.runs.iter().filter(|run| {
+    let unrequested = evidence.runs.iter().filter(|run| {
         let probe = run.request.starts_with(PROBE_PREFIX);
         let asked = calls.get(&*run.request);
         !probe && asked.is_none_or(|call| call.path != run.path)
     });
-    unasked
+    unrequested
         .map(|run| Breach::new(Promise::AskedFor, format!("{run:?}")))
         .collect()
 }
 
-/// A request that crashes backend servers and is sent again and again: it may reach two of
-/// them, and a few more where faults keep nodes from hearing of it.
+/// Checks how many backend servers each crashing request reached. A request that is
+/// sent again and again may crash two of them, and a few more where faults keep
+/// nodes from learning of the crashes.
 fn check_crashes(evidence: &SoakEvidence, timed: bool) -> Vec<Breach> {
     let calls = evidence.calls.iter();
     let crashing = calls.filter(|call| call.kind == CallKind::Crash);
@@ -153,14 +161,16 @@
         let to = sends.iter().map(|call| call.ended).max();
         let hidden = from.zip(to).is_none_or(|(from, to)| {
             let mut faults = evidence.faults.iter();
-            faults.any(|fault| fault.kind.hides_crashes() && fault.overlaps(from, to, TELL_TIME))
+            faults.any(|fault| {
+                fault.kind.hides_crashes() && fault.overlaps(from, to, CRASH_REPORT_MARGIN)
+            })
         });
         let bound = if timed && !hidden {
             CRASHES_MAX
         } else {
-            CRASHES_SURE
+            CRASHES_MAX_UNDER_FAULTS
         };
-        // Servers with another fault don't crash: they answer.
+        // Servers with another fault don't crash: they respond.
         let runs = evidence.runs.iter();
         let runs = runs.filter(|run| run.path == path && run.cancelled).count();
         if runs > bound {
@@ -173,11 +183,11 @@
 
 fn check_drains(evidence: &SoakEvidence, timed: bool) -> Vec<Breach> {
     let bound = if timed {
-        DRAIN_TIME + CLOCK_SLACK
+        DRAIN_MAX + CLOCK_SLACK
     } else {
-        DRAIN_SURE
+        DRAIN_MAX_UNTIMED
     };
-    let late = evidence.drains().into_iter();
+    let late = evidence.observe_drains().into_iter();
     let late = late.filter(|drain| drain.last_run_after.is_some_and(|after| after > bound));
     late.map(|drain| Breach::new(Promise::Drained, format!("{drain:?}")))
         .collect()
@@ -188,7 +198,7 @@
     for (node, events) in evidence.events.iter().enumerate() {
         for event in events {
             if event.kind == NodeEventKind::Ended {
-                let what = format!("the process of node {node} ended by itself");
+                let what = format!("the process of node {node} exited unasked");
                 breaches.push(Breach::new(Promise::KeepsRunning, what));
             }
         }
--- a/crates/rig/src/soak/recovery_check.rs
+++ b/crates/rig/src/soak/recovery_check.rs
@@ -1,30 +1,31 @@
-//! Whether the fleet serves again when the faults are over.
+//! Checks that the fleet serves again after the faults have ended.
 
 use std::time::{Duration, Instant};
 
-use geranium_standins::CallerCall;
+use geranium_standins::CallerRequest;
 use http::Method;
 use tokio::time::sleep;
 
 use super::version_probe::PROBE_PREFIX;
-use super::{Breach, Promise, version_probe::ProbeBoard, version_probe::probe};
+use super::{Breach, Promise, version_probe::ProbeRecords, version_probe::probe};
 use crate::{CallSender, RigFleet};
 
-/// Longest time to recover: three times what is promised, so that a busy
-/// machine breaks nothing.
-const RECOVERY_MAX: Duration = Duration::from_secs(45);
-/// Time between looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// Longest time to recover: three times what is promised, so that a busy machine
+/// breaks no promise.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(45);
+/// Interval between checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits until each node serves each kind of request and follows the version in
-/// force, and returns how long that took.
+/// Waits until each node serves each kind of request and applies the active
+/// version. Returns how long that took, and a breach for each condition that wasn't
+/// met in time.
 pub(super) async fn check_recovery(
     fleet: &RigFleet,
-    board: &ProbeBoard,
+    records: &ProbeRecords,
 ) -> (Duration, Vec<Breach>) {
     let begun = Instant::now();
     let mut breaches = Vec::new();
-    if let Err(error) = fleet.settle(RECOVERY_MAX).await {
+    if let Err(error) = fleet.settle(RECOVERY_TIMEOUT).await {
         breaches.push(Breach::new(Promise::Recovered, error.to_string()));
         return (begun.elapsed(), breaches);
     }
@@ -33,21 +34,21 @@
         for path in ["/p/", "/o/", "/f/"] {
             let mut tries = 0;
             while !serves(&sender, number, path, &mut tries).await {
-                if begun.elapsed() > RECOVERY_MAX {
+                if begun.elapsed() > RECOVERY_TIMEOUT {
                     let what = format!("node {number} doesn't serve {path}");
                     breaches.push(Breach::new(Promise::Recovered, what));
                     break;
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
-        while probe(&sender, board, fleet.version()).await != Some(true) {
-            if begun.elapsed() > RECOVERY_MAX {
-                let what = format!("node {number} doesn't follow version {}", fleet.version());
+        while probe(&sender, records, fleet.version()).await != Some(true) {
+            if begun.elapsed() > RECOVERY_TIMEOUT {
+                let what = format!("node {number} doesn't apply version {}", fleet.version());
                 breaches.push(Breach::new(Promise::InForce, what));
                 break;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
     (begun.elapsed(), breaches)
@@ -55,7 +56,7 @@
 
 async fn serves(sender: &CallSender, node: usize, path: &str, tries: &mut u32) -> bool {
     *tries += 1;
-    let call = CallerCall {
+    let call = CallerRequest {
         id: format!("{PROBE_PREFIX}last-{node}{}{tries}", path.replace('/', "-")),
         method: if path == "/o/" {
             Method::POST
--- a/crates/rig/src/soak/soak_evidence.rs
+++ b/crates/rig/src/soak/soak_evidence.rs
@@ -1,74 +1,75 @@
-//! What a soak saw.
+//! Observations made during a soak.
 
 use std::time::{Duration, Instant};
 
 use geranium_standins::RunRecord;
 
 use super::FaultKind;
-use crate::{AckedLeaving, CallRecord, NodeEvent};
+use crate::{AckedDrain, CallRecord, NodeEvent};
 
-/// A fault as it took place.
+/// A fault with the time span in which it was active.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FaultSpan {
-    /// Kind.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Instances concerned; empty when all are.
+    /// Numbers of the affected instances; empty means all.
     pub targets: Vec<usize>,
-    /// Start.
+    /// When the fault started.
     pub from: Instant,
-    /// End.
+    /// When the fault ended.
     pub to: Instant,
 }
 
 impl FaultSpan {
-    /// Whether it lasted at some moment between two others, or within
-    /// `margin` of them.
+    /// Whether the fault was active between two times, extended by `margin` on both
+    /// sides.
     pub fn overlaps(&self, from: Instant, to: Instant, margin: Duration) -> bool {
         self.from <= to + margin && from <= self.to + margin
     }
 
-    /// Whether it concerns an instance.
+    /// Whether the fault affects an instance.
     pub fn concerns(&self, node: usize) -> bool {
         self.targets.is_empty() || self.targets.contains(&node)
     }
 }
 
-/// A leaving, and how long after it the last work came.
+/// A drain, and how long requests still arrived after it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DrainSighting {
-    /// The leaving.
-    pub leaving: AckedLeaving,
-    /// Time from the acknowledgment to the last run that began after it.
+pub struct DrainObservation {
+    /// The acknowledged drain.
+    pub drain: AckedDrain,
+    /// Time from the acknowledgment to the start of the last run after it; `None` if
+    /// there was none.
     pub last_run_after: Option<Duration>,
 }
 
-/// What callers, backend servers and the operating system saw.
+/// Observations of callers, backend servers and the operating system.
 #[derive(Debug, Clone, Default)]
 pub struct SoakEvidence {
-    /// What callers sent and got.
+    /// Requests of callers, with their outcomes.
     pub calls: Vec<CallRecord>,
-    /// What backend servers ran.
+    /// Requests that backend servers ran.
     pub runs: Vec<RunRecord>,
-    /// Leavings that nodes acknowledged.
-    pub leavings: Vec<AckedLeaving>,
-    /// Faults as they took place.
+    /// Drains and deregistrations that nodes acknowledged.
+    pub acked_drains: Vec<AckedDrain>,
+    /// Faults that were injected.
     pub faults: Vec<FaultSpan>,
-    /// What befell each node's process.
+    /// Starts and ends of each node's process, by node.
     pub events: Vec<Vec<NodeEvent>>,
 }
 
 impl SoakEvidence {
-    /// Returns for each leaving when the last work came after it.
-    pub fn drains(&self) -> Vec<DrainSighting> {
-        let sighting = |leaving: &AckedLeaving| {
+    /// Returns each acknowledged drain with the last run that started after it.
+    pub fn observe_drains(&self) -> Vec<DrainObservation> {
+        let observation = |drain: &AckedDrain| {
             let runs = self.runs.iter();
-            let runs = runs.filter(|run| leaving.is_of(&run.instance, run.born_ms));
-            let after = runs.filter_map(|run| run.began.checked_duration_since(leaving.at));
-            DrainSighting {
-                leaving: leaving.clone(),
+            let runs = runs.filter(|run| drain.is_of(&run.instance, run.born_ms));
+            let after = runs.filter_map(|run| run.began.checked_duration_since(drain.at));
+            DrainObservation {
+                drain: drain.clone(),
                 last_run_after: after.max(),
             }
         };
-        self.leavings.iter().map(sighting).collect()
+        self.acked_drains.iter().map(observation).collect()
     }
 }
--- a/crates/rig/src/soak/soak_plan.rs
+++ b/crates/rig/src/soak/soak_plan.rs
@@ -1,4 +1,4 @@
-//! Which faults come when.
+//! Plans of which faults start and end when.
 
 use std::fmt;
 
@@ -7,36 +7,38 @@
 
 use super::FaultKind;
 
-/// No fault before this time, so that the load is under way.
+/// Time before the first fault, so that the load is running by then.
 const FIRST_MS: u64 = 1_000;
-/// Shortest and longest time that a fault lasts.
+/// Range of a fault's duration.
 const LENGTH_MS: std::ops::Range<u64> = 200..5_000;
-/// Mean time between two starts: with some 2.5 s each, about four faults are
-/// there at any moment.
+/// Mean time between two starts. Faults last some 2.5 s, so about four are active
+/// at any moment.
 const GAP_MS: u64 = 650;
-/// Part of the draws that repeat the last kind, for faults in series.
-const SERIES_PART: f64 = 0.25;
-/// Mean time between two starts of faults that are laid over the others.
-const OVER_GAP_MS: u64 = 2_000;
-/// Mixed into the seed of these.
-const OVER_SEED: u64 = 0x6f76_6572;
-/// Mean time between the faults that are laid over all others.
-const LAST_GAP_MS: u64 = 6_000;
-/// Sets their draws apart from the others of the same seed.
-const LAST_SEED: u64 = 0x6c61_7374;
-/// Time for which the store is away before it comes back from a copy.
-const AWAY_MS: std::ops::Range<u64> = 100..1_500;
+/// Probability that a draw repeats the last kind, which makes series of faults.
+const SERIES_PROBABILITY: f64 = 0.25;
+/// Mean time between two starts of overlaid faults.
+const OVERLAY_GAP_MS: u64 = 2_000;
+/// Mixed into the seed of overlaid faults.
+const OVERLAY_SEED: u64 = 0x6f76_6572;
+/// Mean time between two starts of the last overlay's faults.
+const LAST_OVERLAY_GAP_MS: u64 = 6_000;
+/// Mixed into the seed of the last overlay, so that its draws differ from the
+/// others'.
+const LAST_OVERLAY_SEED: u64 = 0x6c61_7374;
+/// Range of the time that the store is unavailable before it is restored from a
+/// copy.
+const STORE_OUTAGE_MS: std::ops::Range<u64> = 100..1_500;
 
-/// One fault.
+/// One fault of a plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PlannedFault {
-    /// What fails.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Numbers of the instances concerned; empty when all are.
+    /// Numbers of the affected instances; empty means all.
     pub targets: Vec<usize>,
-    /// Start in milliseconds after that of the load.
+    /// Start, in milliseconds after the start of the plan.
     pub start_ms: u64,
-    /// End.
+    /// End, in milliseconds after the start of the plan.
     pub end_ms: u64,
 }
 
@@ -52,17 +54,17 @@
     }
 }
 
-/// All faults of a run, by their start.
+/// All faults of a run, ordered by start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct SoakPlan {
-    /// Seed that it was drawn from.
+    /// Seed from which the plan was drawn.
     pub seed: u64,
-    /// The faults.
+    /// Faults, ordered by start.
     pub faults: Vec<PlannedFault>,
 }
 
 impl SoakPlan {
-    /// Draws a plan for a fleet of `nodes` instances.
+    /// Draws a base plan for a fleet of `nodes` instances.
     ///
     /// # Examples
     ///
@@ -79,8 +81,8 @@
         let mut start_ms = FIRST_MS;
         while start_ms < seconds * 1_000 {
             let kind = match faults.last() {
-                Some(last) if rng.random_bool(SERIES_PART) => last.kind,
-                _ => FaultKind::drawn()[rng.random_range(0..FaultKind::drawn().len())],
+                Some(last) if rng.random_bool(SERIES_PROBABILITY) => last.kind,
+                _ => FaultKind::base_kinds()[rng.random_range(0..FaultKind::base_kinds().len())],
             };
             let count = rng.random_range(1..=nodes.div_ceil(3));
             let targets = if kind.has_targets() {
@@ -99,23 +101,23 @@
         Self { seed, faults }
     }
 
-    /// Draws a plan as [`SoakPlan::draw`] does, with the faults that are laid over
-    /// it.
+    /// Draws a plan as [`SoakPlan::draw`] does, with overlaid faults.
     ///
     /// # Examples
     ///
     /// ```
     /// use geranium_rig::soak::SoakPlan;
     ///
-    /// let (whole, base) = (SoakPlan::draw_whole(7, 20, 8), SoakPlan::draw(7, 20, 8));
+    /// let (whole, base) = (SoakPlan::draw_with_overlay(7, 20, 8), SoakPlan::draw(7, 20, 8));
     /// assert!(base.faults.iter().all(|fault| whole.faults.contains(fault)));
     /// ```
-    pub fn draw_whole(seed: u64, seconds: u64, nodes: usize) -> Self {
+    pub fn draw_with_overlay(seed: u64, seconds: u64, nodes: usize) -> Self {
         let mut plan = Self::draw(seed, seconds, nodes);
-        let mut rng = StdRng::seed_from_u64(seed ^ OVER_SEED);
+        let mut rng = StdRng::seed_from_u64(seed ^ OVERLAY_SEED);
         let mut start_ms = FIRST_MS;
         while start_ms < seconds * 1_000 {
-            let kind = FaultKind::LAID_OVER[rng.random_range(0..FaultKind::LAID_OVER.len())];
+            let kind =
+                FaultKind::OVERLAY_KINDS[rng.random_range(0..FaultKind::OVERLAY_KINDS.len())];
             let count = rng.random_range(1..=nodes.div_ceil(3));
             plan.faults.push(PlannedFault {
                 kind,
@@ -123,34 +125,36 @@
                 start_ms,
                 end_ms: start_ms + rng.random_range(LENGTH_MS),
             });
-            start_ms += rng.random_range(0..2 * OVER_GAP_MS);
+            start_ms += rng.random_range(0..2 * OVERLAY_GAP_MS);
         }
         plan.faults.sort_by_key(|fault| fault.start_ms);
         plan
     }
 
-    /// Draws a plan as [`SoakPlan::draw_whole`] does, with copies of the store.
+    /// Draws a plan as [`SoakPlan::draw_with_overlay`] does, with restores of the
+    /// store.
     ///
     /// # Examples
     ///
     /// ```
     /// use geranium_rig::soak::SoakPlan;
     ///
-    /// let (last, whole) = (SoakPlan::draw_last(7, 20, 8), SoakPlan::draw_whole(7, 20, 8));
+    /// let (last, whole) = (SoakPlan::draw_with_all_overlays(7, 20, 8), SoakPlan::draw_with_overlay(7, 20, 8));
     /// assert!(whole.faults.iter().all(|fault| last.faults.contains(fault)));
     /// ```
-    pub fn draw_last(seed: u64, seconds: u64, nodes: usize) -> Self {
-        let mut plan = Self::draw_whole(seed, seconds, nodes);
-        let mut rng = StdRng::seed_from_u64(seed ^ LAST_SEED);
-        let mut start_ms = FIRST_MS + rng.random_range(0..LAST_GAP_MS);
+    pub fn draw_with_all_overlays(seed: u64, seconds: u64, nodes: usize) -> Self {
+        let mut plan = Self::draw_with_overlay(seed, seconds, nodes);
+        let mut rng = StdRng::seed_from_u64(seed ^ LAST_OVERLAY_SEED);
+        let mut start_ms = FIRST_MS + rng.random_range(0..LAST_OVERLAY_GAP_MS);
         while start_ms < seconds * 1_000 {
             plan.faults.push(PlannedFault {
-                kind: FaultKind::LAID_LAST[rng.random_range(0..FaultKind::LAID_LAST.len())],
+                kind: FaultKind::LAST_OVERLAY_KINDS
+                    [rng.random_range(0..FaultKind::LAST_OVERLAY_KINDS.len())],
                 targets: Vec::new(),
                 start_ms,
-                end_ms: start_ms + rng.random_range(AWAY_MS),
+                end_ms: start_ms + rng.random_range(STORE_OUTAGE_MS),
             });
-            start_ms += rng.random_range(0..2 * LAST_GAP_MS);
+            start_ms += rng.random_range(0..2 * LAST_OVERLAY_GAP_MS);
         }
         plan.faults.sort_by_key(|fault| fault.start_ms);
         plan
--- a/crates/rig/src/soak/soak_report.rs
+++ b/crates/rig/src/soak/soak_report.rs
@@ -1,4 +1,4 @@
-//! Result of a soak.
+//! Report of one soak run.
 
 use std::fmt;
 
@@ -8,43 +8,43 @@
 use super::{Breach, SoakEvidence};
 use crate::{CallOutcome, CallRecord};
 
-/// Result of one run, one line of JSON.
+/// Result of one run, printed as text and as one line of JSON.
 #[derive(Debug, Clone, Serialize)]
 pub struct SoakReport {
-    /// Seed.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Instances.
+    /// Number of instances.
     pub nodes: usize,
-    /// Seconds in which faults began.
+    /// Seconds during which faults started.
     pub seconds: u64,
-    /// Faults.
+    /// Number of faults.
     pub faults: usize,
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Those with a good answer.
+    /// Number of requests with a good response.
     pub good: usize,
-    /// Those told that they hadn't run.
+    /// Number of requests that were reported as not run.
     pub refused: usize,
-    /// Those whose caller left early on purpose.
+    /// Number of requests whose caller disconnected early on purpose.
     pub left: usize,
-    /// Time to a good answer at the 50th and 99th percentile, milliseconds.
+    /// Time to a good response, 50th and 99th percentile, in milliseconds.
     pub good_ms: [u64; 2],
-    /// Time to a refusal at the 99th percentile, milliseconds.
+    /// Time to a refusal, 99th percentile, in milliseconds.
     pub refused_ms: u64,
-    /// Time from a version's publication to a node's first sighting of it at
-    /// the 50th and 99th percentile, faults included, milliseconds.
+    /// Time from a version's publication until a node was first seen to apply it,
+    /// faults included, 50th and 99th percentile, in milliseconds.
     pub version_ms: [u64; 2],
-    /// Longest time after an acknowledged leaving at which work came,
+    /// Longest time after an acknowledged drain at which a run started, in
     /// milliseconds.
     pub drain_ms: u64,
-    /// Time from the end of the faults to recovery, milliseconds.
+    /// Time from the end of the faults to recovery, in milliseconds.
     pub recovery_ms: u64,
     /// Promises that were broken.
     pub breaches: Vec<Breach>,
 }
 
 impl SoakReport {
-    /// Sums up what callers got.
+    /// Creates a report from the evidence, without versions, recovery and breaches.
     pub fn of_calls(seed: u64, seconds: u64, evidence: &SoakEvidence) -> Self {
         let calls = &evidence.calls;
         let good: Vec<&CallRecord> = calls.iter().filter(|call| call.is_good()).collect();
@@ -53,10 +53,12 @@
         let left = left.filter(|call| matches!(call.outcome, CallOutcome::Left));
         let times = |calls: &[&CallRecord]| {
             let times = calls.iter();
-            millis(times.map(|call| call.ended.duration_since(call.sent).as_millis() as u64))
+            latency_histogram(
+                times.map(|call| call.ended.duration_since(call.sent).as_millis() as u64),
+            )
         };
         let (good_times, refused_times) = (times(&good), times(&refused));
-        let drains = evidence.drains();
+        let drains = evidence.observe_drains();
         let drains = drains.iter().filter_map(|drain| drain.last_run_after);
         Self {
             seed,
@@ -77,11 +79,11 @@
     }
 }
 
-/// Collects times in milliseconds.
-pub(super) fn millis(times: impl IntoIterator<Item = u64>) -> Histogram<u64> {
-    let mut histogram = Histogram::new(3).expect("three digits are allowed");
+/// Collects latencies in milliseconds.
+pub(super) fn latency_histogram(times: impl IntoIterator<Item = u64>) -> Histogram<u64> {
+    let mut histogram = Histogram::new(3).expect("three significant digits are valid");
     for time in times {
-        // A histogram that grows by itself takes every value.
+        // The histogram resizes itself, so that every value fits.
         let _taken = histogram.record(time);
     }
     histogram
@@ -96,7 +98,7 @@
         )?;
         writeln!(
             f,
-            "  {} requests: {} good, {} refused, {} left by their callers",
+            "  {} requests: {} good, {} refused, {} abandoned by their callers",
             self.requests, self.good, self.refused, self.left
         )?;
         writeln!(
@@ -106,7 +108,7 @@
         )?;
         writeln!(
             f,
-            "  versions seen after {}/{} ms, work after a leaving until {} ms, recovered in {} ms",
+            "  versions applied after {}/{} ms, last run {} ms after a drain, recovered in {} ms",
             self.version_ms[0], self.version_ms[1], self.drain_ms, self.recovery_ms
         )?;
         for breach in &self.breaches {
--- a/crates/rig/src/soak/soak_run.rs
+++ b/crates/rig/src/soak/soak_run.rs
@@ -1,4 +1,4 @@
-//! One run of the soak.
+//! Execution of a soak.
 
 use std::{
     fs::OpenOptions,
@@ -12,34 +12,34 @@
 
 use super::{
     SoakEvidence, SoakOptions, SoakPlan, SoakReport,
-    fault_actor::FaultActor,
+    fault_injector::FaultInjector,
     promise_check::check_promises,
     recovery_check::check_recovery,
-    soak_report::millis,
-    version_probe::{ProbeBoard, ProbedNode, probe_node},
+    soak_report::latency_histogram,
+    version_probe::{ProbeRecords, ProbedNode, probe_node},
 };
 use crate::{CallerLoad, LoadPlan, ProgramPaths, RigError, RigFleet, rig_error::FileSnafu};
 
-/// Longest time for a fleet to start, on a busy machine.
-const START_MAX: Duration = Duration::from_secs(60);
-/// Time between looks at processes and plan.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time between versions while nothing storms.
-const VERSION_TIME: Duration = Duration::from_millis(1_500);
+/// Longest time for a fleet to start on a busy machine.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between checks of processes and plan.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between published versions outside of configuration storms.
+const VERSION_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Runs every seed and prints each report; returns whether every promise held.
+/// Runs every seed and prints each report. Returns whether every promise held.
 ///
 /// # Errors
 ///
-/// When a fleet can't be started.
+/// Fails if a fleet can't be started or a report can't be written.
 pub async fn run_soak(options: &SoakOptions) -> Result<bool, RigError> {
     let programs = ProgramPaths::find();
     let mut held = true;
     for seed in options.seed..options.seed + options.runs {
         let draw = match (options.plain, options.without_last) {
             (true, _) => SoakPlan::draw,
-            (false, true) => SoakPlan::draw_whole,
-            (false, false) => SoakPlan::draw_last,
+            (false, true) => SoakPlan::draw_with_overlay,
+            (false, false) => SoakPlan::draw_with_all_overlays,
         };
         let plan = draw(seed, options.seconds, options.nodes);
         if options.plan {
@@ -48,12 +48,12 @@
         let report = run_plan(&plan, options, &programs).await?;
         print!("{report}");
         held &= report.breaches.is_empty();
-        keep_line(&report, options)?;
+        append_line(&report, options)?;
     }
     Ok(held)
 }
 
-fn keep_line(report: &SoakReport, options: &SoakOptions) -> Result<(), RigError> {
+fn append_line(report: &SoakReport, options: &SoakOptions) -> Result<(), RigError> {
     let Some(path) = &options.lines else {
         return Ok(());
     };
@@ -69,11 +69,11 @@
     programs: &ProgramPaths,
 ) -> Result<SoakReport, RigError> {
     let mut fleet = RigFleet::start(options.nodes, programs)?;
-    fleet.settle(START_MAX).await?;
-    let board = ProbeBoard::new();
-    board.publish(fleet.version());
+    fleet.settle(START_TIMEOUT).await?;
+    let records = ProbeRecords::new();
+    records.publish(fleet.version());
     let stop = watch::Sender::new(false);
-    let probes = start_probes(&fleet, &board, &stop);
+    let probes = start_probes(&fleet, &records, &stop);
     let callers = fleet.nodes.iter();
     let load = CallerLoad::start(&LoadPlan {
         nodes: callers.map(|node| node.machine().addrs.callers).collect(),
@@ -81,11 +81,11 @@
         seed: plan.seed,
         crashes: !options.plain && !options.without_last,
     });
-    let mut actor = FaultActor::new(options.nodes, Arc::clone(&board));
-    carry_out(plan, &mut fleet, &mut actor, &board).await?;
+    let mut injector = FaultInjector::new(options.nodes, Arc::clone(&records));
+    execute_plan(plan, &mut fleet, &mut injector, &records).await?;
     let version = fleet.publish();
-    board.publish(version);
-    let (recovery, late) = check_recovery(&fleet, &board).await;
+    records.publish(version);
+    let (recovery, late) = check_recovery(&fleet, &records).await;
     let calls = load.end().await;
     stop.send_replace(true);
     for probe in probes {
@@ -98,12 +98,12 @@
             .iter()
             .flat_map(|node| node.endpoint.runs())
             .collect(),
-        leavings: fleet
+        acked_drains: fleet
             .nodes
             .iter()
-            .flat_map(|node| node.endpoint.leavings())
+            .flat_map(|node| node.endpoint.acked_drains())
             .collect(),
-        faults: actor.into_spans(),
+        faults: injector.into_spans(),
         events: fleet
             .nodes
             .iter()
@@ -112,12 +112,20 @@
     };
     let mut report = SoakReport::of_calls(plan.seed, options.seconds, &evidence);
     report.recovery_ms = recovery.as_millis() as u64;
-    let delays = board.delays.lock().expect("no holder panics");
-    let delays = millis(delays.iter().map(|delay| delay.as_millis() as u64));
+    let delays = records
+        .delays
+        .lock()
+        .expect("no thread panics with the lock");
+    let delays = latency_histogram(delays.iter().map(|delay| delay.as_millis() as u64));
     report.version_ms = [0.5, 0.99].map(|part| delays.value_at_quantile(part));
     report.breaches = check_promises(&evidence, options.timed);
     report.breaches.extend(late);
-    let older = std::mem::take(&mut *board.breaches.lock().expect("no holder panics"));
+    let older = std::mem::take(
+        &mut *records
+            .breaches
+            .lock()
+            .expect("no thread panics with the lock"),
+    );
     report.breaches.extend(older);
     if !report.breaches.is_empty() {
         let kept = fleet.keep_directory();
@@ -128,7 +136,7 @@
 
 fn start_probes(
     fleet: &RigFleet,
-    board: &Arc<ProbeBoard>,
+    records: &Arc<ProbeRecords>,
     stop: &watch::Sender<bool>,
 ) -> Vec<JoinHandle<()>> {
     let nodes = fleet.nodes.iter().enumerate();
@@ -136,55 +144,54 @@
         let probed = ProbedNode {
             number,
             callers: node.machine().addrs.callers,
-            lives: node.lives(),
+            process_starts: node.process_starts(),
         };
-        probe_node(probed, Arc::clone(board), stop.subscribe())
+        probe_node(probed, Arc::clone(records), stop.subscribe())
     });
     probes.collect()
 }
 
-/// Carries a plan out to the end of its last fault.
-async fn carry_out(
+/// Executes a plan until its last fault has ended and every node runs again.
+async fn execute_plan(
     plan: &SoakPlan,
     fleet: &mut RigFleet,
-    actor: &mut FaultActor,
-    board: &ProbeBoard,
+    injector: &mut FaultInjector,
+    records: &ProbeRecords,
 ) -> Result<(), RigError> {
     let begun = Instant::now();
     let mut waiting: Vec<_> = plan.faults.iter().collect();
-    let mut lasting = Vec::new();
-    let mut versioned = Instant::now();
-    while !(waiting.is_empty() && lasting.is_empty()) {
+    let mut active = Vec::new();
+    let mut published_at = Instant::now();
+    while !(waiting.is_empty() && active.is_empty()) {
         let now_ms = begun.elapsed().as_millis() as u64;
         let (due, later): (Vec<_>, Vec<_>) = waiting
             .into_iter()
             .partition(|fault| fault.start_ms <= now_ms);
         waiting = later;
         for fault in due {
-            actor.begin(fleet, fault);
-            lasting.push(fault);
+            injector.begin(fleet, fault);
+            active.push(fault);
         }
-        let (ended, still): (Vec<_>, Vec<_>) = lasting
-            .into_iter()
-            .partition(|fault| fault.end_ms <= now_ms);
-        lasting = still;
+        let (ended, still): (Vec<_>, Vec<_>) =
+            active.into_iter().partition(|fault| fault.end_ms <= now_ms);
+        active = still;
         for fault in ended {
-            actor.end(fleet, fault);
+            injector.end(fleet, fault);
         }
-        if versioned.elapsed() >= VERSION_TIME {
-            versioned = Instant::now();
+        if published_at.elapsed() >= VERSION_INTERVAL {
+            published_at = Instant::now();
             let version = fleet.publish();
-            board.publish(version);
+            records.publish(version);
         }
-        actor.tend(fleet)?;
-        sleep(LOOK).await;
+        injector.advance(fleet)?;
+        sleep(POLL_INTERVAL).await;
     }
-    actor.finish().await;
-    // A node takes some seconds to stop: one that was told to shortly before the last
-    // fault's end still runs then, and has to be started again afterwards.
-    while actor.is_ending() || fleet.nodes.iter_mut().any(|node| !node.is_running()) {
-        actor.tend(fleet)?;
-        sleep(LOOK).await;
+    injector.finish().await;
+    // A node takes some seconds to terminate. One that was asked to shortly before the
+    // last fault ended may still be running, and has to be restarted after it exits.
+    while injector.is_terminating() || fleet.nodes.iter_mut().any(|node| !node.is_running()) {
+        injector.advance(fleet)?;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/rig/src/soak/version_probe.rs
+++ b/crates/rig/src/soak/version_probe.rs
@@ -1,4 +1,4 @@
-//! Watches which version each node follows.
+//! Probes which configuration version each node applies.
 
 use std::{
     collections::HashMap,
@@ -10,35 +10,35 @@
     time::{Duration, Instant},
 };
 
-use geranium_standins::CallerCall;
+use geranium_standins::CallerRequest;
 use http::Method;
 use tokio::{sync::watch, task::JoinHandle, time::sleep};
 
 use super::{Breach, Promise};
 use crate::{CallSender, marker_path};
 
-/// How the identifiers of requests begin that only probe.
+/// Prefix of the identifiers of probe requests.
 pub(super) const PROBE_PREFIX: &str = "probe-";
-/// Time between probes of a node.
-const PROBE_TIME: Duration = Duration::from_millis(60);
-/// Time for which a probe waits.
+/// Interval between probes of a node.
+const PROBE_INTERVAL: Duration = Duration::from_millis(60);
+/// Time that a probe waits for a response.
 const PROBE_DEADLINE: Duration = Duration::from_secs(1);
 
-/// What probes share with whoever publishes versions.
+/// Results of all probes, and the versions they look for.
 #[derive(Debug)]
-pub(super) struct ProbeBoard {
-    /// Newest version.
+pub(super) struct ProbeRecords {
+    /// Newest published version.
     pub(super) newest: AtomicU64,
-    /// When each version was published.
+    /// Time at which each version was published.
     pub(super) published: Mutex<HashMap<u64, Instant>>,
-    /// Times from publication to the first sighting at each node.
+    /// Times from publication until each node was first seen to apply a version.
     pub(super) delays: Mutex<Vec<Duration>>,
-    /// Breaches seen.
+    /// Breaches that the probes found.
     pub(super) breaches: Mutex<Vec<Breach>>,
     numbers: AtomicU64,
 }
 
-impl ProbeBoard {
+impl ProbeRecords {
     pub(super) fn new() -> Arc<Self> {
         Arc::new(Self {
             newest: AtomicU64::new(0),
@@ -50,93 +50,110 @@
     }
 
     pub(super) fn publish(&self, version: u64) {
-        let mut published = self.published.lock().expect("no holder panics");
+        let mut published = self
+            .published
+            .lock()
+            .expect("no thread panics with the lock");
         published.insert(version, Instant::now());
         self.newest.store(version, Ordering::Relaxed);
     }
 }
 
-/// A node to be probed.
+/// A node to probe.
 #[derive(Debug, Clone)]
 pub(super) struct ProbedNode {
     pub(super) number: usize,
     pub(super) callers: SocketAddr,
-    /// Counts the starts of its process.
-    pub(super) lives: Arc<AtomicUsize>,
+    /// Number of starts of the node's process.
+    pub(super) process_starts: Arc<AtomicUsize>,
 }
 
-/// Probes a node until `stop`: a version that a process once followed must not
-/// be missing there later.
+/// Probes a node until `stop`. A version that a process once applied must not be
+/// missing there later.
 pub(super) fn probe_node(
     node: ProbedNode,
-    board: Arc<ProbeBoard>,
+    records: Arc<ProbeRecords>,
     mut stop: watch::Receiver<bool>,
 ) -> JoinHandle<()> {
     tokio::spawn(async move {
         let sender = CallSender::new(node.callers);
-        let mut followed = Followed::default();
+        let mut followed = FollowedVersion::default();
         loop {
-            followed.look(&node, &sender, &board).await;
+            followed.check(&node, &sender, &records).await;
             tokio::select! {
-                () = sleep(PROBE_TIME) => {}
+                () = sleep(PROBE_INTERVAL) => {}
                 _ = stop.wait_for(|stop| *stop) => return,
             }
         }
     })
 }
 
-/// The newest version that one process was seen to follow.
+/// The newest version that one process was seen to apply.
 #[derive(Debug, Default)]
-struct Followed {
-    life: usize,
+struct FollowedVersion {
+    process_start: usize,
     version: u64,
 }
 
-impl Followed {
-    async fn look(&mut self, node: &ProbedNode, sender: &CallSender, board: &ProbeBoard) {
-        let life = node.lives.load(Ordering::Acquire);
-        if life != self.life {
-            *self = Self { life, version: 0 };
+impl FollowedVersion {
+    async fn check(&mut self, node: &ProbedNode, sender: &CallSender, records: &ProbeRecords) {
+        let process_start = node.process_starts.load(Ordering::Acquire);
+        if process_start != self.process_start {
+            *self = Self {
+                process_start,
+                version: 0,
+            };
         }
-        let newest = board.newest.load(Ordering::Relaxed);
+        let newest = records.newest.load(Ordering::Relaxed);
         if newest > self.version {
-            let follows = probe(sender, board, newest).await;
-            if follows == Some(true) && node.lives.load(Ordering::Acquire) == life {
+            let follows = probe(sender, records, newest).await;
+            if follows == Some(true) && node.process_starts.load(Ordering::Acquire) == process_start
+            {
                 self.version = newest;
-                note_delay(board, newest);
+                record_delay(records, newest);
             }
             return;
         }
-        let follows = probe(sender, board, self.version).await;
-        if follows == Some(false) && node.lives.load(Ordering::Acquire) == life {
+        let follows = probe(sender, records, self.version).await;
+        if follows == Some(false) && node.process_starts.load(Ordering::Acquire) == process_start {
             let what = format!(
                 "node {} went back from version {}",
                 node.number, self.version
             );
             let breach = Breach::new(Promise::NeverOlder, what);
-            board
+            records
                 .breaches
                 .lock()
-                .expect("no holder panics")
+                .expect("no thread panics with the lock")
                 .push(breach);
             self.version = 0;
         }
     }
 }
 
-fn note_delay(board: &ProbeBoard, version: u64) {
-    let published = board.published.lock().expect("no holder panics");
+fn record_delay(records: &ProbeRecords, version: u64) {
+    let published = records
+        .published
+        .lock()
+        .expect("no thread panics with the lock");
     if let Some(at) = published.get(&version) {
-        let mut delays = board.delays.lock().expect("no holder panics");
+        let mut delays = records
+            .delays
+            .lock()
+            .expect("no thread panics with the lock");
         delays.push(at.elapsed());
     }
 }
 
-/// Says whether a node has the route that a version added; nothing when it
-/// can't be told.
-pub(super) async fn probe(sender: &CallSender, board: &ProbeBoard, version: u64) -> Option<bool> {
-    let number = board.numbers.fetch_add(1, Ordering::Relaxed);
-    let call = CallerCall {
+/// Returns whether a node has the route that a version added; `None` if the
+/// response doesn't tell.
+pub(super) async fn probe(
+    sender: &CallSender,
+    records: &ProbeRecords,
+    version: u64,
+) -> Option<bool> {
+    let number = records.numbers.fetch_add(1, Ordering::Relaxed);
+    let call = CallerRequest {
         id: format!("{PROBE_PREFIX}{number}"),
         method: Method::GET,
         path: format!("{}{number}", marker_path(version)),
--- a/crates/rig/tests/all/links.rs
+++ b/crates/rig/tests/all/links.rs
@@ -10,12 +10,12 @@
 };
 
 /// Long enough for a byte on loopback, on a busy machine.
-const SURELY: Duration = Duration::from_secs(10);
+const ECHO_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time after which a byte that hasn't come is taken for lost.
 const LOST: Duration = Duration::from_millis(150);
 
 /// An echo behind a link.
-async fn linked() -> LinkProxy {
+async fn linked_echo_server() -> LinkProxy {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any).await.unwrap();
     let target = listener.local_addr().unwrap();
@@ -41,46 +41,46 @@
 
 #[tokio::test]
 async fn a_sound_link_passes_bytes_on() {
-    let link = linked().await;
+    let link = linked_echo_server().await;
     let mut stream = TcpStream::connect(link.addr()).await.unwrap();
-    assert!(echoes(&mut stream, SURELY).await);
+    assert!(echoes(&mut stream, ECHO_TIMEOUT).await);
     link.set_fault(LinkFault::Delay(Duration::from_millis(1)));
-    assert!(echoes(&mut stream, SURELY).await);
+    assert!(echoes(&mut stream, ECHO_TIMEOUT).await);
 }
 
 #[tokio::test]
 async fn a_cut_link_loses_bytes_in_its_direction() {
     for fault in [LinkFault::Cut, LinkFault::CutTowards, LinkFault::CutFrom] {
-        let link = linked().await;
+        let link = linked_echo_server().await;
         let mut stream = TcpStream::connect(link.addr()).await.unwrap();
         link.set_fault(fault);
         assert!(!echoes(&mut stream, LOST).await, "{fault}");
         link.set_fault(LinkFault::Sound);
-        assert!(echoes(&mut stream, SURELY).await, "{fault}");
+        assert!(echoes(&mut stream, ECHO_TIMEOUT).await, "{fault}");
     }
 }
 
 #[tokio::test]
 async fn a_reset_ends_open_connections() {
-    let link = linked().await;
+    let link = linked_echo_server().await;
     let mut stream = TcpStream::connect(link.addr()).await.unwrap();
-    assert!(echoes(&mut stream, SURELY).await);
+    assert!(echoes(&mut stream, ECHO_TIMEOUT).await);
     link.set_fault(LinkFault::Reset);
     let mut byte = [0];
-    let ended = timeout(SURELY, stream.read(&mut byte)).await.unwrap();
+    let ended = timeout(ECHO_TIMEOUT, stream.read(&mut byte)).await.unwrap();
     assert!(matches!(ended, Ok(0) | Err(_)), "{ended:?}");
     link.set_fault(LinkFault::Sound);
     let mut next = TcpStream::connect(link.addr()).await.unwrap();
-    assert!(echoes(&mut next, SURELY).await);
+    assert!(echoes(&mut next, ECHO_TIMEOUT).await);
 }
 
 #[tokio::test]
 async fn a_mute_connection_stays_so_and_new_ones_work() {
-    let link = linked().await;
+    let link = linked_echo_server().await;
     let mut stream = TcpStream::connect(link.addr()).await.unwrap();
-    assert!(echoes(&mut stream, SURELY).await);
+    assert!(echoes(&mut stream, ECHO_TIMEOUT).await);
     link.mute_open();
     let mut next = TcpStream::connect(link.addr()).await.unwrap();
-    assert!(echoes(&mut next, SURELY).await);
+    assert!(echoes(&mut next, ECHO_TIMEOUT).await);
     assert!(!echoes(&mut stream, LOST).await);
 }
--- a/crates/rig/tests/all/promises.rs
+++ b/crates/rig/tests/all/promises.rs
@@ -3,20 +3,20 @@
 use std::time::{Duration, Instant};
 
 use geranium_rig::{
-    AckedLeaving, CallKind, CallOutcome, CallRecord, NodeEvent, NodeEventKind,
+    AckedDrain, CallKind, CallOutcome, CallRecord, NodeEvent, NodeEventKind,
     soak::{FaultKind, FaultSpan, Promise, SoakEvidence, check_promises},
 };
-use geranium_standins::{CallerAnswer, RunRecord};
+use geranium_standins::{CallerResponse, RunRecord};
 use http::StatusCode;
 
-const MILLIS: Duration = Duration::from_millis(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
 
-struct Story {
+struct Scenario {
     begun: Instant,
     evidence: SoakEvidence,
 }
 
-impl Story {
+impl Scenario {
     fn new() -> Self {
         let evidence = SoakEvidence {
             events: vec![Vec::new()],
@@ -28,7 +28,7 @@
     }
 
     fn at(&self, millis: u32) -> Instant {
-        self.begun + MILLIS * millis
+        self.begun + MILLISECOND * millis
     }
 
     fn call(mut self, kind: CallKind, outcome: CallOutcome) -> Self {
@@ -79,23 +79,23 @@
     }
 
     fn left(mut self, millis: u32) -> Self {
-        let leaving = AckedLeaving {
+        let leaving = AckedDrain {
             instance: "i-1".to_owned(),
             born_ms: 1,
             at: self.at(millis),
         };
-        self.evidence.leavings.push(leaving);
+        self.evidence.acked_drains.push(leaving);
         self
     }
 
-    fn broken(&self) -> Vec<Promise> {
+    fn broken_promises(&self) -> Vec<Promise> {
         let breaches = check_promises(&self.evidence, true);
         breaches.into_iter().map(|breach| breach.promise).collect()
     }
 }
 
 fn answered(status: u16, own: bool) -> CallOutcome {
-    let answer = CallerAnswer {
+    let answer = CallerResponse {
         status: StatusCode::from_u16(status).unwrap(),
         id: Some("call-1".to_owned()),
         signed: own,
@@ -106,34 +106,43 @@
 
 #[test]
 fn a_good_order_breaks_nothing() {
-    let story = Story::new().call(CallKind::Order, answered(200, true));
-    assert_eq!(story.run(5, false).broken(), []);
+    let scenario = Scenario::new().call(CallKind::Order, answered(200, true));
+    assert_eq!(scenario.run(5, false).broken_promises(), []);
 }
 
 #[test]
 fn an_answer_of_another_request_is_found() {
-    let story = Story::new().call(CallKind::Order, answered(200, false));
-    assert_eq!(story.run(5, false).broken(), [Promise::OwnAnswer]);
+    let scenario = Scenario::new().call(CallKind::Order, answered(200, false));
+    assert_eq!(
+        scenario.run(5, false).broken_promises(),
+        [Promise::OwnAnswer]
+    );
 }
 
 #[test]
 fn an_order_that_runs_twice_is_found() {
-    let story = Story::new().call(CallKind::Order, answered(200, true));
-    let story = story.run(5, false).run(20, false);
-    assert_eq!(story.broken(), [Promise::OnceAtMost]);
+    let scenario = Scenario::new().call(CallKind::Order, answered(200, true));
+    let scenario = scenario.run(5, false).run(20, false);
+    assert_eq!(scenario.broken_promises(), [Promise::OnceAtMost]);
 }
 
 #[test]
 fn a_refusal_of_what_ran_is_found() {
-    let story = Story::new().call(CallKind::Order, answered(503, true));
-    assert_eq!(story.run(5, false).broken(), [Promise::TrueRefusal]);
-    let lookup = Story::new().call(CallKind::Lookup, answered(503, true));
-    assert_eq!(lookup.run(5, false).broken(), []);
+    let scenario = Scenario::new().call(CallKind::Order, answered(503, true));
+    assert_eq!(
+        scenario.run(5, false).broken_promises(),
+        [Promise::TrueRefusal]
+    );
+    let lookup = Scenario::new().call(CallKind::Lookup, answered(503, true));
+    assert_eq!(lookup.run(5, false).broken_promises(), []);
 }
 
 #[test]
 fn a_run_that_nobody_asked_for_is_found() {
-    assert_eq!(Story::new().run(5, false).broken(), [Promise::AskedFor]);
+    assert_eq!(
+        Scenario::new().run(5, false).broken_promises(),
+        [Promise::AskedFor]
+    );
 }
 
 /// A connection ends without an answer. The process is at fault unless it was
@@ -141,21 +150,27 @@
 #[test]
 fn a_request_that_gets_no_answer_is_found() {
     let lost = || {
-        let story = Story::new().call(CallKind::Lookup, CallOutcome::Closed);
-        story.run(5, false)
+        let scenario = Scenario::new().call(CallKind::Lookup, CallOutcome::Closed);
+        scenario.run(5, false)
     };
-    assert_eq!(lost().broken(), [Promise::Answered]);
+    assert_eq!(lost().broken_promises(), [Promise::Answered]);
     let asked = lost().event(10, NodeEventKind::Terminated);
-    assert_eq!(asked.broken(), [Promise::Answered]);
-    assert_eq!(lost().event(10, NodeEventKind::Killed).broken(), []);
-    assert_eq!(lost().fault(FaultKind::NodePause, 10, 20).broken(), []);
+    assert_eq!(asked.broken_promises(), [Promise::Answered]);
+    assert_eq!(
+        lost().event(10, NodeEventKind::Killed).broken_promises(),
+        []
+    );
+    assert_eq!(
+        lost().fault(FaultKind::NodePause, 10, 20).broken_promises(),
+        []
+    );
 }
 
 #[test]
 fn work_after_a_leaving_is_found() {
     let late = |millis| {
-        let story = Story::new().call(CallKind::Order, answered(200, true));
-        story.left(0).run(millis, false).broken()
+        let scenario = Scenario::new().call(CallKind::Order, answered(200, true));
+        scenario.left(0).run(millis, false).broken_promises()
     };
     assert_eq!(late(1_900), []);
     assert_eq!(late(2_900), [Promise::Drained]);
@@ -163,27 +178,27 @@
 
 #[test]
 fn a_run_that_goes_on_for_nobody_is_found() {
-    let left = || Story::new().call(CallKind::Abandoned, CallOutcome::Left);
-    assert_eq!(left().run(5, true).broken(), []);
-    assert_eq!(left().run(5, false).broken(), [Promise::Cancelled]);
+    let left = || Scenario::new().call(CallKind::Abandoned, CallOutcome::Left);
+    assert_eq!(left().run(5, true).broken_promises(), []);
+    assert_eq!(left().run(5, false).broken_promises(), [Promise::Cancelled]);
     let unheard = left().run(5, false).fault(FaultKind::HopCut, 20, 90);
-    assert_eq!(unheard.broken(), []);
+    assert_eq!(unheard.broken_promises(), []);
 }
 
 #[test]
 fn a_process_that_ends_by_itself_is_found() {
-    let story = Story::new().event(10, NodeEventKind::Ended);
-    assert_eq!(story.broken(), [Promise::KeepsRunning]);
+    let scenario = Scenario::new().event(10, NodeEventKind::Ended);
+    assert_eq!(scenario.broken_promises(), [Promise::KeepsRunning]);
 }
 
 /// Guards against a soak that overlooks a request which crashes server after server.
 #[test]
 fn a_request_that_crashes_many_servers_is_found() {
     let crashes = |runs: u32| {
-        let story = Story::new().call(CallKind::Crash, CallOutcome::Closed);
-        (0..runs).fold(story, |story, run| story.run(run, true))
+        let scenario = Scenario::new().call(CallKind::Crash, CallOutcome::Closed);
+        (0..runs).fold(scenario, |scenario, run| scenario.run(run, true))
     };
-    let found = |story: &Story| story.broken().contains(&Promise::FewCrashes);
+    let found = |scenario: &Scenario| scenario.broken_promises().contains(&Promise::FewCrashes);
     assert!(!found(&crashes(2)));
     assert!(found(&crashes(3)));
     let cut = |runs| crashes(runs).fault(FaultKind::HopCut, 0, 40);
--- a/crates/rig/tests/all/soaks.rs
+++ b/crates/rig/tests/all/soaks.rs
@@ -18,19 +18,19 @@
     }
 }
 
-async fn holds(seed: u64) {
+async fn holds_for_seed(seed: u64) {
     let held = run_soak(&options(seed)).await;
     assert!(held.expect("the fleet starts"), "seed {seed}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_promise_holds_for_seed_1() {
-    holds(1).await;
+    holds_for_seed(1).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_promise_holds_for_seed_2() {
-    holds(2).await;
+    holds_for_seed(2).await;
 }
 
 /// Guards against refusing requests that ran beside several others that crash servers.
@@ -47,7 +47,7 @@
 }
 
 /// The seed whose run showed it, on a fleet of the size at which it did.
-async fn still_holds(seed: u64) {
+async fn holds_on_plain_plan(seed: u64) {
     let options = SoakOptions {
         seconds: 20,
         nodes: 12,
@@ -63,7 +63,7 @@
 /// accepted what waited: new callers were reset.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn callers_of_a_stalled_node_that_ends_are_answered() {
-    still_holds(109).await;
+    holds_on_plain_plan(109).await;
 }
 
 /// A backend server's leaving was acknowledged while its node was told to stop;
@@ -71,7 +71,7 @@
 /// only by hand: `geranium-rig soak --seed 116 --timed`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_leaving_outlives_a_restart_in_a_series_of_faults() {
-    still_holds(116).await;
+    holds_on_plain_plan(116).await;
 }
 
 /// An announcement was dropped from the store while its node's watch was silent
@@ -79,7 +79,7 @@
 /// the drop itself was lost: two nodes never came back into the list.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_drop_that_nobody_saw_is_noticed() {
-    still_holds(135).await;
+    holds_on_plain_plan(135).await;
 }
 
 /// Three nodes were told to stop just before the last fault ended. They still ran when
--- a/crates/standins/src/caller.rs
+++ b/crates/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers send, and how they read answers.
+//! Requests as callers send them, and responses as callers read them.
 
 use std::time::Duration;
 
@@ -6,30 +6,31 @@
 use http::{HeaderMap, HeaderValue, Method, Request, StatusCode, header};
 use http_body_util::Full;
 
-/// Host that callers name.
+/// Value of the `Host` header in callers' requests.
 pub const CALLER_HOST: &str = "till.example";
 
-/// A caller's attempt at a request.
+/// One attempt of a caller at a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CallerCall {
-    /// Identifier of the attempt.
+pub struct CallerRequest {
+    /// Identifier of the attempt, sent in `x-geraniumspring-request-id`.
     pub id: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Time for which the caller waits.
+    /// Time that the caller waits for a response, sent in
+    /// `x-geraniumspring-deadline-ms`.
     pub deadline: Duration,
-    /// Body.
+    /// Request body.
     pub body: String,
 }
 
-impl CallerCall {
-    /// Makes the HTTP request.
+impl CallerRequest {
+    /// Builds the HTTP request.
     ///
     /// # Panics
     ///
-    /// Panics when path or identifier can't stand in a request.
+    /// Panics if the path or the identifier isn't valid in an HTTP request.
     pub fn request(&self) -> Request<Full<Bytes>> {
         let request = Request::builder()
             .method(&self.method)
@@ -41,25 +42,28 @@
                 HeaderValue::from(self.deadline.as_millis() as u64),
             );
         let body = Full::new(Bytes::from(self.body.clone()));
-        request.body(body).expect("path and identifier are sound")
+        request
+            .body(body)
+            .expect("the path and the identifier are valid")
     }
 }
 
-/// The head of an answer, as a caller reads it.
+/// The head of a response, as a caller reads it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CallerAnswer {
-    /// Status.
+pub struct CallerResponse {
+    /// HTTP status.
     pub status: StatusCode,
-    /// Identifier that it names.
+    /// Request identifier in the response; `None` if the header is missing.
     pub id: Option<String>,
-    /// Whether it bears a backend server's signature.
+    /// Whether the response carries a backend server's signature.
     pub signed: bool,
-    /// Advice on when to come back, in seconds.
+    /// Seconds after which to retry, from `Retry-After`; `None` if missing or not a
+    /// number.
     pub retry_after: Option<f64>,
 }
 
-impl CallerAnswer {
-    /// Reads the head of an answer.
+impl CallerResponse {
+    /// Reads the head of a response.
     pub fn read(status: StatusCode, headers: &HeaderMap) -> Self {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         Self {
@@ -70,8 +74,8 @@
         }
     }
 
-    /// Whether it promises that the request hasn't run and won't.
-    pub fn promises_not_run(&self) -> bool {
+    /// Whether the status says that the request hasn't run and won't run.
+    pub fn says_not_run(&self) -> bool {
         matches!(self.status.as_u16(), 408 | 421 | 429 | 503)
     }
 }
--- a/crates/standins/src/endpoint_fault.rs
+++ b/crates/standins/src/endpoint_fault.rs
@@ -1,27 +1,28 @@
-//! Faults of a backend server.
+//! Faults that a backend server can be given.
 
-/// Fault of a backend server, which every run then has.
+/// Fault that affects every request at a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EndpointFault {
-    /// None.
+    /// No fault.
     #[default]
     Sound,
-    /// Refuses without running.
+    /// Answers 503 without running the request, and says so in a header.
     Sheds,
-    /// Runs, and closes the connection without an answer.
+    /// Runs the request and closes the connection without a response.
     LosesAnswer,
-    /// Runs, and answers to another request.
+    /// Runs the request and responds with the identifier of another request.
     CrossesAnswer,
-    /// Runs, and answers without the proof that the answer is its own.
+    /// Runs the request and responds without a signature.
     Unsigned,
-    /// Runs, and answers with an encoded body.
+    /// Runs the request and responds with a `Content-Encoding`.
     Encoded,
-    /// Runs, and sends its answer in chunks, without telling a length.
+    /// Runs the request and sends a chunked response without a length.
     Chunks,
-    /// Runs, and fails.
+    /// Runs the request and answers 500.
     Fails,
-    /// Crashes when it runs a request whose path holds `crash`.
+    /// Crashes when it runs a request whose path contains `crash`.
     CrashesOnRequest,
-    /// Crashes so, and listens again at once under its identifier, as a later start.
+    /// Crashes on such a request, and serves again at once: same identifier, later
+    /// start time.
     RestartsOnRequest,
 }
--- a/crates/standins/src/endpoint_server.rs
+++ b/crates/standins/src/endpoint_server.rs
@@ -1,4 +1,4 @@
-//! A backend server beside a node.
+//! A stand-in for the backend server beside a node.
 
 use std::{
     net::SocketAddr,
@@ -18,24 +18,25 @@
     run_record::RunRecord,
 };
 
-/// Text in a path that crashes a server with [`EndpointFault::CrashesOnRequest`].
-const CRASH_MARK: &str = "crash";
+/// Text in a request path that triggers [`EndpointFault::CrashesOnRequest`] and
+/// [`EndpointFault::RestartsOnRequest`].
+const CRASH_PATH_TEXT: &str = "crash";
 
-/// How a backend server is. A request may ask for another time of a run by
-/// `work` (milliseconds) and another answer by `bytes` in its query.
+/// Behaviour of a backend server. A request's query may override the run time with
+/// `work` (milliseconds) and the response size with `bytes`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointOptions {
-    /// Identifier of it.
+    /// Identifier of the backend server.
     pub instance: String,
-    /// Unix milliseconds of its start.
+    /// Start time, in Unix milliseconds.
     pub born_ms: u64,
-    /// Time of a run.
+    /// Time that each run takes.
     pub work: Duration,
-    /// Bytes of an answer.
+    /// Bytes that a response adds to the request's body, which it echoes.
     pub response_bytes: usize,
-    /// Whether its health check is good.
+    /// Whether the health check succeeds.
     pub healthy: bool,
-    /// What it does wrong.
+    /// Fault that affects every request.
     pub fault: EndpointFault,
 }
 
@@ -45,24 +46,28 @@
     runs: Mutex<Vec<RunRecord>>,
 }
 
-/// A backend server.
+/// A backend server that records every request it runs.
 #[derive(Debug)]
 pub struct EndpointServer {
     shared: Arc<EndpointShared>,
     thread: ServerThread,
 }
 
-/// Marks a run as cancelled unless it was finished.
-struct RunMark {
+/// Records a run as cancelled unless it finished before the guard is dropped.
+struct RunGuard {
     shared: Arc<EndpointShared>,
     index: usize,
     finished: bool,
 }
 
-impl Drop for RunMark {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         if !self.finished {
-            self.shared.runs.lock().expect("no test panicked")[self.index].cancelled = true;
+            self.shared
+                .runs
+                .lock()
+                .expect("no thread panics with the lock")[self.index]
+                .cancelled = true;
         }
     }
 }
@@ -72,7 +77,7 @@
     ///
     /// # Panics
     ///
-    /// Panics when the address is taken.
+    /// Panics if the address is in use.
     pub fn start(addr: SocketAddr, options: EndpointOptions) -> Self {
         let shared = Arc::new(EndpointShared {
             options: Mutex::new(options),
@@ -85,43 +90,54 @@
         Self { shared, thread }
     }
 
-    /// Ends it with all its connections, and returns what it ran.
+    /// Stops the server, closes its connections, and returns the recorded runs.
     ///
     /// # Panics
     ///
-    /// Panics when another thread did while holding the runs.
+    /// Panics if another thread panicked while holding the runs' lock.
     pub fn end(self) -> Vec<RunRecord> {
         let Self { shared, thread } = self;
         drop(thread);
-        shared.runs.lock().expect("no test panicked").clone()
+        shared
+            .runs
+            .lock()
+            .expect("no thread panics with the lock")
+            .clone()
     }
 
-    /// Whether it has crashed, and all its connections are closed.
+    /// Whether the server has crashed and all its connections are closed.
     pub fn has_ended(&self) -> bool {
         self.thread.has_ended()
     }
 
-    /// Whether a request that crashes servers has begun to run here. The server then ends
-    /// by itself.
+    /// Whether a request that crashes servers has started to run here. The server then
+    /// stops by itself.
     ///
     /// # Panics
     ///
-    /// Panics when another thread did while holding the runs.
+    /// Panics if another thread panicked while holding the runs' lock.
     pub fn has_crashed(&self) -> bool {
         let faulty = self.options().fault == EndpointFault::CrashesOnRequest;
-        faulty && self.runs().iter().any(|run| run.path.contains(CRASH_MARK))
+        faulty
+            && self
+                .runs()
+                .iter()
+                .any(|run| run.path.contains(CRASH_PATH_TEXT))
     }
 
-    /// Ends it with all its connections. What it ran can still be asked for.
+    /// Stops the server and closes its connections. [`EndpointServer::runs`] still
+    /// works afterwards.
     pub fn stop(&mut self) {
         self.thread.end();
     }
 
-    /// Ends it, and starts it again on `addr` as `options` say. Returns what it ran before.
+    /// Restarts the server on `addr` with new options. Returns the runs recorded
+    /// before.
     ///
     /// # Panics
     ///
-    /// Panics when the address is taken, or another thread did while holding the runs.
+    /// Panics if the address is in use, or another thread panicked while holding the
+    /// runs' lock.
     pub fn restart(&mut self, addr: SocketAddr, options: EndpointOptions) -> Vec<RunRecord> {
         self.thread.end();
         let runs = self.runs();
@@ -129,27 +145,38 @@
         runs
     }
 
-    /// Returns how it is, to change that.
+    /// Locks the options; changes apply to later requests.
     ///
     /// # Panics
     ///
-    /// Panics when another thread did while holding it.
+    /// Panics if another thread panicked while holding the options' lock.
     pub fn options(&self) -> MutexGuard<'_, EndpointOptions> {
-        self.shared.options.lock().expect("no test panicked")
+        self.shared
+            .options
+            .lock()
+            .expect("no thread panics with the lock")
     }
 
-    /// Returns what it ran.
+    /// Returns the recorded runs.
     ///
     /// # Panics
     ///
-    /// Panics when another thread did while holding the runs.
+    /// Panics if another thread panicked while holding the runs' lock.
     pub fn runs(&self) -> Vec<RunRecord> {
-        self.shared.runs.lock().expect("no test panicked").clone()
+        self.shared
+            .runs
+            .lock()
+            .expect("no thread panics with the lock")
+            .clone()
     }
 }
 
 async fn serve(shared: Arc<EndpointShared>, request: Request<Incoming>) -> Reply {
-    let options = shared.options.lock().expect("no test panicked").clone();
+    let options = shared
+        .options
+        .lock()
+        .expect("no thread panics with the lock")
+        .clone();
     let (head, body) = request.into_parts();
     if head.uri.path() == "/health" {
         let status = if options.healthy {
@@ -189,32 +216,39 @@
         cancelled: false,
     };
     let index = {
-        let mut runs = shared.runs.lock().expect("no test panicked");
+        let mut runs = shared.runs.lock().expect("no thread panics with the lock");
         runs.push(record);
         runs.len() - 1
     };
-    let mut mark = RunMark {
+    let mut guard = RunGuard {
         shared,
         index,
         finished: false,
     };
-    if options.fault == EndpointFault::CrashesOnRequest && head.uri.path().contains(CRASH_MARK) {
+    if options.fault == EndpointFault::CrashesOnRequest && head.uri.path().contains(CRASH_PATH_TEXT)
+    {
         return Reply::Crash;
     }
-    if options.fault == EndpointFault::RestartsOnRequest && head.uri.path().contains(CRASH_MARK) {
-        let mut options = mark.shared.options.lock().expect("no test panicked");
+    if options.fault == EndpointFault::RestartsOnRequest
+        && head.uri.path().contains(CRASH_PATH_TEXT)
+    {
+        let mut options = guard
+            .shared
+            .options
+            .lock()
+            .expect("no thread panics with the lock");
         options.born_ms += 1;
         return Reply::Hangup;
     }
-    let asked = |name| figure(&head.uri, name);
-    sleep(asked("work").map_or(options.work, Duration::from_millis)).await;
-    mark.finished = true;
-    let bytes = asked("bytes").map_or(options.response_bytes, |bytes| bytes as usize);
-    run_answer(options.fault, bytes, &id, &body.to_bytes())
+    let requested = |name| query_number(&head.uri, name);
+    sleep(requested("work").map_or(options.work, Duration::from_millis)).await;
+    guard.finished = true;
+    let bytes = requested("bytes").map_or(options.response_bytes, |bytes| bytes as usize);
+    run_response(options.fault, bytes, &id, &body.to_bytes())
 }
 
-/// Returns a figure that the request's query names.
-fn figure(uri: &Uri, name: &str) -> Option<u64> {
+/// Returns a number from the request's query; `None` if it is missing or malformed.
+fn query_number(uri: &Uri, name: &str) -> Option<u64> {
     let mut pairs = uri
         .query()?
         .split('&')
@@ -223,7 +257,7 @@
     text.parse().ok()
 }
 
-fn run_answer(fault: EndpointFault, bytes: usize, id: &str, body: &Bytes) -> Reply {
+fn run_response(fault: EndpointFault, bytes: usize, id: &str, body: &Bytes) -> Reply {
     let signature = ("x-geraniumspring-response-signature", "3e1b.07");
     let echo = ("x-geraniumspring-request-id", id);
     let mut answer = body.to_vec();
@@ -262,10 +296,10 @@
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     for (name, value) in headers {
-        let value = HeaderValue::from_str(value).expect("a header value");
+        let value = HeaderValue::from_str(value).expect("the value is valid in a header");
         response.headers_mut().insert(*name, value);
     }
-    Reply::Answer(response)
+    Reply::Response(response)
 }
 
 fn text(headers: &HeaderMap, name: &str) -> String {
--- a/crates/standins/src/heartbeat.rs
+++ b/crates/standins/src/heartbeat.rs
@@ -1,44 +1,45 @@
-//! Heartbeats and farewells of backend servers.
+//! Heartbeats and deregistrations that backend servers post to their node.
 
 use std::net::SocketAddr;
 
-/// State that a backend server reports.
+/// State that a backend server reports in a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatState {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Is about to leave.
+    /// Is about to stop and accepts no new requests.
     Draining,
 }
 
-/// A heartbeat.
+/// One heartbeat of a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
     /// Identifier of the backend server.
     pub instance: String,
-    /// Unix milliseconds of its start, where it tells it.
+    /// Start time in Unix milliseconds; `None` for a backend server that doesn't report
+    /// it.
     pub born_ms: Option<u64>,
-    /// Service.
+    /// Service that the backend server runs.
     pub service: String,
-    /// Its address.
+    /// Address on which the backend server listens.
     pub address: SocketAddr,
-    /// Data centre.
+    /// Data centre of the backend server.
     pub data_centre: String,
-    /// Requests that it runs at a time.
+    /// Requests that the backend server runs concurrently.
     pub slots: u32,
-    /// State.
+    /// Reported state.
     pub state: HeartbeatState,
-    /// Number of the heartbeat.
+    /// Sequence number, which grows with each heartbeat.
     pub sequence: u64,
 }
 
 impl Heartbeat {
-    /// Returns the path to which it is posted.
+    /// Returns the path to which the heartbeat is posted.
     pub fn path(&self) -> String {
         format!("/instances/{}/heartbeat", self.instance)
     }
 
-    /// Returns the body.
+    /// Returns the JSON body of the heartbeat.
     pub fn body(&self) -> String {
         let state = match self.state {
             HeartbeatState::Ready => "ready",
@@ -54,12 +55,12 @@
     }
 }
 
-/// Returns the body of the farewell of a start.
-pub fn farewell_body(born_ms: u64) -> String {
+/// Returns the JSON body of a deregistration.
+pub fn deregistration_body(born_ms: u64) -> String {
     format!(r#"{{"born":{born_ms}}}"#)
 }
 
-/// Returns the path to which a backend server posts its farewell.
-pub fn farewell_path(instance: &str) -> String {
+/// Returns the path to which a backend server posts its deregistration.
+pub fn deregistration_path(instance: &str) -> String {
     format!("/instances/{instance}/deregister")
 }
--- a/crates/standins/src/http_server.rs
+++ b/crates/standins/src/http_server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers on a thread of their own.
+//! An HTTP server that runs on its own thread.
 
 use std::{
     convert::Infallible,
@@ -14,18 +14,18 @@
 use hyper_util::rt::TokioIo;
 use tokio::sync::watch;
 
-/// What becomes of a request.
+/// What a handler does with a request.
 #[derive(Debug)]
 pub(crate) enum Reply {
-    /// An answer.
-    Answer(Response<Full<Bytes>>),
-    /// The connection is closed without one.
+    /// Sends this response.
+    Response(Response<Full<Bytes>>),
+    /// Closes the connection without a response.
     Hangup,
-    /// The server ends, with all its connections and its port.
+    /// Stops the whole server: all connections and the listener.
     Crash,
 }
 
-/// A thread with an executor that ends when dropped.
+/// A thread with its own async runtime; it stops when dropped.
 #[derive(Debug)]
 pub(crate) struct ServerThread {
     stop: Arc<watch::Sender<bool>>,
@@ -33,15 +33,14 @@
 }
 
 impl ServerThread {
-    /// Serves every listener with `answer`, which is told the listener's
-    /// number.
+    /// Serves every listener with `handler`, which gets the listener's index.
     ///
     /// # Panics
     ///
-    /// Panics when the thread or its executor can't be made.
+    /// Panics if the runtime can't be created.
     pub(crate) fn start<F>(
         listeners: Vec<TcpListener>,
-        answer: impl Fn(usize, Request<Incoming>) -> F + Send + Sync + 'static,
+        handler: impl Fn(usize, Request<Incoming>) -> F + Send + Sync + 'static,
     ) -> Self
     where
         F: Future<Output = Reply> + Send + 'static,
@@ -49,17 +48,17 @@
         let (stop, stopped) = watch::channel(false);
         let stop = Arc::new(stop);
         let crash = Arc::clone(&stop);
-        let answer = Arc::new(answer);
+        let handler = Arc::new(handler);
         let thread = thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()
-                .expect("an executor can be made");
+                .expect("a runtime can be created");
             runtime.block_on(async move {
                 for (number, listener) in listeners.into_iter().enumerate() {
-                    let answer = Arc::clone(&answer);
+                    let handler = Arc::clone(&handler);
                     let crash = Arc::clone(&crash);
-                    tokio::spawn(accept(number, listener, answer, crash));
+                    tokio::spawn(accept(number, listener, handler, crash));
                 }
                 let mut stopped = stopped;
                 let _closed = stopped.wait_for(|stopped| *stopped).await;
@@ -73,12 +72,12 @@
 }
 
 impl ServerThread {
-    /// Whether the thread has ended by itself.
+    /// Whether the thread has stopped, by itself or through [`ServerThread::end`].
     pub(crate) fn has_ended(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
 
-    /// Ends the thread, with all its connections and listeners, and waits for its end.
+    /// Stops the thread, its connections and listeners, and waits until it has stopped.
     pub(crate) fn end(&mut self) {
         let _gone = self.stop.send(true);
         if let Some(thread) = self.thread.take() {
@@ -97,35 +96,36 @@
 ///
 /// # Panics
 ///
-/// Panics when the address is taken.
+/// Panics if the address is in use.
 pub(crate) fn listen(addr: SocketAddr) -> TcpListener {
-    let listener = TcpListener::bind(addr).expect("the address is free");
+    let listener = TcpListener::bind(addr).expect("the address can be bound");
     listener
         .set_nonblocking(true)
-        .expect("a listener can be made nonblocking");
+        .expect("a listener can be set to nonblocking");
     listener
 }
 
 async fn accept<F>(
     number: usize,
     listener: TcpListener,
-    answer: Arc<impl Fn(usize, Request<Incoming>) -> F + Send + Sync + 'static>,
+    handler: Arc<impl Fn(usize, Request<Incoming>) -> F + Send + Sync + 'static>,
     crash: Arc<watch::Sender<bool>>,
 ) where
     F: Future<Output = Reply> + Send + 'static,
 {
-    let listener = tokio::net::TcpListener::from_std(listener).expect("the listener is sound");
+    let listener = tokio::net::TcpListener::from_std(listener)
+        .expect("the listener can be registered with the runtime");
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
         let _best_effort = stream.set_nodelay(true);
-        let (answer, crash) = (Arc::clone(&answer), Arc::clone(&crash));
+        let (handler, crash) = (Arc::clone(&handler), Arc::clone(&crash));
         let service = service_fn(move |request| {
-            let (answer, crash) = (Arc::clone(&answer), Arc::clone(&crash));
+            let (handler, crash) = (Arc::clone(&handler), Arc::clone(&crash));
             async move {
-                match answer(number, request).await {
-                    Reply::Answer(response) => Ok::<_, Hangup>(response),
+                match handler(number, request).await {
+                    Reply::Response(response) => Ok::<_, Hangup>(response),
                     Reply::Hangup => Err(Hangup),
                     Reply::Crash => {
                         let _ended = crash.send(true);
@@ -139,7 +139,7 @@
     }
 }
 
-/// Ends a connection without an answer.
+/// Error that makes hyper close a connection without a response.
 #[derive(Debug)]
 struct Hangup;
 
--- a/crates/standins/src/kv_fault.rs
+++ b/crates/standins/src/kv_fault.rs
@@ -1,30 +1,30 @@
-//! Faults of the store.
+//! Faults that the store can be given.
 
 use std::time::Duration;
 
 /// Fault of one port of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum KvFault {
-    /// None.
+    /// No fault.
     #[default]
     Sound,
-    /// Calls get 503; nothing is done.
+    /// Calls get status 503 and aren't executed.
     Busy,
-    /// Calls get 429; nothing is done.
+    /// Calls get status 429 and aren't executed.
     Limited,
-    /// Connections are closed without an answer; nothing is done.
+    /// Connections are closed without a response; calls aren't executed.
     Reset,
-    /// Calls get no answer; nothing is done.
+    /// Calls get no response and aren't executed.
     Silent,
-    /// Writes are done, and their answers lost.
+    /// Writes are executed, but their responses are lost.
     Lost,
-    /// Writes get no answer and are done after a while, if their condition
-    /// still holds.
+    /// Writes get no response and are executed after this delay, if their precondition
+    /// still holds then.
     Late(Duration),
-    /// Answers come after a while.
+    /// Calls are executed after this delay.
     Slow(Duration),
-    /// Watches hear nothing of what changes.
+    /// Watches report no changes.
     SilentWatches,
-    /// Answers aren't JSON.
+    /// Responses aren't JSON.
     Garbled,
 }
--- a/crates/standins/src/kv_server.rs
+++ b/crates/standins/src/kv_server.rs
@@ -1,4 +1,4 @@
-//! The store's protocol.
+//! A stand-in for the store: its HTTP protocol.
 
 use std::{
     net::SocketAddr,
@@ -19,11 +19,11 @@
     kv_state::KvState,
 };
 
-/// Time between looks of a waiting watch.
-const WATCH_LOOK: Duration = Duration::from_millis(5);
-/// Time after which a silent port gives up a connection; far beyond every
-/// client's patience.
-const SILENCE: Duration = Duration::from_secs(60);
+/// Interval at which a waiting watch polls for events.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time after which a silent port closes a connection, far beyond every client's
+/// timeout.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Default)]
 struct KvShared {
@@ -31,7 +31,7 @@
     faults: Mutex<Vec<KvFault>>,
 }
 
-/// The metadata store.
+/// A stand-in for the metadata store.
 #[derive(Debug)]
 pub struct KvServer {
     shared: Arc<KvShared>,
@@ -40,12 +40,12 @@
 }
 
 impl KvServer {
-    /// Starts a store with `ports` ports for nodes and one for operators, all on
-    /// free addresses.
+    /// Starts a store on free addresses. It has `ports` ports for nodes and one more
+    /// for operators.
     ///
     /// # Panics
     ///
-    /// Panics when no address is free.
+    /// Panics if no address is free.
     pub fn start(ports: usize) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listeners: Vec<_> = (0..=ports).map(|_| listen(any)).collect();
@@ -56,7 +56,7 @@
         shared
             .faults
             .lock()
-            .expect("no test panicked")
+            .expect("no thread panics with the lock")
             .resize(ports + 1, KvFault::Sound);
         let served = Arc::clone(&shared);
         let thread = ServerThread::start(listeners, move |port, request| {
@@ -69,46 +69,56 @@
         }
     }
 
-    /// Returns the address of a port.
+    /// Returns the address of a port for nodes.
     pub fn addr(&self, port: usize) -> SocketAddr {
         self.addrs[port]
     }
 
-    /// Returns the address of the port for operators, who alone may write what
-    /// is theirs.
+    /// Returns the address of the operators' port. Only on this port may keys under
+    /// `op/` and `servers/` be written.
     ///
     /// # Panics
     ///
-    /// Never: a store has that port.
+    /// Never panics: every store has this port.
     pub fn operator_addr(&self) -> SocketAddr {
-        *self.addrs.last().expect("a store has a port for operators")
+        *self.addrs.last().expect("a store has an operators' port")
     }
 
-    /// Returns what the store holds.
+    /// Locks the contents of the store.
     ///
     /// # Panics
     ///
-    /// Panics when another thread did while holding it.
+    /// Panics if another thread panicked while holding the contents' lock.
     pub fn state(&self) -> MutexGuard<'_, KvState> {
-        self.shared.state.lock().expect("no test panicked")
+        self.shared
+            .state
+            .lock()
+            .expect("no thread panics with the lock")
     }
 
-    /// Gives one port a fault.
+    /// Sets the fault of one port.
     ///
     /// # Panics
     ///
-    /// Panics when there is no such port.
+    /// Panics if there is no such port.
     pub fn set_fault(&self, port: usize, fault: KvFault) {
-        self.shared.faults.lock().expect("no test panicked")[port] = fault;
+        self.shared
+            .faults
+            .lock()
+            .expect("no thread panics with the lock")[port] = fault;
     }
 
-    /// Gives every port for nodes a fault.
+    /// Sets the same fault for every node port.
     ///
     /// # Panics
     ///
-    /// Panics when another thread did while holding the faults.
+    /// Panics if another thread panicked while holding the faults' lock.
     pub fn set_faults(&self, fault: KvFault) {
-        let mut faults = self.shared.faults.lock().expect("no test panicked");
+        let mut faults = self
+            .shared
+            .faults
+            .lock()
+            .expect("no thread panics with the lock");
         let nodes = faults.len() - 1;
         faults[..nodes].fill(fault);
     }
@@ -116,26 +126,31 @@
 
 impl KvShared {
     fn state(&self) -> MutexGuard<'_, KvState> {
-        self.state.lock().expect("no test panicked")
+        self.state.lock().expect("no thread panics with the lock")
     }
 
     fn is_operator(&self, port: usize) -> bool {
-        port + 1 == self.faults.lock().expect("no test panicked").len()
+        port + 1
+            == self
+                .faults
+                .lock()
+                .expect("no thread panics with the lock")
+                .len()
     }
 
     fn fault(&self, port: usize) -> KvFault {
-        self.faults.lock().expect("no test panicked")[port]
+        self.faults.lock().expect("no thread panics with the lock")[port]
     }
 }
 
-/// Answers a call, and names the era in every answer.
+/// Executes a call and adds the store's era to its response.
 async fn serve(shared: Arc<KvShared>, port: usize, request: Request<Incoming>) -> Reply {
-    let mut reply = serve_call(Arc::clone(&shared), port, request).await;
-    if let Reply::Answer(response) = &mut reply {
+    let mut outcome = serve_call(Arc::clone(&shared), port, request).await;
+    if let Reply::Response(response) = &mut outcome {
         let era = HeaderValue::from(shared.state().era());
         response.headers_mut().insert("store-era", era);
     }
-    reply
+    outcome
 }
 
 async fn serve_call(shared: Arc<KvShared>, port: usize, request: Request<Incoming>) -> Reply {
@@ -153,16 +168,16 @@
     shared.state().count(&call.kind());
     let fault = shared.fault(port);
     match fault {
-        KvFault::Busy => return answer((503, Value::Null)),
-        KvFault::Limited => return answer((429, Value::Null)),
+        KvFault::Busy => return reply((503, Value::Null)),
+        KvFault::Limited => return reply((429, Value::Null)),
         KvFault::Reset => return Reply::Hangup,
-        KvFault::Silent => return silence().await,
+        KvFault::Silent => return hang_silently().await,
         KvFault::Late(after) if call.write => {
             tokio::spawn(async move {
                 sleep(after).await;
                 call.apply(&mut shared.state());
             });
-            return silence().await;
+            return hang_silently().await;
         }
         KvFault::Slow(after) => sleep(after).await,
         _ => {}
@@ -173,26 +188,28 @@
         call.apply(&mut shared.state())
     };
     match fault {
-        KvFault::Lost if call.write => silence().await,
-        KvFault::Garbled => Reply::Answer(Response::new(Full::new(Bytes::from_static(b"<html>")))),
-        _ => answer(done),
+        KvFault::Lost if call.write => hang_silently().await,
+        KvFault::Garbled => {
+            Reply::Response(Response::new(Full::new(Bytes::from_static(b"<html>"))))
+        }
+        _ => reply(done),
     }
 }
 
-async fn silence() -> Reply {
-    sleep(SILENCE).await;
+async fn hang_silently() -> Reply {
+    sleep(SILENCE_TIMEOUT).await;
     Reply::Hangup
 }
 
-fn answer((status, body): (u16, Value)) -> Reply {
+fn reply((status, body): (u16, Value)) -> Reply {
     let mut response = Response::new(Full::new(Bytes::from(body.to_string())));
-    *response.status_mut() = StatusCode::from_u16(status).expect("a status of this page");
-    Reply::Answer(response)
+    *response.status_mut() = StatusCode::from_u16(status).expect("the status is valid");
+    Reply::Response(response)
 }
 
 struct KvCall {
     write: bool,
-    /// Whether an operator makes it.
+    /// Whether the call came in on the operators' port.
     operator: bool,
     path: String,
     query: String,
@@ -216,8 +233,8 @@
         values.next().unwrap_or_default()
     }
 
-    /// Whether the answer may be some seconds old.
-    fn allows_old(&self) -> bool {
+    /// Whether the call allows a serializable read, which may return slightly old data.
+    fn is_serializable(&self) -> bool {
         self.query("Serializable") == "1"
     }
 
@@ -229,8 +246,12 @@
     fn apply(&self, state: &mut KvState) -> (u16, Value) {
         state.expire();
         match &*self.kind() {
-            "kv-key" => state.read(self.query("Key"), self.allows_old()),
-            "kv-range" => state.range(self.query("Prefix"), self.query("after"), self.allows_old()),
+            "kv-key" => state.read(self.query("Key"), self.is_serializable()),
+            "kv-range" => state.range(
+                self.query("Prefix"),
+                self.query("after"),
+                self.is_serializable(),
+            ),
             "kv-txn" => state.transact(&self.body, self.operator),
             "kv-lease" => state.grant(self.body["TtlS"].as_f64().unwrap_or(1.0)),
             "kv-keep" => state.keep(self.id()),
@@ -239,7 +260,8 @@
         }
     }
 
-    /// Waits for events. A fault that begins meanwhile cuts the watch.
+    /// Waits for events after the given revision. A fault that starts meanwhile ends
+    /// the watch with status 503.
     async fn watch(&self, shared: &KvShared, port: usize) -> (u16, Value) {
         let after = self.query("after").parse().unwrap_or(0);
         let wait = Duration::from_millis(self.query("WaitMs").parse().unwrap_or(0));
@@ -256,7 +278,7 @@
                     return done;
                 }
             }
-            sleep(WATCH_LOOK).await;
+            sleep(WATCH_POLL_INTERVAL).await;
         }
         shared.state().watch_ended()
     }
--- a/crates/standins/src/kv_state.rs
+++ b/crates/standins/src/kv_state.rs
@@ -1,4 +1,4 @@
-//! What the store holds.
+//! Contents of the store, with leases and history.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -8,10 +8,10 @@
 use base64::{Engine, prelude::BASE64_STANDARD};
 use serde_json::{Value, json};
 
-/// How old the answers may be to calls that allow for old ones.
-const OLD_TIME: Duration = Duration::from_millis(800);
-/// Range pages are cut here.
-const PAGE_ITEMS: usize = 500;
+/// Age that serializable reads may have.
+const SERIALIZABLE_AGE: Duration = Duration::from_millis(800);
+/// Most items in one page of a range.
+const PAGE_ITEMS_MAX: usize = 500;
 
 #[derive(Debug, Clone)]
 struct KvItem {
@@ -27,7 +27,7 @@
     ends_at: Instant,
 }
 
-/// A copy of what the store holds.
+/// A copy of the store's contents, to restore from.
 #[derive(Debug, Clone)]
 pub struct KvCopy {
     revision: u64,
@@ -36,26 +36,26 @@
     last_lease: u64,
 }
 
-/// What the store holds, and its history.
+/// Contents and history of the store.
 #[derive(Debug)]
 pub struct KvState {
-    /// How often the store has come back from a copy, counted from 1.
+    /// Number of restores from a copy, counted from 1.
     era: u32,
     revision: u64,
     items: BTreeMap<String, KvItem>,
-    /// The items as they were, for calls that allow for old answers.
-    old_items: BTreeMap<String, KvItem>,
-    old_since: Instant,
+    /// Older snapshot of the items, for serializable reads.
+    snapshot_items: BTreeMap<String, KvItem>,
+    snapshot_at: Instant,
     events: Vec<(u64, String, Option<KvItem>)>,
-    /// Revision up to which the history is gone.
-    forgotten: u64,
+    /// Revision up to which the history is compacted.
+    compacted: u64,
     leases: HashMap<u64, KvLease>,
     last_lease: u64,
-    /// Lease numbers that were granted in this era.
+    /// Identifiers of leases that were granted in this era.
     granted: HashSet<u64>,
-    /// Renewals of leases that weren't granted in this era.
+    /// Number of renewals of leases that weren't granted in this era.
     stale_renewals: u32,
-    /// Calls by kind.
+    /// Number of calls by kind.
     calls: BTreeMap<String, u64>,
 }
 
@@ -63,13 +63,13 @@
     fn default() -> Self {
         Self {
             era: 1,
-            // The store's counter starts above 0.
+            // The real store's revisions don't start at 0 either.
             revision: 7,
             items: BTreeMap::new(),
-            old_items: BTreeMap::new(),
-            old_since: Instant::now(),
+            snapshot_items: BTreeMap::new(),
+            snapshot_at: Instant::now(),
             events: Vec::new(),
-            forgotten: 0,
+            compacted: 0,
             leases: HashMap::new(),
             last_lease: 70_000,
             granted: HashSet::new(),
@@ -80,22 +80,22 @@
 }
 
 impl KvState {
-    /// Writes a key as the operator does.
+    /// Writes a key without a lease, as an operator does. Returns the new revision.
     pub fn operator_put(&mut self, key: &str, value: &[u8]) -> u64 {
         self.write(key, BASE64_STANDARD.encode(value), 0)
     }
 
-    /// Writes a key with a value that is no base64.
+    /// Writes a key with a value that isn't valid base64.
     pub fn put_malformed(&mut self, key: &str) {
         self.write(key, "%%% no base64".to_owned(), 0);
     }
 
-    /// Takes a key away without anybody being told but by the watch.
+    /// Removes a key, which only watches report.
     pub fn revoke(&mut self, key: &str) {
         self.delete(key);
     }
 
-    /// Ends every lease, as if the store had been away for long.
+    /// Expires every lease, as a long outage of the store would.
     pub fn expire_leases(&mut self) {
         for lease in self.leases.values_mut() {
             lease.ends_at = Instant::now();
@@ -103,17 +103,17 @@
         self.expire();
     }
 
-    /// Returns how often a lease of an earlier era was renewed in this one.
+    /// Returns how many renewals in this era named a lease of an earlier era.
     pub const fn stale_renewals(&self) -> u32 {
         self.stale_renewals
     }
 
-    /// Returns the era, which every answer names.
+    /// Returns the era, which every response carries.
     pub const fn era(&self) -> u32 {
         self.era
     }
 
-    /// Copies what the store holds.
+    /// Copies the contents.
     pub fn copy(&self) -> KvCopy {
         KvCopy {
             revision: self.revision,
@@ -123,9 +123,10 @@
         }
     }
 
-    /// Comes back from a copy in a new era. Leases of the copy run anew; revisions and lease
-    /// numbers since are given out again. Returns what operators wrote since the copy, which
-    /// they write again.
+    /// Restores the contents from a copy, in a new era. Leases of the copy restart with
+    /// their full time to live; revisions and lease identifiers granted since the copy
+    /// are assigned again. Returns the keys and values that operators wrote since the
+    /// copy, which they then write again.
     pub fn restore_from(&mut self, copy: KvCopy) -> Vec<(String, Vec<u8>)> {
         let lost = self.items.iter().filter(|(key, item)| {
             let before = copy.items.get(*key);
@@ -136,7 +137,7 @@
         self.era += 1;
         self.revision = copy.revision;
         self.items = copy.items;
-        self.old_items = self.items.clone();
+        self.snapshot_items = self.items.clone();
         self.leases = copy.leases;
         for lease in self.leases.values_mut() {
             lease.ends_at = Instant::now() + lease.ttl;
@@ -149,16 +150,16 @@
         lost
     }
 
-    /// Lets every lease end after `left`, unless it is renewed.
+    /// Lets every lease expire after `left` unless it is renewed.
     pub fn shorten_leases(&mut self, left: Duration) {
         for lease in self.leases.values_mut() {
             lease.ends_at = Instant::now() + left;
         }
     }
 
-    /// Drops the history.
+    /// Compacts the whole history: watches from an earlier revision get status 410.
     pub fn compact(&mut self) {
-        self.forgotten = self.revision;
+        self.compacted = self.revision;
         self.events.clear();
     }
 
@@ -168,13 +169,13 @@
         keys.cloned().collect()
     }
 
-    /// Returns a value.
+    /// Returns the decoded value of a key; `None` if it is missing or not base64.
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         let item = self.items.get(key)?;
         BASE64_STANDARD.decode(&item.value).ok()
     }
 
-    /// Returns how many calls of each kind came.
+    /// Returns the number of calls by kind.
     pub const fn calls(&self) -> &BTreeMap<String, u64> {
         &self.calls
     }
@@ -196,40 +197,40 @@
         }
     }
 
-    /// Returns the items, old ones if the call allows for that. The revision of
-    /// the store beside them is the present one either way.
-    fn items(&mut self, old: bool) -> &BTreeMap<String, KvItem> {
-        if !old {
+    /// Returns the current items, or an older snapshot for a serializable read. The
+    /// store revision in the response is current either way.
+    fn items(&mut self, serializable: bool) -> &BTreeMap<String, KvItem> {
+        if !serializable {
             return &self.items;
         }
-        if self.old_since.elapsed() > OLD_TIME {
-            self.old_items = self.items.clone();
-            self.old_since = Instant::now();
+        if self.snapshot_at.elapsed() > SERIALIZABLE_AGE {
+            self.snapshot_items = self.items.clone();
+            self.snapshot_at = Instant::now();
         }
-        &self.old_items
+        &self.snapshot_items
     }
 
-    pub(crate) fn read(&mut self, key: &str, old: bool) -> (u16, Value) {
-        match self.items(old).get(key).cloned() {
+    pub(crate) fn read(&mut self, key: &str, serializable: bool) -> (u16, Value) {
+        match self.items(serializable).get(key).cloned() {
             Some(item) => (200, self.with_revision(item_json(key, &item))),
             None => (404, json!({"StoreRevision": self.revision})),
         }
     }
 
-    pub(crate) fn range(&mut self, prefix: &str, after: &str, old: bool) -> (u16, Value) {
-        let all = self.items(old).iter();
+    pub(crate) fn range(&mut self, prefix: &str, after: &str, serializable: bool) -> (u16, Value) {
+        let all = self.items(serializable).iter();
         let rest = all.filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after);
         let mut items: Vec<Value> = rest.map(|(key, item)| item_json(key, item)).collect();
-        let more = items.len() > PAGE_ITEMS;
-        items.truncate(PAGE_ITEMS);
+        let more = items.len() > PAGE_ITEMS_MAX;
+        items.truncate(PAGE_ITEMS_MAX);
         let page = json!({"items": items, "HasMore": more});
         (200, self.with_revision(page))
     }
 
-    /// Returns the events after a revision; none yet means that the watch
-    /// waits.
+    /// Returns the events after a revision, or `None` if there are none yet. The result
+    /// is status 410 if that part of the history is gone.
     pub(crate) fn watch(&self, prefix: &str, after: u64) -> Option<(u16, Value)> {
-        if after < self.forgotten || after > self.revision {
+        if after < self.compacted || after > self.revision {
             return Some((410, json!({"Error": "history gone"})));
         }
         let events = self.events.iter();
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,14 +1,13 @@
 //! Stand-ins for the users' platform, for tests, soaks and the demo.
 //!
-//! [`KvServer`] speaks the published protocol of the metadata store, with its
-//! faults; each of its ports can be given a fault of its own, so that the
-//! store turns away one node and serves the others. [`EndpointServer`] is a
-//! backend server beside a node: it records every run, and misbehaves on
-//! request. Both run on a thread of their own and end when dropped.
-//! [`Machine`] writes a node's settings file, [`Heartbeat`] what backend
-//! servers post, [`CallerCall`] what callers send, and [`route_document`] what
-//! operators put in force. Like the adapter, this crate knows the platform's
-//! names; nothing else does.
+//! [`KvServer`] implements the store's published HTTP protocol. Each of its ports
+//! can be given a fault of its own, so that the store rejects one node and serves
+//! the others. [`EndpointServer`] is a backend server beside a node: it records
+//! every run and can be given faults, too. Both run on a thread of their own and
+//! stop when dropped. [`Machine`] writes a node's settings file, [`Heartbeat`] the
+//! reports of backend servers, [`CallerRequest`] the requests of callers, and
+//! [`route_document`] the operators' configuration. Of the whole workspace, only
+//! this crate and the platform adapter know the platform's names.
 
 mod caller;
 mod endpoint_fault;
@@ -22,10 +21,10 @@
 mod route_document;
 mod run_record;
 
-pub use caller::{CALLER_HOST, CallerAnswer, CallerCall};
+pub use caller::{CALLER_HOST, CallerRequest, CallerResponse};
 pub use endpoint_fault::EndpointFault;
 pub use endpoint_server::{EndpointOptions, EndpointServer};
-pub use heartbeat::{Heartbeat, HeartbeatState, farewell_body, farewell_path};
+pub use heartbeat::{Heartbeat, HeartbeatState, deregistration_body, deregistration_path};
 pub use kv_fault::KvFault;
 pub use kv_server::KvServer;
 pub use kv_state::{KvCopy, KvState};
--- a/crates/standins/src/machine.rs
+++ b/crates/standins/src/machine.rs
@@ -1,57 +1,58 @@
-//! A machine of the platform, as a node's settings describe it.
+//! A machine of the platform, as described by a node's settings file.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
     sync::atomic::{AtomicU32, Ordering},
 };
 
-/// Makes each machine's address differ from those of every other test.
-static MACHINES: AtomicU32 = AtomicU32::new(0);
+/// Number of machines made in this process, from which each gets its own IP
+/// address.
+static MACHINE_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// Addresses of one machine.
+/// Addresses of one machine's listeners.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineAddrs {
-    /// The node's port for other nodes.
+    /// Listener of the node for other nodes.
     pub peer_addr: SocketAddr,
-    /// The node's port for callers.
+    /// Listener of the node for callers.
     pub callers: SocketAddr,
-    /// The node's port for readiness checks.
+    /// Listener of the node for readiness checks.
     pub readiness: SocketAddr,
-    /// The node's port for heartbeats.
+    /// Listener of the node for heartbeats and deregistrations.
     pub reports: SocketAddr,
-    /// The node's port for metrics.
+    /// Listener of the node for metrics.
     pub metrics: SocketAddr,
-    /// The backend server.
+    /// Listener of the backend server.
     pub endpoint: SocketAddr,
 }
 
-/// A machine of the platform.
+/// A machine with a node and a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Machine {
-    /// Its addresses.
+    /// Addresses of the machine's listeners.
     pub addrs: MachineAddrs,
-    /// Address at which the node reaches the backend server, which a link in
-    /// between may make differ from the server's own.
+    /// Address at which the node reaches the backend server. It differs from the
+    /// server's own if a link proxy is in between.
     pub app_addr: SocketAddr,
-    /// Data centre.
+    /// Data centre of the machine.
     pub data_centre: String,
-    /// Service of its backend server.
+    /// Service that the backend server runs.
     pub service: String,
     /// Address of the metadata store.
     pub store: SocketAddr,
-    /// Megabits a second of its link.
+    /// Bandwidth of the machine's link, in megabits per second.
     pub link_mbps: f64,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether the whole fleet starts for the first time (`Bootstrap`).
     pub first_start: bool,
 }
 
 impl Machine {
-    /// Returns its name.
+    /// Returns the name of the node.
     pub fn name(&self) -> String {
         format!("sidecar-{}", self.addrs.peer_addr.ip())
     }
 
-    /// Returns the settings file as the platform writes it.
+    /// Returns the text of the node's settings file.
     pub fn settings_text(&self) -> String {
         let MachineAddrs {
             peer_addr,
@@ -97,11 +98,11 @@
 }
 
 impl MachineAddrs {
-    /// Makes addresses that no other machine of any running test has: the
-    /// loopback range is wide, and the ports are below those that outgoing
-    /// connections use.
+    /// Returns addresses that no other machine of a running test has. The loopback
+    /// range is wide enough for an IP address per machine, and the ports are below the
+    /// range of outgoing connections.
     pub fn free() -> Self {
-        let number = MACHINES.fetch_add(1, Ordering::Relaxed);
+        let number = MACHINE_COUNT.fetch_add(1, Ordering::Relaxed);
         let process = std::process::id();
         let ip = Ipv4Addr::new(
             127,
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Returns another address on the same machine.
-    pub fn other(&self, port: u16) -> SocketAddr {
+    /// Returns an address with another port on the same machine.
+    pub fn with_port(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.peer_addr.ip(), port)
     }
 }
--- a/crates/standins/src/route_document.rs
+++ b/crates/standins/src/route_document.rs
@@ -1,11 +1,11 @@
-//! Configurations as the operators' platform writes them.
+//! Configuration documents as the operators' platform writes them.
 
 use serde_json::{Value, json};
 
-/// Key of the configuration in force.
+/// Key of the active configuration in the store.
 pub const CONFIG_KEY: &str = "op/config";
 
-/// A route of a document.
+/// One route of a configuration document.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteEntry {
     prefix: String,
@@ -15,7 +15,8 @@
 }
 
 impl RouteEntry {
-    /// Makes a route to one service; `kind` is the platform's word.
+    /// Creates a route to one service. `kind` is the value of the document's `Type`
+    /// field.
     pub fn new(prefix: impl Into<String>, kind: &'static str, service: &str) -> Self {
         Self {
             prefix: prefix.into(),
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Makes a route to several services with weights.
+    /// Creates a route that several services share by weight.
     pub fn weighted(prefix: impl Into<String>, kind: &'static str, shares: &[(&str, u32)]) -> Self {
         let share = |(service, weight): &(&str, u32)| json!({"Service": service, "Weight": weight});
         let shares: Vec<Value> = shares.iter().map(share).collect();
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Sets the time after which a caller gets its final answer.
+    /// Sets the time within which a caller gets its final response.
     #[must_use]
     pub const fn with_timeout(mut self, seconds: f64) -> Self {
         self.timeout_s = seconds;
@@ -53,13 +54,13 @@
             "Priority": 1,
             "Attempts": 2,
         });
-        let fields = value.as_object_mut().expect("it was made as an object");
+        let fields = value.as_object_mut().expect("the value is an object");
         fields.extend(self.target.as_object().cloned().unwrap_or_default());
         value
     }
 }
 
-/// Makes a configuration document.
+/// Returns a configuration document as JSON.
 pub fn route_document(version: u64, services: &[&str], routes: &[RouteEntry]) -> String {
     let mut names = services.to_vec();
     names.sort_unstable();
--- a/crates/standins/src/run_record.rs
+++ b/crates/standins/src/run_record.rs
@@ -1,4 +1,4 @@
-//! What a backend server ran.
+//! Record of a request that a backend server ran.
 
 use std::time::Instant;
 
@@ -7,18 +7,19 @@
 pub struct RunRecord {
     /// Identifier of the caller's attempt.
     pub request: String,
-    /// Identifier of the backend server that ran it.
+    /// Identifier of the backend server.
     pub instance: String,
-    /// Unix milliseconds of its start.
+    /// Start time of the backend server, in Unix milliseconds.
     pub born_ms: u64,
-    /// Path and query.
+    /// Path and query of the request.
     pub path: String,
-    /// Service beside which it began.
+    /// Service beside which the request was sent.
     pub caller_service: String,
-    /// Milliseconds that the caller still waited.
+    /// Milliseconds left until the caller's deadline; 0 if the header is missing.
     pub deadline_ms: u64,
-    /// When it began.
+    /// When the run started.
     pub began: Instant,
-    /// Whether the run was cut short by the end of its connection.
+    /// Whether the run was cut short because its connection closed or its server
+    /// crashed.
     pub cancelled: bool,
 }
