--- a/crates/rig/src/child_process.rs
+++ b/crates/rig/src/child_process.rs
@@ -1,4 +1,4 @@
-//! Processes that the rig started.
+//! Child processes of the rig, and signals to them.
 
 use std::{
     fs::OpenOptions,
@@ -17,15 +17,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(i32)]
 pub enum ProcessSignal {
-    /// `SIGHUP`: the settings have changed.
+    /// `SIGHUP`: asks the process to reload its settings.
     Hangup = 1,
-    /// `SIGKILL`: ends at once, without a chance to tell anybody.
+    /// `SIGKILL`: ends the process at once, without cleanup.
     Kill = 9,
-    /// `SIGTERM`: asks for a graceful end.
+    /// `SIGTERM`: asks the process to terminate gracefully.
     Terminate = 15,
-    /// `SIGCONT`: goes on after a stop.
+    /// `SIGCONT`: continues a stopped process.
     Continue = 18,
-    /// `SIGSTOP`: pauses, unaware of it.
+    /// `SIGSTOP`: stops the process, which can't catch the signal.
     Stop = 19,
 }
 
@@ -33,18 +33,18 @@
     fn kill(process: i32, signal: i32) -> i32;
 }
 
-/// A process that is killed when dropped.
+/// A child process that is killed when dropped.
 #[derive(Debug)]
 pub struct ChildProcess {
     child: Child,
 }
 
 impl ChildProcess {
-    /// Starts a program whose output is appended to `NAME.log`.
+    /// Starts a program and appends its output to `NAME.log`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the log or the program can't be opened.
+    /// Returns an error if the log can't be opened or the program can't be started.
     ///
     /// # Examples
     ///
@@ -79,19 +79,18 @@
         self.child.id()
     }
 
-    /// Sends a signal; a process that has ended takes none.
+    /// Sends a signal; does nothing if the process has exited.
     pub fn signal(&mut self, signal: ProcessSignal) {
         if self.is_running() {
-            // SAFETY: the call reads two integers. The id is the child's own:
-            // it was running a moment ago, and its id isn't given to another
-            // process before this one waits for it.
+            // SAFETY: the call reads two integers. The id is the child's own: the child was
+            // running a moment ago, and its id isn't reused before this process waits for it.
             unsafe {
                 kill(self.child.id().cast_signed(), signal as i32);
             }
         }
     }
 
-    /// Reports whether the process hasn't ended.
+    /// Returns whether the process hasn't exited.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
--- a/crates/rig/src/demo/demo_run.rs
+++ b/crates/rig/src/demo/demo_run.rs
@@ -1,4 +1,4 @@
-//! The demo.
+//! Execution of the demo.
 
 use std::{
     path::{Path, PathBuf},
@@ -15,20 +15,20 @@
     soak::{SoakEvidence, SoakReport, check_promises},
 };
 
-/// The operators' client.
+/// Program of the operators' client.
 const CTL_PROGRAM: &str = "geranium-ctl";
-/// Users, with the instances of their fleets.
+/// Users, with the number of instances in their fleets.
 const USERS: [(&str, usize); 2] = [("nordurljos", 13), ("heliomagnetique", 11)];
-/// Directory of the example presets.
+/// Directory of the example presets, relative to the working directory.
 const EXAMPLES: &str = "examples";
-/// Longest time for a fleet to start or recover.
+/// Longest time for a fleet to start, recover or apply a preset.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Shows both users' fleets and returns whether every promise held.
+/// Runs both users' fleets and returns whether every promise held.
 ///
 /// # Errors
 ///
-/// When a fleet can't be started or the operators' client fails.
+/// Fails if a fleet can't be started or the operators' client fails.
 pub async fn run_demo(options: &DemoOptions) -> Result<bool, RigError> {
     let programs = ProgramPaths::find();
     let mut held = true;
@@ -41,7 +41,7 @@
         if held {
             "every promise held"
         } else {
-            "a promise broke"
+            "a promise was broken"
         }
     );
     Ok(held)
@@ -59,10 +59,10 @@
     println!("every node ready after {} ms", settled.as_millis());
     let ctl = OperatorClient::new(programs, &fleet.store)?;
     show_presets(user, &ctl, &fleet).await?;
-    // The presets name the users' own services, whose backend servers these
-    // are not: the load goes by the routes of the rig.
+    // The presets route to the users' own services, which the rig's backend servers
+    // don't run. The load therefore uses the rig's routes.
     let version = fleet.publish_after(ctl.version()?);
-    println!("version {version} in force for the load");
+    println!("version {version} is active for the load");
     let callers = fleet.nodes.iter();
     let load = CallerLoad::start(&LoadPlan {
         nodes: callers.map(|node| node.machine().addrs.callers).collect(),
@@ -71,7 +71,7 @@
         crashes: false,
     });
     sleep(step).await;
-    println!("two nodes killed, one backend server crashes, one leaves");
+    println!("two nodes killed, one backend server crashed, one draining");
     fleet.nodes[0].kill();
     fleet.nodes[5].kill();
     fleet.nodes[4].endpoint.crash();
@@ -83,7 +83,7 @@
     fleet.nodes[2].endpoint.deregister().await;
     fleet.nodes[2].endpoint.restart_new_identifier();
     let recovered = fleet.settle(SETTLE_TIMEOUT).await?;
-    println!("all back after {} ms", recovered.as_millis());
+    println!("every node ready again after {} ms", recovered.as_millis());
     sleep(step).await;
     let nodes = fleet.nodes.iter();
     let evidence = SoakEvidence {
@@ -105,7 +105,7 @@
     Ok(report.breaches.is_empty())
 }
 
-/// Puts the user's presets in force one after the other, as operators do.
+/// Activates the user's presets one after the other, as operators do.
 async fn show_presets(user: &str, ctl: &OperatorClient, fleet: &RigFleet) -> Result<(), RigError> {
     for preset in ["ordinary-day", "peak"] {
         let file = Path::new(EXAMPLES)
@@ -122,21 +122,21 @@
                 break;
             }
             if begun.elapsed() > SETTLE_TIMEOUT {
-                let what = format!("{all}: {status}");
+                let what = format!("expected {all:?}, got: {status}");
                 let limit = SETTLE_TIMEOUT;
                 return Err(RigError::Timeout { what, limit });
             }
             sleep(Duration::from_millis(20)).await;
         }
         println!(
-            "every node follows after {} ms",
+            "every node applies the preset after {} ms",
             begun.elapsed().as_millis()
         );
     }
     Ok(())
 }
 
-/// Runs the operators' client.
+/// Runs `geranium-ctl` against the fleet's store.
 struct OperatorClient {
     program: PathBuf,
     store: String,
@@ -150,7 +150,7 @@
         })
     }
 
-    /// Returns the version in force.
+    /// Returns the active version; 0 if the history can't be read.
     fn version(&self) -> Result<u64, RigError> {
         let text = self.run(&["--output", "json", "history", "--last", "1"])?;
         let history: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
--- a/crates/rig/src/demo/mod.rs
+++ b/crates/rig/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! Both users' fleets under load, a change of preset and kills.
+//! Both users' fleets under load, with changes of preset and killed processes.
 
 mod demo_options;
 mod demo_run;
--- a/crates/rig/src/http_post.rs
+++ b/crates/rig/src/http_post.rs
@@ -1,4 +1,4 @@
-//! Single HTTP calls, each on a connection of its own.
+//! Single HTTP calls, each on its own connection.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,8 @@
     net::TcpStream,
 };
 
-/// Posts a body and returns the status of the answer, if one came.
+/// Posts a JSON body. Returns the status of the response, or `None` if there was
+/// none.
 pub(crate) async fn http_post(addr: SocketAddr, path: &str, body: &str) -> Option<u16> {
     let length = body.len();
     let text = format!(
@@ -17,7 +18,7 @@
     exchange(addr, &text).await
 }
 
-/// Gets a page and returns the status of the answer, if one came.
+/// Gets a page. Returns the status of the response, or `None` if there was none.
 pub(crate) async fn http_get(addr: SocketAddr, path: &str) -> Option<u16> {
     let text = format!("GET {path} HTTP/1.1\r\nHost: {addr}\r\nConnection: close\r\n\r\n");
     exchange(addr, &text).await
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -2,9 +2,10 @@
 //!
 //! A [`RigFleet`] holds real node processes ([`RigNode`]), each with a backend
 //! server ([`RigEndpoint`]) and links that can be made to fail ([`LinkProxy`]),
-//! around one store. [`CallerLoad`] sends requests whatever becomes of earlier
-//! ones and checks each answer. [`soak`] injects faults from outside and holds
-//! what was seen against the promises; [`demo`] shows a day at a glance.
+//! around one store. [`CallerLoad`] sends requests on a schedule that doesn't wait
+//! for earlier responses, and checks each response. [`soak`] injects faults from
+//! outside the nodes and checks the fleet's promises; [`demo`] shows both users'
+//! fleets in operation.
 
 mod child_process;
 pub mod demo;
--- a/crates/rig/src/link_fault.rs
+++ b/crates/rig/src/link_fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a link.
+//! Faults that a link can be given.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum LinkFault {
-    /// None.
+    /// No fault.
     #[default]
     Sound,
-    /// Bytes come later, in both directions.
+    /// Bytes are delayed in both directions.
     Delay(Duration),
-    /// Connections are reset, open ones at once and new ones as they come.
+    /// Open connections are reset at once, and new ones as they are accepted.
     Reset,
-    /// Bytes towards the listener vanish; those from it arrive.
+    /// Bytes sent to the listener are lost; bytes from it arrive.
     CutTowards,
-    /// Bytes from the listener vanish; those towards it arrive.
+    /// Bytes sent by the listener are lost; bytes to it arrive.
     CutFrom,
-    /// Bytes vanish in both directions, and connections stay open.
+    /// Bytes are lost in both directions; connections stay open.
     Cut,
 }
--- a/crates/rig/src/link_proxy.rs
+++ b/crates/rig/src/link_proxy.rs
@@ -1,4 +1,4 @@
-//! A link between two processes that can be made to fail.
+//! A TCP proxy between two processes that can inject link faults.
 
 use std::{
     net::SocketAddr,
@@ -21,13 +21,13 @@
 
 use crate::{LinkFault, RigError, rig_error::LinkSnafu};
 
-/// Bytes read at a time.
+/// Size of the buffer for each direction of a connection.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// A proxy on loopback that passes bytes on as its fault lets it.
+/// A proxy on loopback that forwards bytes as its fault allows.
 ///
-/// Connections that were muted stay silent for good, while new ones work: only
-/// a timeout of the ends' own shows that.
+/// Muted connections lose all bytes for good, while new ones work. The ends notice
+/// this only by a timeout of their own.
 #[derive(Debug)]
 pub struct LinkProxy {
     addr: SocketAddr,
@@ -39,7 +39,7 @@
 struct LinkShared {
     fault: watch::Sender<LinkFault>,
     opened: AtomicU64,
-    /// Connections below this number are muted.
+    /// Connections with a lower number are muted.
     muted: AtomicU64,
 }
 
@@ -50,11 +50,11 @@
 }
 
 impl LinkProxy {
-    /// Opens a link from `addr` to whoever listens at `target`.
+    /// Opens a link from `addr` to the listener at `target`.
     ///
     /// # Errors
     ///
-    /// [`RigError::Link`] when the address can't be bound.
+    /// [`RigError::Link`] if the address can't be bound.
     pub fn open(addr: SocketAddr, target: SocketAddr) -> Result<Self, RigError> {
         let listen = || {
             let socket = TcpSocket::new_v4()?;
@@ -73,12 +73,12 @@
         Ok(Self { addr, shared, task })
     }
 
-    /// Returns the address at which it listens.
+    /// Returns the address on which the proxy listens.
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Gives it a fault.
+    /// Sets the fault of the link.
     pub fn set_fault(&self, fault: LinkFault) {
         self.shared.fault.send_replace(fault);
     }
@@ -146,7 +146,7 @@
     }
 }
 
-/// Passes bytes on in one direction until an end closes.
+/// Forwards bytes in one direction until one end closes.
 async fn forward_bytes(
     mut input: OwnedReadHalf,
     mut output: OwnedWriteHalf,
@@ -177,7 +177,7 @@
     let _closed = output.shutdown().await;
 }
 
-/// Makes the close of a connection a reset.
+/// Makes the socket send a reset when it closes.
 fn make_reset<'a>(socket: impl Into<SockRef<'a>>) {
     let _best_effort = socket.into().set_linger(Some(Duration::ZERO));
 }
--- a/crates/rig/src/load/call_record.rs
+++ b/crates/rig/src/load/call_record.rs
@@ -1,4 +1,4 @@
-//! What a caller sent, and what it got.
+//! Records of requests and their outcomes.
 
 use std::time::Instant;
 
@@ -11,63 +11,65 @@
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum CallKind {
-    /// Idempotent, short.
+    /// An idempotent, short request.
     Lookup,
-    /// Must run once at most.
+    /// A request that must run at most once.
     Order,
-    /// Idempotent, with a long answer.
+    /// An idempotent request with a long response.
     File,
-    /// Idempotent and long; its caller leaves early.
+    /// An idempotent, long request whose caller disconnects early.
     Abandoned,
-    /// Idempotent; crashes each backend server that runs it, and is sent again at once.
+    /// An idempotent request that crashes each backend server that runs it. Its caller
+    /// sends it again at once.
     Crash,
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request for its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallOutcome {
-    /// An answer came, whole.
+    /// A complete response arrived.
     Answered {
-        /// Its head.
+        /// Head of the response.
         answer: CallerResponse,
-        /// Whether the body is the one that belongs to the request.
+        /// Whether the response belongs to the request; always true unless the status is 2xx.
         own: bool,
     },
-    /// An answer began and broke off.
+    /// A response started and broke off.
     Broken,
-    /// The connection ended without an answer, after the request was sent.
+    /// The connection closed without a response after the request was sent.
     Closed,
-    /// No connection, or a kept one closed before the request was sent.
+    /// The caller couldn't connect, or a reused connection closed before the request
+    /// was sent.
     NotSent,
-    /// Nothing came, long after the deadline.
+    /// Nothing arrived until long after the deadline.
     Silent,
-    /// The caller left.
+    /// The caller disconnected early.
     Left,
 }
 
-/// What a caller sent, and what it got.
+/// A caller's request and its outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallRecord {
     /// Identifier of the attempt.
     pub id: String,
-    /// Number of the node to which it was sent.
+    /// Number of the node to which the request was sent.
     pub node: usize,
-    /// Kind.
+    /// Kind of the request.
     pub kind: CallKind,
-    /// Path and query.
+    /// Path and query of the request.
     pub path: String,
-    /// Whether it was sent on a connection that had been used before.
+    /// Whether the request was sent on a reused connection.
     pub kept: bool,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Instant,
-    /// When it ended.
+    /// When the outcome was known.
     pub ended: Instant,
-    /// How.
+    /// Outcome of the request.
     pub outcome: CallOutcome,
 }
 
 impl CallRecord {
-    /// Returns the status of the answer, if one came whole.
+    /// Returns the status of the response; `None` if no complete response arrived.
     pub fn status(&self) -> Option<u16> {
         match &self.outcome {
             CallOutcome::Answered { answer, .. } => Some(answer.status.as_u16()),
@@ -75,12 +77,12 @@
         }
     }
 
-    /// Whether it got a good answer.
+    /// Whether the response has status 200.
     pub fn is_good(&self) -> bool {
         self.status() == Some(200)
     }
 
-    /// Whether it was told that it hasn't run and won't.
+    /// Whether the caller was told that the request hasn't run and won't run.
     pub fn is_refused(&self) -> bool {
         match &self.outcome {
             CallOutcome::Answered { answer, .. } => answer.says_not_run(),
--- a/crates/rig/src/load/call_sender.rs
+++ b/crates/rig/src/load/call_sender.rs
@@ -1,4 +1,4 @@
-//! Sends requests as callers do.
+//! Sends requests to a node as callers do.
 
 use std::{
     net::SocketAddr,
@@ -18,35 +18,35 @@
 
 use super::CallOutcome;
 
-/// Callers allow a connection one second.
+/// Time that callers allow for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time beyond the deadline after which nothing more is expected.
+/// Time after the deadline until which a response is still awaited.
 const RESPONSE_GRACE: Duration = Duration::from_secs(2);
-/// Most connections kept for later requests.
+/// Most idle connections kept for reuse.
 const IDLE_CONNECTIONS_MAX: usize = 8;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Sends requests to one node, on kept connections or new ones.
+/// Sends requests to one node, on reused or new connections.
 #[derive(Debug, Clone)]
 pub struct CallSender {
     addr: SocketAddr,
     kept: Arc<Mutex<Vec<Sender>>>,
 }
 
-/// How a request was sent and ended.
+/// How a request was sent, and its outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SentCall {
-    /// Whether a kept connection carried it.
+    /// Whether the request was sent on a reused connection.
     pub kept: bool,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Instant,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: CallOutcome,
 }
 
 impl CallSender {
-    /// Sends to the callers' port at `addr`.
+    /// Creates a sender for the callers' listener at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
@@ -54,8 +54,9 @@
         }
     }
 
-    /// Sends a request and waits for its answer, `leave_after` at most when the
-    /// caller leaves early. `body` is what a good answer begins with.
+    /// Sends a request and waits for the response. The caller disconnects early, after
+    /// `leave_after`, if that is given. A good response starts with the body of the
+    /// request.
     pub async fn send(
         &self,
         call: &CallerRequest,
@@ -120,22 +121,22 @@
     }
 
     fn take(&self) -> Option<Sender> {
-        let mut kept = self.kept.lock().expect("no holder panics");
+        let mut kept = self.kept.lock().expect("not poisoned");
         kept.retain(|sender| !sender.is_closed());
         let ready = kept.iter().position(Sender::is_ready)?;
         Some(kept.swap_remove(ready))
     }
 
     fn keep(&self, sender: Sender) {
-        let mut kept = self.kept.lock().expect("no holder panics");
+        let mut kept = self.kept.lock().expect("not poisoned");
         if kept.len() < IDLE_CONNECTIONS_MAX && !sender.is_closed() {
             kept.push(sender);
         }
     }
 }
 
-/// Whether a good answer is signed, names the request, and holds its body and
-/// as many further bytes as were asked for.
+/// Whether a good response belongs to its request: it is signed, names the request,
+/// and holds the request's body and as many further bytes as were requested.
 fn matches_request(call: &CallerRequest, answer: &CallerResponse, body: &[u8]) -> bool {
     let named = answer.id.as_deref() == Some(&*call.id);
     let echoed = body.starts_with(call.body.as_bytes());
--- a/crates/rig/src/load/caller_load.rs
+++ b/crates/rig/src/load/caller_load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load.
+//! Load that callers generate on a schedule (open loop).
 
 use std::{
     net::SocketAddr,
@@ -20,40 +20,40 @@
 
 use super::{CallKind, CallRecord, CallSender};
 
-/// Time for which callers wait.
+/// Deadline of requests.
 const DEADLINE: Duration = Duration::from_secs(2);
-/// Time after which a caller that leaves early is gone.
+/// Time after which the caller of an abandoned request disconnects.
 const ABANDON_AFTER: Duration = Duration::from_millis(120);
-/// Time that an abandoned request would run, in milliseconds.
+/// Run time of an abandoned request, in milliseconds.
 const ABANDONED_WORK_MS: u64 = 3_000;
-/// Bytes of a file.
+/// Size of the response to a file request.
 const FILE_BYTES: u64 = 60_000;
-/// Time between requests that crash backend servers.
+/// Interval between requests that crash backend servers.
 const CRASH_INTERVAL: Duration = Duration::from_secs(4);
-/// Times that each of them is sent.
+/// Number of times that each crashing request is sent.
 const CRASH_SENDS: usize = 12;
-/// Pause of their caller after an answer.
+/// Pause between two sends of a crashing request.
 const CRASH_PAUSE: Duration = Duration::from_millis(5);
-/// Time beyond the last request after which every record is there.
+/// Time after the last request until every request is recorded.
 const RECORDS_GRACE: Duration = Duration::from_millis(4_200);
 
-/// A load.
+/// Parameters of a load.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
-    /// Callers' ports of the nodes.
+    /// Callers' listeners of the nodes.
     pub nodes: Vec<SocketAddr>,
-    /// Requests a second at each node.
+    /// Requests per second at each node.
     pub rate: f64,
-    /// Seed of gaps and kinds.
+    /// Seed of intervals and kinds.
     pub seed: u64,
-    /// Whether one caller sends requests that crash what runs them.
+    /// Whether one caller sends requests that crash the backend servers running them.
     pub crashes: bool,
 }
 
 /// A load that runs until it is ended.
 ///
-/// Requests start on a schedule, whatever becomes of earlier ones: a node that
-/// stalls can't slow the load down and so hide its own delay.
+/// Requests start on a schedule that doesn't wait for earlier responses. A stalled
+/// node therefore can't slow the load down and so hide its own latency.
 #[derive(Debug)]
 pub struct CallerLoad {
     records: Arc<Mutex<Vec<CallRecord>>>,
@@ -62,7 +62,7 @@
 }
 
 impl CallerLoad {
-    /// Starts a load.
+    /// Starts the load.
     pub fn start(plan: &LoadPlan) -> Self {
         let records: Arc<Mutex<Vec<CallRecord>>> = Arc::default();
         let stop = watch::Sender::new(false);
@@ -95,22 +95,22 @@
         }
     }
 
-    /// Ends the load and returns what callers got.
+    /// Ends the load and returns the records of all requests.
     ///
     /// # Panics
     ///
-    /// Panics when a caller did, which is a bug.
+    /// Panics if a caller's task panicked, which is a bug.
     pub async fn end(self) -> Vec<CallRecord> {
         self.stop.send_replace(true);
         for task in self.tasks {
             task.await.expect("no caller panics");
         }
         sleep(RECORDS_GRACE).await;
-        std::mem::take(&mut *self.records.lock().expect("no holder panics"))
+        std::mem::take(&mut *self.records.lock().expect("not poisoned"))
     }
 }
 
-/// Requests to one node.
+/// Load on one node.
 struct CallStream {
     node: usize,
     sender: CallSender,
@@ -159,13 +159,13 @@
                 ended: Instant::now(),
                 outcome: sent.outcome,
             };
-            records.lock().expect("no holder panics").push(record);
+            records.lock().expect("not poisoned").push(record);
         });
     }
 }
 
-/// A caller that sends a request which crashes backend servers again and again, through one
-/// node after the other.
+/// A caller that repeats requests which crash backend servers, through one node
+/// after the other.
 struct CrashCaller {
     senders: Vec<CallSender>,
     records: Arc<Mutex<Vec<CallRecord>>>,
@@ -203,7 +203,7 @@
             ended: Instant::now(),
             outcome: sent.outcome,
         };
-        self.records.lock().expect("no holder panics").push(record);
+        self.records.lock().expect("not poisoned").push(record);
     }
 }
 
--- a/crates/rig/src/load/mod.rs
+++ b/crates/rig/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Open-loop load, and what callers got.
+//! Load of callers, and records of their requests.
 
 mod call_record;
 mod call_sender;
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,4 +1,4 @@
-//! Demo and soaks with whole fleets.
+//! Demo and fault soak with whole fleets.
 
 use std::process::ExitCode;
 
@@ -9,7 +9,7 @@
 };
 use tokio::runtime::Runtime;
 
-/// Demo and soaks with whole fleets, on one machine.
+/// Run whole fleets on one machine: a demo and a fault soak.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct RigOptions {
@@ -19,9 +19,9 @@
 
 #[derive(Debug, Subcommand)]
 enum RigCommand {
-    /// Show both users' fleets under load, a change of preset and kills.
+    /// Show both users' fleets under load, with changes of preset and kills.
     Demo(DemoOptions),
-    /// Inject drawn faults and check every promise.
+    /// Inject random faults and check every promise.
     Soak(SoakOptions),
 }
 
--- a/crates/rig/src/program_paths.rs
+++ b/crates/rig/src/program_paths.rs
@@ -1,4 +1,4 @@
-//! Where the programs are.
+//! Paths of the built programs.
 
 use std::{
     env,
@@ -7,7 +7,7 @@
 
 use crate::RigError;
 
-/// Variable that names the programs' directory.
+/// Environment variable that names the programs' directory.
 const DIRECTORY_VARIABLE: &str = "GERANIUM_PROGRAMS";
 
 /// The directory that holds the built programs.
@@ -17,8 +17,8 @@
 }
 
 impl ProgramPaths {
-    /// Finds the directory: `GERANIUM_PROGRAMS`, or else the one of the
-    /// running program, or its parent for a test.
+    /// Finds the directory: the value of `GERANIUM_PROGRAMS`, or else the directory of
+    /// the running program, or for a test its parent.
     ///
     /// # Examples
     ///
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if it hasn't been built.
+    /// Returns an error if the program hasn't been built.
     pub fn program(&self, name: &str) -> Result<PathBuf, RigError> {
         let path = self.directory.join(name);
         if path.is_file() {
--- a/crates/rig/src/rig_endpoint.rs
+++ b/crates/rig/src/rig_endpoint.rs
@@ -1,4 +1,4 @@
-//! A backend server beside a node, with its state.
+//! A backend server beside a node, which can crash, drain and restart.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -17,30 +17,30 @@
 
 use crate::http_post::http_post;
 
-/// Time between heartbeats.
+/// Interval between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(700);
-/// Longest wait for an acknowledgment, as the platform's.
+/// Longest wait for the acknowledgment of a report, as on the platform.
 const ACK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time of a run, unless the request asks for another.
+/// Run time of a request that doesn't set `work`.
 const RUN_TIME: Duration = Duration::from_millis(20);
-/// Bytes of an answer, unless the request asks for others.
+/// Response size for a request that doesn't set `bytes`.
 const RESPONSE_BYTES: usize = 300;
-/// Requests that a backend server runs at a time.
+/// Requests that a backend server runs concurrently.
 const SLOTS: u32 = 12;
 
-/// A leaving that a node has acknowledged.
+/// A drain or deregistration that a node has acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AckedDrain {
-    /// Identifier of the one that leaves.
+    /// Identifier of the backend server.
     pub instance: String,
-    /// Unix milliseconds of its start.
+    /// Start time of the backend server, in Unix milliseconds.
     pub born_ms: u64,
-    /// When the acknowledgment came.
+    /// When the acknowledgment arrived.
     pub at: Instant,
 }
 
 impl AckedDrain {
-    /// Whether it is of the start under `instance` at `born_ms`.
+    /// Whether the drain belongs to the given start of a backend server.
     pub fn is_of(&self, instance: &str, born_ms: u64) -> bool {
         self.instance == instance && self.born_ms == born_ms
     }
@@ -48,9 +48,9 @@
 
 #[derive(Debug)]
 struct EndpointState {
-    /// Number of the identifier.
+    /// Number at the end of the identifier.
     instance_number: u64,
-    /// Unix milliseconds of the start.
+    /// Start time, in Unix milliseconds.
     born_ms: u64,
     sequence: u64,
     reported: HeartbeatState,
@@ -61,8 +61,8 @@
     acked_drains: Vec<AckedDrain>,
 }
 
-/// A backend server beside a node: it reports there, crashes, leaves and comes
-/// back as another start.
+/// A backend server beside a node. It posts heartbeats to the node, and can crash,
+/// drain and restart.
 #[derive(Debug)]
 pub struct RigEndpoint {
     machine: Machine,
@@ -71,7 +71,7 @@
 }
 
 impl RigEndpoint {
-    /// Starts it on its machine.
+    /// Starts the backend server and its heartbeats.
     pub fn start(machine: Machine) -> Self {
         let state = EndpointState {
             instance_number: 0,
@@ -95,24 +95,24 @@
         endpoint
     }
 
-    /// Ends it without a word; open requests break off.
+    /// Stops the backend server without notice; open connections close.
     pub fn crash(&self) {
         self.state().stop_server();
     }
 
-    /// Starts it again under another identifier.
+    /// Restarts the backend server under a new identifier.
     pub fn restart_new_identifier(&self) {
         let mut state = self.state();
         state.instance_number += 1;
         state.start_server(&self.machine);
     }
 
-    /// Starts it again under the identifier that it had.
+    /// Restarts the backend server under the same identifier.
     pub fn restart_same_identifier(&self) {
         self.state().start_server(&self.machine);
     }
 
-    /// Gives it a fault.
+    /// Sets the fault of the backend server, also for later starts.
     pub fn set_fault(&self, fault: EndpointFault) {
         let mut state = self.state();
         state.fault = fault;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Makes every run take so many times as long as usual.
+    /// Makes every run take `times` as long as usual.
     pub fn slow_down(&self, times: u32) {
         let mut state = self.state();
         state.work = RUN_TIME * times;
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Reports that it leaves and waits until its node acknowledges, or
-    /// `patience` is over.
+    /// Reports that the backend server drains. Returns when its node acknowledges this,
+    /// or after `limit`.
     pub async fn drain(&self, limit: Duration) {
         let acknowledged = async {
             loop {
@@ -153,7 +153,7 @@
         let _unacknowledged = timeout(limit, acknowledged).await;
     }
 
-    /// Says farewell and ends.
+    /// Deregisters the backend server and stops it.
     pub async fn deregister(&self) {
         let (instance, born_ms) = {
             let state = self.state();
@@ -171,25 +171,25 @@
         self.crash();
     }
 
-    /// Returns everything that it ran, in all its starts.
+    /// Returns all recorded runs, across restarts.
     pub fn runs(&self) -> Vec<RunRecord> {
         let state = self.state();
         let current = state.server.iter().flat_map(EndpointServer::runs);
         state.past_runs.iter().cloned().chain(current).collect()
     }
 
-    /// Returns the leavings that its node acknowledged.
+    /// Returns the drains and deregistrations that its node acknowledged.
     pub fn acked_drains(&self) -> Vec<AckedDrain> {
         self.state().acked_drains.clone()
     }
 
-    /// Whether it lives.
+    /// Whether the backend server is running.
     pub fn is_running(&self) -> bool {
         self.state().server.is_some()
     }
 
-    /// Posts heartbeats that aren't its own: of a service that isn't there, and
-    /// of no known state.
+    /// Posts heartbeats that don't come from the backend server: one with an unknown
+    /// state, and one for a service that doesn't exist.
     pub async fn post_foreign(&self) {
         let mut heartbeat = self.state().next_heartbeat(&self.machine);
         let unknown = heartbeat.body().replace("ready", "odd");
@@ -197,7 +197,7 @@
         "i-foreign".clone_into(&mut heartbeat.instance);
         "nowhere".clone_into(&mut heartbeat.service);
         for (path, body) in [(path, unknown), (heartbeat.path(), heartbeat.body())] {
-            // The node refuses them, or is down.
+            // The node rejects them, or is down.
             let _refused = post(&self.machine, &path, body).await;
         }
     }
@@ -216,7 +216,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, EndpointState> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("not poisoned")
     }
 }
 
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Begins a start. Two faults may do so at once: each ends what the other has
-    /// begun, as one address takes one server.
+    /// Starts the server, and stops a running one first. Two faults may start it at the
+    /// same time, but only one server can listen on the address.
     fn start_server(&mut self, machine: &Machine) {
         self.stop_server();
         self.born_ms = NodeClock::unix_ms().max(self.born_ms + 1);
@@ -244,7 +244,7 @@
         self.server = Some(EndpointServer::start(machine.addrs.endpoint, options));
     }
 
-    /// Starts it again, as another start, if a request has crashed it.
+    /// Restarts the server under a new identifier if a request has crashed it.
     fn restart_crashed(&mut self, machine: &Machine) {
         if self.server.as_ref().is_some_and(EndpointServer::has_ended) {
             self.instance_number += 1;
@@ -283,7 +283,7 @@
     }
 }
 
-/// Returns a fault, with crashes by requests that crash what runs them where there is none.
+/// Returns the fault, with crashes on request in place of no fault.
 fn with_crashes(fault: EndpointFault) -> EndpointFault {
     if fault == EndpointFault::Sound {
         EndpointFault::CrashesOnRequest
@@ -292,17 +292,17 @@
     }
 }
 
-/// Sends heartbeats while the backend server lives.
+/// Posts heartbeats while the backend server is running.
 async fn send_heartbeats(machine: Machine, state: Arc<Mutex<EndpointState>>) {
     loop {
         let heartbeat = {
-            let mut state = state.lock().expect("no holder panics");
+            let mut state = state.lock().expect("not poisoned");
             state.restart_crashed(&machine);
             let running = state.server.is_some();
             running.then(|| state.next_heartbeat(&machine))
         };
         if let Some(heartbeat) = heartbeat {
-            // One that isn't acknowledged is followed by the next.
+            // If this one isn't acknowledged, the next follows.
             let _acknowledged = post(&machine, &heartbeat.path(), heartbeat.body()).await;
         }
         sleep(HEARTBEAT_INTERVAL).await;
--- a/crates/rig/src/rig_error.rs
+++ b/crates/rig/src/rig_error.rs
@@ -4,52 +4,52 @@
 
 use snafu::Snafu;
 
-/// Something that kept a fleet from running.
+/// A failure that keeps a fleet from running.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RigError {
     /// A program hasn't been built.
-    #[snafu(display("program {} is missing: build the workspace's binaries", path.display()))]
+    #[snafu(display("program {} is missing: build all binaries of the workspace", path.display()))]
     MissingProgram {
-        /// Where it was expected.
+        /// Path at which the program was expected.
         path: PathBuf,
     },
     /// A program can't be started.
-    #[snafu(display("process {name}: {source}"))]
+    #[snafu(display("can't start process {name}: {source}"))]
     Process {
-        /// The process.
+        /// Name of the process.
         name: String,
-        /// The operating system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A file can't be read or written.
-    #[snafu(display("file {}: {source}", path.display()))]
+    #[snafu(display("can't read or write {}: {source}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The operating system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A link can't be opened.
-    #[snafu(display("link: {source}"))]
+    /// A link's listener can't be opened.
+    #[snafu(display("can't open a link: {source}"))]
     Link {
-        /// The operating system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Something didn't happen in time.
-    #[snafu(display("{what} didn't happen within {} s", limit.as_secs()))]
+    /// A condition wasn't met in time.
+    #[snafu(display("timeout after {} s: {what}", limit.as_secs()))]
     Timeout {
-        /// What was waited for.
+        /// Condition that wasn't met.
         what: String,
-        /// How long.
+        /// Time allowed for the condition.
         limit: Duration,
     },
-    /// The operators' client refused a command.
+    /// The operators' client failed.
     #[snafu(display("geranium-ctl {command}: {answer}"))]
     Operator {
-        /// The command.
+        /// Arguments of the command.
         command: String,
-        /// What it printed.
+        /// Standard error of the command, or the error that kept it from starting.
         answer: String,
     },
 }
--- a/crates/rig/src/rig_fleet.rs
+++ b/crates/rig/src/rig_fleet.rs
@@ -1,4 +1,4 @@
-//! Nodes around one store.
+//! A fleet of nodes around one store.
 
 use std::{
     path::Path,
@@ -12,39 +12,39 @@
 
 use crate::{NodePlan, ProgramPaths, RigError, RigNode, rig_error::FileSnafu};
 
-/// Service of lookups.
+/// Service that answers lookups.
 pub const PRICES: &str = "prices";
-/// Service of orders.
+/// Service that runs orders.
 pub const ORDERS: &str = "orders";
-/// Service of files.
+/// Service that sends files.
 pub const FILES: &str = "files";
-/// Services, by the number of an instance: half of them look up prices.
+/// Services, assigned to instances in turn: half of them serve prices.
 const SERVICES: [&str; 4] = [PRICES, ORDERS, PRICES, FILES];
-/// Data centres, in turn for each four instances.
+/// Data centres, assigned in turn to groups of four instances.
 const DATA_CENTRES: [&str; 3] = ["hofdi", "sundahofn", "kopavogur"];
-/// Versions whose marker routes a configuration holds.
+/// Number of versions whose marker routes a configuration holds.
 const MARKERS_KEPT: u64 = 40;
-/// Time between looks.
+/// Interval between checks of whether the fleet is ready.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Nodes around one store, each with a port of the store of its own.
+/// Nodes around one store; each node has its own port of the store.
 #[derive(Debug)]
 pub struct RigFleet {
-    /// The store.
+    /// The store of the fleet.
     pub store: KvServer,
-    /// The nodes.
+    /// The nodes of the fleet.
     pub nodes: Vec<RigNode>,
     version: u64,
     directory: TempDir,
 }
 
 impl RigFleet {
-    /// Starts so many nodes with their backend servers, with the first
-    /// configuration in force.
+    /// Starts `count` nodes with their backend servers, and publishes the first
+    /// configuration.
     ///
     /// # Errors
     ///
-    /// When a program, file or address can't be had.
+    /// Fails if a program is missing, or a file or address can't be opened.
     pub fn start(count: usize, programs: &ProgramPaths) -> Result<Self, RigError> {
         let directory = TempDir::new().context(FileSnafu { path: "temporary" })?;
         let store = KvServer::start(count);
@@ -68,8 +68,8 @@
         Ok(fleet)
     }
 
-    /// Puts the next version in force and returns it. Each version adds a
-    /// route of its own, by which a node shows that it follows.
+    /// Publishes the next version and returns it. Each version adds a marker route, by
+    /// which a node shows that it applies the version.
     pub fn publish(&mut self) -> u64 {
         self.version += 1;
         let mut routes = vec![
@@ -86,14 +86,13 @@
         self.version
     }
 
-    /// Puts a version in force that follows `last`, which somebody else put in
-    /// force.
+    /// Publishes a version after `last`, which somebody else published.
     pub fn publish_after(&mut self, last: u64) -> u64 {
         self.version = self.version.max(last);
         self.publish()
     }
 
-    /// Returns the version in force.
+    /// Returns the active version.
     pub const fn version(&self) -> u64 {
         self.version
     }
@@ -103,13 +102,15 @@
         self.directory.path()
     }
 
-    /// Keeps the directory of settings and logs, and returns its path.
+    /// Keeps the directory of settings and logs when the fleet is dropped, and returns
+    /// its path.
     pub fn keep_directory(&mut self) -> std::path::PathBuf {
         self.directory.disable_cleanup(true);
         self.directory.path().to_owned()
     }
 
-    /// Waits until every node is ready and every backend server announced.
+    /// Waits until every node is ready and every backend server is announced. Returns
+    /// how long that took.
     ///
     /// # Errors
     ///
@@ -122,7 +123,7 @@
             }
             sleep(POLL_INTERVAL).await;
         }
-        let what = "every node ready and announced".to_owned();
+        let what = "not every node is ready and announced".to_owned();
         Err(RigError::Timeout { what, limit })
     }
 
@@ -140,7 +141,7 @@
     }
 }
 
-/// Returns the prefix of the route that only `version` and later ones have.
+/// Returns the marker route's prefix, which only `version` and later versions have.
 pub fn marker_path(version: u64) -> String {
     format!("/v/{version}/")
 }
--- a/crates/rig/src/rig_node.rs
+++ b/crates/rig/src/rig_node.rs
@@ -1,4 +1,4 @@
-//! A node with its backend server and its links.
+//! A node process with its backend server and its links.
 
 use std::{
     net::SocketAddr,
@@ -20,64 +20,63 @@
     http_post::http_get, rig_error::FileSnafu,
 };
 
-/// The node's program.
+/// Name of the node's program.
 const NODE_PROGRAM: &str = "geranium-node";
-/// Port of the machine at which the link to the node's port for other nodes
-/// listens.
+/// Port on the machine of the link to the node's listener for other nodes.
 const PEER_LINK_PORT: u16 = 7611;
-/// Port of the machine at which the link to the backend server listens.
+/// Port on the machine of the link to the backend server.
 const ENDPOINT_LINK_PORT: u16 = 7612;
-/// Port of the machine at which the link to the store listens.
+/// Port on the machine of the link to the store.
 const STORE_LINK_PORT: u16 = 7613;
 
-/// What a node needs to start.
+/// Parameters for starting a node.
 #[derive(Debug, Clone)]
 pub struct NodePlan<'a> {
-    /// Service of its backend server.
+    /// Service that the backend server runs.
     pub service: &'a str,
-    /// Data centre.
+    /// Data centre of the node.
     pub data_centre: &'a str,
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Directory for settings and log.
+    /// Directory for settings and logs.
     pub directory: &'a Path,
-    /// Programs.
+    /// Paths of the built programs.
     pub programs: &'a ProgramPaths,
 }
 
-/// Something that befell a node's process.
+/// A start or an end of a node's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeEvent {
-    /// When.
+    /// When the event occurred.
     pub at: Instant,
-    /// What.
+    /// Kind of the event.
     pub kind: NodeEventKind,
 }
 
-/// What befell a node's process.
+/// Kind of an event of a node's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeEventKind {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It was asked to end.
+    /// The process was asked to terminate.
     Terminated,
-    /// It was killed.
+    /// The process was killed.
     Killed,
-    /// It was found ended by itself.
+    /// The process was found to have exited unasked.
     Ended,
 }
 
-/// A node with its backend server and its links.
+/// A node process with its backend server and its links.
 #[derive(Debug)]
 pub struct RigNode {
     machine: Machine,
-    /// Link by which other nodes reach it.
+    /// Link through which other nodes reach the node.
     pub peer_link: LinkProxy,
-    /// Link by which it reaches the backend server.
+    /// Link through which the node reaches its backend server.
     pub endpoint_link: LinkProxy,
-    /// Link by which it reaches the store.
+    /// Link through which the node reaches the store.
     pub store_link: LinkProxy,
-    /// Its backend server.
+    /// The backend server beside the node.
     pub endpoint: Arc<RigEndpoint>,
     process: Option<ChildProcess>,
     program: PathBuf,
@@ -88,16 +87,16 @@
 }
 
 impl RigNode {
-    /// Returns the key of its announcement in the store.
+    /// Returns the store key of the node's announcement.
     pub fn announcement_key(&self) -> AnnouncementKey {
         AnnouncementKey::new(&self.machine.data_centre, self.peer_link.addr())
     }
 
-    /// Starts backend server, links and node.
+    /// Starts the backend server, the links and the node process.
     ///
     /// # Errors
     ///
-    /// When a program, file or address can't be had.
+    /// Fails if a program is missing, or a file or address can't be opened.
     pub fn start(plan: &NodePlan<'_>) -> Result<Self, RigError> {
         let addrs = MachineAddrs::free();
         let links = [PEER_LINK_PORT, ENDPOINT_LINK_PORT, STORE_LINK_PORT];
@@ -132,26 +131,27 @@
         Ok(node)
     }
 
-    /// Returns its machine.
+    /// Returns the machine of the node.
     pub const fn machine(&self) -> &Machine {
         &self.machine
     }
 
-    /// Returns what befell its process.
+    /// Returns the starts and ends of the node's process.
     pub fn events(&self) -> &[NodeEvent] {
         &self.events
     }
 
-    /// Returns the count of its process's starts.
+    /// Returns the shared count of process starts.
     pub fn process_starts(&self) -> Arc<AtomicUsize> {
         Arc::clone(&self.process_starts)
     }
 
-    /// Starts the process unless it runs.
+    /// Starts the process unless it is running.
     ///
     /// # Errors
     ///
-    /// When the program or the log can't be opened.
+    /// Fails if the settings can't be written, or the log or the program can't be
+    /// opened.
     pub fn start_process(&mut self) -> Result<(), RigError> {
         if self.is_running() {
             return Ok(());
@@ -169,8 +169,8 @@
                 &self.machine.addrs.metrics.port().to_string(),
             ])
             .env("GERANIUMSPRING_SETTINGS", &self.settings);
-        // Counted first: whoever hears the new process must not take it for
-        // the one before.
+        // Counted first, so that whoever gets a response of the new process doesn't
+        // attribute it to the previous one.
         self.process_starts.fetch_add(1, Ordering::Release);
         let process = ChildProcess::spawn(&self.machine.name(), command, &self.directory)?;
         self.process = Some(process);
@@ -178,7 +178,7 @@
         Ok(())
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process if it is running.
     pub fn signal(&mut self, signal: ProcessSignal) {
         let Some(process) = &mut self.process else {
             return;
@@ -197,7 +197,7 @@
         self.process = None;
     }
 
-    /// Whether the process runs; notes when it ended by itself.
+    /// Whether the process is running. Records an event if it has exited unasked.
     pub fn is_running(&mut self) -> bool {
         let Some(process) = &mut self.process else {
             return false;
@@ -218,7 +218,7 @@
         false
     }
 
-    /// Whether it says that it takes callers.
+    /// Whether the node reports that it is ready for callers.
     pub async fn is_ready(&self) -> bool {
         let asked = http_get(self.machine.addrs.readiness, "/ready");
         let status = tokio::time::timeout(Duration::from_secs(1), asked).await;
--- a/crates/rig/src/soak/fault_injector.rs
+++ b/crates/rig/src/soak/fault_injector.rs
@@ -219,7 +219,7 @@
             .extend(targets.iter().map(|&target| (target, at)));
     }
 
-    /// Overwrites announcements with values that aren't, adds others beside them, and
+    /// Overwrites announcements with invalid values, adds others beside them, and
     /// posts heartbeats that no backend server sent.
     fn write_foreign_values(&mut self, fleet: &RigFleet, targets: &[usize]) {
         for &target in targets {
--- a/crates/rig/src/soak/soak_run.rs
+++ b/crates/rig/src/soak/soak_run.rs
@@ -112,20 +112,12 @@
     };
     let mut report = SoakReport::of_calls(plan.seed, options.seconds, &evidence);
     report.recovery_ms = recovery.as_millis() as u64;
-    let delays = records
-        .delays
-        .lock()
-        .expect("no thread panics with the lock");
+    let delays = records.delays.lock().expect("not poisoned");
     let delays = latency_histogram(delays.iter().map(|delay| delay.as_millis() as u64));
     report.version_ms = [0.5, 0.99].map(|part| delays.value_at_quantile(part));
     report.breaches = check_promises(&evidence, options.timed);
     report.breaches.extend(late);
-    let older = std::mem::take(
-        &mut *records
-            .breaches
-            .lock()
-            .expect("no thread panics with the lock"),
-    );
+    let older = std::mem::take(&mut *records.breaches.lock().expect("not poisoned"));
     report.breaches.extend(older);
     if !report.breaches.is_empty() {
         let kept = fleet.keep_directory();
--- a/crates/rig/src/soak/version_probe.rs
+++ b/crates/rig/src/soak/version_probe.rs
@@ -50,10 +50,7 @@
     }
 
     pub(super) fn publish(&self, version: u64) {
-        let mut published = self
-            .published
-            .lock()
-            .expect("no thread panics with the lock");
+        let mut published = self.published.lock().expect("not poisoned");
         published.insert(version, Instant::now());
         self.newest.store(version, Ordering::Relaxed);
     }
@@ -77,9 +74,9 @@
 ) -> JoinHandle<()> {
     tokio::spawn(async move {
         let sender = CallSender::new(node.callers);
-        let mut followed = FollowedVersion::default();
+        let mut applied = AppliedVersion::default();
         loop {
-            followed.check(&node, &sender, &records).await;
+            applied.check(&node, &sender, &records).await;
             tokio::select! {
                 () = sleep(PROBE_INTERVAL) => {}
                 _ = stop.wait_for(|stop| *stop) => return,
@@ -90,12 +87,12 @@
 
 /// The newest version that one process was seen to apply.
 #[derive(Debug, Default)]
-struct FollowedVersion {
+struct AppliedVersion {
     process_start: usize,
     version: u64,
 }
 
-impl FollowedVersion {
+impl AppliedVersion {
     async fn check(&mut self, node: &ProbedNode, sender: &CallSender, records: &ProbeRecords) {
         let process_start = node.process_starts.load(Ordering::Acquire);
         if process_start != self.process_start {
@@ -106,41 +103,31 @@
         }
         let newest = records.newest.load(Ordering::Relaxed);
         if newest > self.version {
-            let follows = probe(sender, records, newest).await;
-            if follows == Some(true) && node.process_starts.load(Ordering::Acquire) == process_start
+            let applies = probe(sender, records, newest).await;
+            if applies == Some(true) && node.process_starts.load(Ordering::Acquire) == process_start
             {
                 self.version = newest;
                 record_delay(records, newest);
             }
             return;
         }
-        let follows = probe(sender, records, self.version).await;
-        if follows == Some(false) && node.process_starts.load(Ordering::Acquire) == process_start {
+        let applies = probe(sender, records, self.version).await;
+        if applies == Some(false) && node.process_starts.load(Ordering::Acquire) == process_start {
             let what = format!(
                 "node {} went back from version {}",
                 node.number, self.version
             );
             let breach = Breach::new(Promise::NeverOlder, what);
-            records
-                .breaches
-                .lock()
-                .expect("no thread panics with the lock")
-                .push(breach);
+            records.breaches.lock().expect("not poisoned").push(breach);
             self.version = 0;
         }
     }
 }
 
 fn record_delay(records: &ProbeRecords, version: u64) {
-    let published = records
-        .published
-        .lock()
-        .expect("no thread panics with the lock");
+    let published = records.published.lock().expect("not poisoned");
     if let Some(at) = published.get(&version) {
-        let mut delays = records
-            .delays
-            .lock()
-            .expect("no thread panics with the lock");
+        let mut delays = records.delays.lock().expect("not poisoned");
         delays.push(at.elapsed());
     }
 }
--- a/crates/rig/tests/all/links.rs
+++ b/crates/rig/tests/all/links.rs
@@ -1,4 +1,4 @@
-//! Links that can be made to fail.
+//! Tests of links with faults.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,12 +9,12 @@
     time::timeout,
 };
 
-/// Long enough for a byte on loopback, on a busy machine.
+/// Time within which a byte surely returns on loopback, even on a busy machine.
 const ECHO_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time after which a byte that hasn't come is taken for lost.
+/// Time after which a byte that hasn't returned counts as lost.
 const LOST: Duration = Duration::from_millis(150);
 
-/// An echo behind a link.
+/// Starts an echo server and returns a link to it.
 async fn linked_echo_server() -> LinkProxy {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any).await.unwrap();
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn a_mute_connection_stays_so_and_new_ones_work() {
+async fn a_muted_connection_stays_muted_and_new_ones_work() {
     let link = linked_echo_server().await;
     let mut stream = TcpStream::connect(link.addr()).await.unwrap();
     assert!(echoes(&mut stream, ECHO_TIMEOUT).await);
--- a/crates/rig/tests/all/main.rs
+++ b/crates/rig/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the rig, one module a subject.
+//! Tests of the rig, one module per subject.
 
 mod links;
 mod promises;
--- a/crates/rig/tests/all/promises.rs
+++ b/crates/rig/tests/all/promises.rs
@@ -1,4 +1,4 @@
-//! Evidence that breaks promises, and evidence that doesn't.
+//! Tests that broken promises are found in the evidence, and only those.
 
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
             events: vec![Vec::new()],
             ..SoakEvidence::default()
         };
-        // Far enough from the clock's start to look back from.
+        // Late enough that earlier times can be subtracted from it.
         let begun = Instant::now() + Duration::from_secs(60);
         Self { begun, evidence }
     }
@@ -78,13 +78,13 @@
         self
     }
 
-    fn left(mut self, millis: u32) -> Self {
-        let leaving = AckedDrain {
+    fn drained(mut self, millis: u32) -> Self {
+        let drain = AckedDrain {
             instance: "i-1".to_owned(),
             born_ms: 1,
             at: self.at(millis),
         };
-        self.evidence.acked_drains.push(leaving);
+        self.evidence.acked_drains.push(drain);
         self
     }
 
@@ -145,8 +145,8 @@
     );
 }
 
-/// A connection ends without an answer. The process is at fault unless it was
-/// killed or stood still; being asked to end is no excuse.
+/// A connection closes without a response. This is a breach unless the process was
+/// killed or paused; a request to terminate is no excuse.
 #[test]
 fn a_request_that_gets_no_answer_is_found() {
     let lost = || {
@@ -167,17 +167,17 @@
 }
 
 #[test]
-fn work_after_a_leaving_is_found() {
+fn a_run_after_a_drain_is_found() {
     let late = |millis| {
         let scenario = Scenario::new().call(CallKind::Order, answered(200, true));
-        scenario.left(0).run(millis, false).broken_promises()
+        scenario.drained(0).run(millis, false).broken_promises()
     };
     assert_eq!(late(1_900), []);
     assert_eq!(late(2_900), [Promise::Drained]);
 }
 
 #[test]
-fn a_run_that_goes_on_for_nobody_is_found() {
+fn an_abandoned_run_that_goes_on_is_found() {
     let left = || Scenario::new().call(CallKind::Abandoned, CallOutcome::Left);
     assert_eq!(left().run(5, true).broken_promises(), []);
     assert_eq!(left().run(5, false).broken_promises(), [Promise::Cancelled]);
@@ -191,7 +191,7 @@
     assert_eq!(scenario.broken_promises(), [Promise::KeepsRunning]);
 }
 
-/// Guards against a soak that overlooks a request which crashes server after server.
+/// Guards against a soak that overlooks a request which crashes many servers.
 #[test]
 fn a_request_that_crashes_many_servers_is_found() {
     let crashes = |runs: u32| {
--- a/crates/rig/tests/all/soaks.rs
+++ b/crates/rig/tests/all/soaks.rs
@@ -1,8 +1,9 @@
-//! Short seeded soaks, and seeds that once found a fault.
+//! Short soaks, some with seeds that once found a fault.
 
 use geranium_rig::soak::{SoakOptions, run_soak};
 
-/// A run small enough for any machine, judged without time bounds.
+/// Options of a soak that is small enough for any machine, without strict time
+/// bounds.
 fn options(seed: u64) -> SoakOptions {
     SoakOptions {
         seed,
@@ -33,7 +34,8 @@
     holds_for_seed(2).await;
 }
 
-/// Guards against refusing requests that ran beside several others that crash servers.
+/// Guards against rejecting requests that ran beside several others which crash
+/// servers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn requests_beside_several_crashing_ones_are_served() {
     let options = SoakOptions {
@@ -46,7 +48,7 @@
     assert!(held.expect("the fleet starts"), "seed 505");
 }
 
-/// The seed whose run showed it, on a fleet of the size at which it did.
+/// Replays the base plan of a seed that found a fault, on a fleet of the same size.
 async fn holds_on_plain_plan(seed: u64) {
     let options = SoakOptions {
         seconds: 20,
@@ -59,35 +61,35 @@
     assert!(held.expect("the fleet starts"), "seed {seed}");
 }
 
-/// Nodes that were told to stop ended, on a busy machine, before their ports had
-/// accepted what waited: new callers were reset.
+/// Nodes that were told to terminate on a busy machine exited before they had
+/// accepted the connections waiting at their listeners: new callers were reset.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn callers_of_a_stalled_node_that_ends_are_answered() {
     holds_on_plain_plan(109).await;
 }
 
-/// A backend server's leaving was acknowledged while its node was told to stop;
-/// the next process counted the time for work on its way anew. Judged in time
-/// only by hand: `geranium-rig soak --seed 116 --timed`.
+/// A backend server's drain was acknowledged while its node was terminating. The
+/// next process restarted the time allowed for requests on their way. The strict
+/// time bound is checked only by hand: `geranium-rig soak --seed 116 --timed`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_leaving_outlives_a_restart_in_a_series_of_faults() {
     holds_on_plain_plan(116).await;
 }
 
-/// An announcement was dropped from the store while its node's watch was silent
-/// for good. A node that had restarted since told it the news after the drop, and
-/// the drop itself was lost: two nodes never came back into the list.
+/// An announcement was deleted from the store while its node's watch was silent for
+/// good. A node that had restarted since sent it the updates after the deletion,
+/// and the deletion itself was lost: two nodes never returned to the member list.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_drop_that_nobody_saw_is_noticed() {
+async fn a_deletion_that_no_watch_reported_is_noticed() {
     holds_on_plain_plan(135).await;
 }
 
-/// Three nodes were told to stop just before the last fault ended. They still ran when
-/// the soak looked whether every node does, stopped seconds later, and were never started
-/// again: the fleet didn't recover. Cause: the soak's own; their logs end with `stopped`,
-/// and an earlier version of the node does the same.
+/// Three nodes were told to terminate just before the last fault ended. They still
+/// ran when the soak checked that every node does, exited seconds later, and were
+/// never restarted: the fleet didn't recover. The fault was in the soak: the nodes'
+/// logs end with `stopped`, and an earlier version of the node behaves the same.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn nodes_told_to_stop_near_the_end_are_started_again() {
+async fn nodes_that_terminate_near_the_end_are_restarted() {
     let options = SoakOptions {
         seconds: 15,
         nodes: 8,
--- a/crates/standins/src/endpoint_server.rs
+++ b/crates/standins/src/endpoint_server.rs
@@ -63,11 +63,7 @@
 impl Drop for RunGuard {
     fn drop(&mut self) {
         if !self.finished {
-            self.shared
-                .runs
-                .lock()
-                .expect("no thread panics with the lock")[self.index]
-                .cancelled = true;
+            self.shared.runs.lock().expect("not poisoned")[self.index].cancelled = true;
         }
     }
 }
@@ -98,11 +94,7 @@
     pub fn end(self) -> Vec<RunRecord> {
         let Self { shared, thread } = self;
         drop(thread);
-        shared
-            .runs
-            .lock()
-            .expect("no thread panics with the lock")
-            .clone()
+        shared.runs.lock().expect("not poisoned").clone()
     }
 
     /// Whether the server has crashed and all its connections are closed.
@@ -151,10 +143,7 @@
     ///
     /// Panics if another thread panicked while holding the options' lock.
     pub fn options(&self) -> MutexGuard<'_, EndpointOptions> {
-        self.shared
-            .options
-            .lock()
-            .expect("no thread panics with the lock")
+        self.shared.options.lock().expect("not poisoned")
     }
 
     /// Returns the recorded runs.
@@ -163,20 +152,12 @@
     ///
     /// Panics if another thread panicked while holding the runs' lock.
     pub fn runs(&self) -> Vec<RunRecord> {
-        self.shared
-            .runs
-            .lock()
-            .expect("no thread panics with the lock")
-            .clone()
+        self.shared.runs.lock().expect("not poisoned").clone()
     }
 }
 
 async fn serve(shared: Arc<EndpointShared>, request: Request<Incoming>) -> Reply {
-    let options = shared
-        .options
-        .lock()
-        .expect("no thread panics with the lock")
-        .clone();
+    let options = shared.options.lock().expect("not poisoned").clone();
     let (head, body) = request.into_parts();
     if head.uri.path() == "/health" {
         let status = if options.healthy {
@@ -216,7 +197,7 @@
         cancelled: false,
     };
     let index = {
-        let mut runs = shared.runs.lock().expect("no thread panics with the lock");
+        let mut runs = shared.runs.lock().expect("not poisoned");
         runs.push(record);
         runs.len() - 1
     };
@@ -232,11 +213,7 @@
     if options.fault == EndpointFault::RestartsOnRequest
         && head.uri.path().contains(CRASH_PATH_TEXT)
     {
-        let mut options = guard
-            .shared
-            .options
-            .lock()
-            .expect("no thread panics with the lock");
+        let mut options = guard.shared.options.lock().expect("not poisoned");
         options.born_ms += 1;
         return Reply::Hangup;
     }
--- a/crates/standins/src/kv_server.rs
+++ b/crates/standins/src/kv_server.rs
@@ -56,7 +56,7 @@
         shared
             .faults
             .lock()
-            .expect("no thread panics with the lock")
+            .expect("not poisoned")
             .resize(ports + 1, KvFault::Sound);
         let served = Arc::clone(&shared);
         let thread = ServerThread::start(listeners, move |port, request| {
@@ -90,10 +90,7 @@
     ///
     /// Panics if another thread panicked while holding the contents' lock.
     pub fn state(&self) -> MutexGuard<'_, KvState> {
-        self.shared
-            .state
-            .lock()
-            .expect("no thread panics with the lock")
+        self.shared.state.lock().expect("not poisoned")
     }
 
     /// Sets the fault of one port.
@@ -102,10 +99,7 @@
     ///
     /// Panics if there is no such port.
     pub fn set_fault(&self, port: usize, fault: KvFault) {
-        self.shared
-            .faults
-            .lock()
-            .expect("no thread panics with the lock")[port] = fault;
+        self.shared.faults.lock().expect("not poisoned")[port] = fault;
     }
 
     /// Sets the same fault for every node port.
@@ -114,11 +108,7 @@
     ///
     /// Panics if another thread panicked while holding the faults' lock.
     pub fn set_faults(&self, fault: KvFault) {
-        let mut faults = self
-            .shared
-            .faults
-            .lock()
-            .expect("no thread panics with the lock");
+        let mut faults = self.shared.faults.lock().expect("not poisoned");
         let nodes = faults.len() - 1;
         faults[..nodes].fill(fault);
     }
@@ -126,20 +116,15 @@
 
 impl KvShared {
     fn state(&self) -> MutexGuard<'_, KvState> {
-        self.state.lock().expect("no thread panics with the lock")
+        self.state.lock().expect("not poisoned")
     }
 
     fn is_operator(&self, port: usize) -> bool {
-        port + 1
-            == self
-                .faults
-                .lock()
-                .expect("no thread panics with the lock")
-                .len()
+        port + 1 == self.faults.lock().expect("not poisoned").len()
     }
 
     fn fault(&self, port: usize) -> KvFault {
-        self.faults.lock().expect("no thread panics with the lock")[port]
+        self.faults.lock().expect("not poisoned")[port]
     }
 }
 
