--- a/crates/rig/src/rig_endpoint.rs
+++ b/crates/rig/src/rig_endpoint.rs
@@ -310,6 +310,6 @@
 }
 
 async fn post(machine: &Machine, path: &str, body: String) -> bool {
-    let status = timeout(ACK_TIMEOUT, http_post(machine.addrs.reports, path, &body)).await;
+    let status = timeout(ACK_TIMEOUT, http_post(machine.addrs.admin, path, &body)).await;
     matches!(status, Ok(Some(200..300)))
 }
--- a/crates/rig/src/soak/fault_injector.rs
+++ b/crates/rig/src/soak/fault_injector.rs
@@ -362,6 +362,6 @@
 fn revoke_announcements(fleet: &RigFleet, targets: &[usize]) {
     let mut state = fleet.store.state();
     for &target in targets {
-        state.revoke(fleet.nodes[target].announcement_key().as_str());
+        state.remove_key(fleet.nodes[target].announcement_key().as_str());
     }
 }
--- a/crates/standins/src/kv_state.rs
+++ b/crates/standins/src/kv_state.rs
@@ -91,7 +91,7 @@
     }
 
     /// Removes a key, which only watches report.
-    pub fn revoke(&mut self, key: &str) {
+    pub fn remove_key(&mut self, key: &str) {
         self.delete(key);
     }
 
--- a/crates/standins/src/machine.rs
+++ b/crates/standins/src/machine.rs
@@ -19,7 +19,7 @@
     /// Listener of the node for readiness checks.
     pub readiness: SocketAddr,
     /// Listener of the node for heartbeats and deregistrations.
-    pub reports: SocketAddr,
+    pub admin: SocketAddr,
     /// Listener of the node for metrics.
     pub metrics: SocketAddr,
     /// Listener of the backend server.
@@ -58,7 +58,7 @@
             peer_addr,
             callers,
             readiness,
-            reports,
+            admin,
             ..
         } = self.addrs;
         let (name, ip) = (self.name(), peer_addr.ip());
@@ -80,7 +80,7 @@
 Inbound = "{peer_addr}"
 Outbound = "{callers}"
 Readiness = "{readiness}"
-Admin = "{reports}"
+Admin = "{admin}"
 [Provider]
 HeartbeatS = 1.5
 [Provider.Provider]
@@ -115,7 +115,7 @@
             peer_addr: addr(7601),
             callers: addr(7602),
             readiness: addr(7603),
-            reports: addr(7604),
+            admin: addr(7604),
             endpoint: addr(7605),
             metrics: addr(7606),
         }
