--- a/crates/rig/src/soak/promise_check.rs
+++ b/crates/rig/src/soak/promise_check.rs
@@ -16,7 +16,7 @@
 /// event.
 const CLOCK_SLACK: Duration = Duration::from_millis(250);
 /// Time after a drain at which a new request is a breach even on an overloaded
-/// machine: a request sent before would have been dropped by then.
+/// machine: by then the backend server should have stopped.
 const DRAIN_MAX_UNTIMED: Duration = Duration::from_secs(8);
 /// Margin around a request within which a fault of its node excuses a missing
 /// response.
--- a/crates/rig/src/soak/soak_plan.rs
+++ b/crates/rig/src/soak/soak_plan.rs
@@ -139,7 +139,10 @@
     /// ```
     /// use geranium_rig::soak::SoakPlan;
     ///
-    /// let (last, whole) = (SoakPlan::draw_with_all_overlays(7, 20, 8), SoakPlan::draw_with_overlay(7, 20, 8));
+    /// let (last, whole) = (
+    ///     SoakPlan::draw_with_all_overlays(7, 20, 8),
+    ///     SoakPlan::draw_with_overlay(7, 20, 8),
+    /// );
     /// assert!(whole.faults.iter().all(|fault| last.faults.contains(fault)));
     /// ```
     pub fn draw_with_all_overlays(seed: u64, seconds: u64, nodes: usize) -> Self {
