--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -2,9 +2,10 @@
 //!
 //! A [`RigFleet`] holds real node processes ([`RigNode`]), each with a backend
 //! server ([`RigEndpoint`]) and links that can be made to fail ([`LinkProxy`]),
-//! around one store. [`CallerLoad`] sends requests whatever becomes of earlier
-//! ones and checks each answer. [`soak`] injects faults from outside and holds
-//! what was seen against the promises; [`demo`] shows a day at a glance.
+//! around one store. [`CallerLoad`] sends requests on a schedule that doesn't wait
+//! for earlier responses, and checks each response. [`soak`] injects faults from
+//! outside the nodes and checks the fleet's promises; [`demo`] shows both users'
+//! fleets in operation.
 
 mod child_process;
 pub mod demo;
@@ -24,7 +25,7 @@
 pub use link_proxy::LinkProxy;
 pub use load::{CallKind, CallOutcome, CallRecord, CallSender, CallerLoad, LoadPlan};
 pub use program_paths::ProgramPaths;
-pub use rig_endpoint::{AckedLeaving, RigEndpoint};
+pub use rig_endpoint::{AckedDrain, RigEndpoint};
 pub use rig_error::RigError;
 pub use rig_fleet::{FILES, ORDERS, PRICES, RigFleet, marker_path};
 pub use rig_node::{NodeEvent, NodeEventKind, NodePlan, RigNode};
--- a/crates/rig/src/link_proxy.rs
+++ b/crates/rig/src/link_proxy.rs
@@ -1,4 +1,4 @@
-//! A link between two processes that can be made to fail.
+//! A TCP proxy between two processes that can inject link faults.
 
 use std::{
     net::SocketAddr,
@@ -21,13 +21,13 @@
 
 use crate::{LinkFault, RigError, rig_error::LinkSnafu};
 
-/// Bytes read at a time.
-const BUFFER: usize = 16 * 1024;
+/// Size of the buffer for each direction of a connection.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// A proxy on loopback that passes bytes on as its fault lets it.
+/// A proxy on loopback that forwards bytes as its fault allows.
 ///
-/// Connections that were muted stay silent for good, while new ones work: only
-/// a timeout of the ends' own shows that.
+/// Muted connections lose all bytes for good, while new ones work. The ends notice
+/// this only by a timeout of their own.
 #[derive(Debug)]
 pub struct LinkProxy {
     addr: SocketAddr,
@@ -39,7 +39,7 @@
 struct LinkShared {
     fault: watch::Sender<LinkFault>,
     opened: AtomicU64,
-    /// Connections below this number are muted.
+    /// Connections with a lower number are muted.
     muted: AtomicU64,
 }
 
@@ -50,11 +50,11 @@
 }
 
 impl LinkProxy {
-    /// Opens a link from `addr` to whoever listens at `target`.
+    /// Opens a link from `addr` to the listener at `target`.
     ///
     /// # Errors
     ///
-    /// [`RigError::Link`] when the address can't be bound.
+    /// [`RigError::Link`] if the address can't be bound.
     pub fn open(addr: SocketAddr, target: SocketAddr) -> Result<Self, RigError> {
         let listen = || {
             let socket = TcpSocket::new_v4()?;
@@ -73,12 +73,12 @@
         Ok(Self { addr, shared, task })
     }
 
-    /// Returns the address at which it listens.
+    /// Returns the address on which the proxy listens.
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Gives it a fault.
+    /// Sets the fault of the link.
     pub fn set_fault(&self, fault: LinkFault) {
         self.shared.fault.send_replace(fault);
     }
@@ -103,28 +103,38 @@
             continue;
         };
         let number = shared.opened.fetch_add(1, Ordering::Relaxed);
-        tokio::spawn(carry(stream, target, number, Arc::clone(&shared)));
+        tokio::spawn(forward_connection(
+            stream,
+            target,
+            number,
+            Arc::clone(&shared),
+        ));
     }
 }
 
-async fn carry(near: TcpStream, target: SocketAddr, number: u64, shared: Arc<LinkShared>) {
+async fn forward_connection(
+    client: TcpStream,
+    target: SocketAddr,
+    number: u64,
+    shared: Arc<LinkShared>,
+) {
     let mut fault = shared.fault.subscribe();
     let fault_now = *fault.borrow_and_update();
     if fault_now == LinkFault::Reset {
-        return make_reset(&near);
+        return make_reset(&client);
     }
-    let Ok(far) = TcpStream::connect(target).await else {
-        return make_reset(&near);
+    let Ok(server) = TcpStream::connect(target).await else {
+        return make_reset(&client);
     };
-    let _best_effort = (near.set_nodelay(true), far.set_nodelay(true));
+    let _best_effort = (client.set_nodelay(true), server.set_nodelay(true));
     let handles = [
-        SockRef::from(&near).try_clone(),
-        SockRef::from(&far).try_clone(),
+        SockRef::from(&client).try_clone(),
+        SockRef::from(&server).try_clone(),
     ];
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let towards = pump(near_in, far_out, Direction::Towards, number, &shared);
-    let from = pump(far_in, near_out, Direction::From, number, &shared);
+    let (client_in, client_out) = client.into_split();
+    let (server_in, server_out) = server.into_split();
+    let towards = forward_bytes(client_in, server_out, Direction::Towards, number, &shared);
+    let from = forward_bytes(server_in, client_out, Direction::From, number, &shared);
     let reset = fault.wait_for(|fault| *fault == LinkFault::Reset);
     tokio::select! {
         _ = async { tokio::join!(towards, from) } => {}
@@ -136,15 +146,15 @@
     }
 }
 
-/// Passes bytes on in one direction until an end closes.
-async fn pump(
+/// Forwards bytes in one direction until one end closes.
+async fn forward_bytes(
     mut input: OwnedReadHalf,
     mut output: OwnedWriteHalf,
     direction: Direction,
     number: u64,
     shared: &LinkShared,
 ) {
-    let mut buffer = vec![0; BUFFER];
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(count @ 1..) = input.read(&mut buffer).await {
         let fault = *shared.fault.borrow();
         let muted = number < shared.muted.load(Ordering::Relaxed);
@@ -167,7 +177,7 @@
     let _closed = output.shutdown().await;
 }
 
-/// Makes the close of a connection a reset.
+/// Makes the socket send a reset when it closes.
 fn make_reset<'a>(socket: impl Into<SockRef<'a>>) {
     let _best_effort = socket.into().set_linger(Some(Duration::ZERO));
 }
--- a/crates/rig/src/load/call_sender.rs
+++ b/crates/rig/src/load/call_sender.rs
@@ -1,4 +1,4 @@
-//! Sends requests as callers do.
+//! Sends requests to a node as callers do.
 
 use std::{
     net::SocketAddr,
@@ -7,7 +7,7 @@
 };
 
 use bytes::Bytes;
-use geranium_standins::{CallerAnswer, CallerCall};
+use geranium_standins::{CallerRequest, CallerResponse};
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper_util::rt::TokioIo;
@@ -18,35 +18,35 @@
 
 use super::CallOutcome;
 
-/// Callers allow a connection one second.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
-/// Time beyond the deadline after which nothing more is expected.
-const OVERTIME: Duration = Duration::from_secs(2);
-/// Most connections kept for later requests.
-const KEPT_MAX: usize = 8;
+/// Time that callers allow for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after the deadline until which a response is still awaited.
+const RESPONSE_GRACE: Duration = Duration::from_secs(2);
+/// Most idle connections kept for reuse.
+const IDLE_CONNECTIONS_MAX: usize = 8;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Sends requests to one node, on kept connections or new ones.
+/// Sends requests to one node, on reused or new connections.
 #[derive(Debug, Clone)]
 pub struct CallSender {
     addr: SocketAddr,
     kept: Arc<Mutex<Vec<Sender>>>,
 }
 
-/// How a request was sent and ended.
+/// How a request was sent, and its outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SentCall {
-    /// Whether a kept connection carried it.
+    /// Whether the request was sent on a reused connection.
     pub kept: bool,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Instant,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: CallOutcome,
 }
 
 impl CallSender {
-    /// Sends to the callers' port at `addr`.
+    /// Creates a sender for the callers' listener at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
@@ -54,22 +54,23 @@
         }
     }
 
-    /// Sends a request and waits for its answer, `patience` at most when the
-    /// caller leaves early. `body` is what a good answer begins with.
+    /// Sends a request and waits for the response. The caller disconnects early, after
+    /// `leave_after`, if that is given. A good response starts with the body of the
+    /// request.
     pub async fn send(
         &self,
-        call: &CallerCall,
+        call: &CallerRequest,
         reuse: bool,
-        patience: Option<Duration>,
+        leave_after: Option<Duration>,
     ) -> SentCall {
         let kept = if reuse { self.take() } else { None };
         let was_kept = kept.is_some();
         let sent = Instant::now();
-        let end = tokio::time::Instant::now() + call.deadline + OVERTIME;
+        let end = tokio::time::Instant::now() + call.deadline + RESPONSE_GRACE;
         let exchange = timeout_at(end, self.exchange(call, kept));
-        let outcome = match patience {
+        let outcome = match leave_after {
             None => exchange.await.unwrap_or(CallOutcome::Silent),
-            Some(patience) => match timeout(patience, exchange).await {
+            Some(leave_after) => match timeout(leave_after, exchange).await {
                 Ok(ended) => ended.unwrap_or(CallOutcome::Silent),
                 Err(_left) => CallOutcome::Left,
             },
@@ -81,7 +82,7 @@
         }
     }
 
-    async fn exchange(&self, call: &CallerCall, kept: Option<Sender>) -> CallOutcome {
+    async fn exchange(&self, call: &CallerRequest, kept: Option<Sender>) -> CallOutcome {
         let sender = match kept {
             Some(sender) => Some(sender),
             None => self.connect().await,
@@ -98,12 +99,12 @@
                 };
             }
         };
-        let answer = CallerAnswer::read(response.status(), response.headers());
+        let answer = CallerResponse::read(response.status(), response.headers());
         match response.into_body().collect().await {
             Ok(body) => {
                 self.keep(sender);
                 let body = body.to_bytes();
-                let own = !answer.status.is_success() || is_own(call, &answer, &body);
+                let own = !answer.status.is_success() || matches_request(call, &answer, &body);
                 CallOutcome::Answered { answer, own }
             }
             Err(_) => CallOutcome::Broken,
@@ -111,7 +112,7 @@
     }
 
     async fn connect(&self) -> Option<Sender> {
-        let stream = timeout(CONNECT_TIME, TcpStream::connect(self.addr)).await;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr)).await;
         let stream = stream.ok()?.ok()?;
         let _best_effort = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
@@ -120,23 +121,23 @@
     }
 
     fn take(&self) -> Option<Sender> {
-        let mut kept = self.kept.lock().expect("no holder panics");
+        let mut kept = self.kept.lock().expect("not poisoned");
         kept.retain(|sender| !sender.is_closed());
         let ready = kept.iter().position(Sender::is_ready)?;
         Some(kept.swap_remove(ready))
     }
 
     fn keep(&self, sender: Sender) {
-        let mut kept = self.kept.lock().expect("no holder panics");
-        if kept.len() < KEPT_MAX && !sender.is_closed() {
+        let mut kept = self.kept.lock().expect("not poisoned");
+        if kept.len() < IDLE_CONNECTIONS_MAX && !sender.is_closed() {
             kept.push(sender);
         }
     }
 }
 
-/// Whether a good answer is signed, names the request, and holds its body and
-/// as many further bytes as were asked for.
-fn is_own(call: &CallerCall, answer: &CallerAnswer, body: &[u8]) -> bool {
+/// Whether a good response belongs to its request: it is signed, names the request,
+/// and holds the request's body and as many further bytes as were requested.
+fn matches_request(call: &CallerRequest, answer: &CallerResponse, body: &[u8]) -> bool {
     let named = answer.id.as_deref() == Some(&*call.id);
     let echoed = body.starts_with(call.body.as_bytes());
     let asked = call.path.split_once("bytes=").map(|(_, text)| text);
--- a/crates/rig/src/load/caller_load.rs
+++ b/crates/rig/src/load/caller_load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load.
+//! Load that callers generate on a schedule (open loop).
 
 use std::{
     net::SocketAddr,
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use geranium_standins::CallerCall;
+use geranium_standins::CallerRequest;
 use http::Method;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use tokio::{
@@ -20,40 +20,40 @@
 
 use super::{CallKind, CallRecord, CallSender};
 
-/// Time for which callers wait.
+/// Deadline of requests.
 const DEADLINE: Duration = Duration::from_secs(2);
-/// Time after which a caller that leaves early is gone.
-const LEAVES_AFTER: Duration = Duration::from_millis(120);
-/// Time that an abandoned request would run, in milliseconds.
+/// Time after which the caller of an abandoned request disconnects.
+const ABANDON_AFTER: Duration = Duration::from_millis(120);
+/// Run time of an abandoned request, in milliseconds.
 const ABANDONED_WORK_MS: u64 = 3_000;
-/// Bytes of a file.
+/// Size of the response to a file request.
 const FILE_BYTES: u64 = 60_000;
-/// Time between requests that crash backend servers.
-const CRASH_GAP: Duration = Duration::from_secs(4);
-/// Times that each of them is sent.
+/// Interval between requests that crash backend servers.
+const CRASH_INTERVAL: Duration = Duration::from_secs(4);
+/// Number of times that each crashing request is sent.
 const CRASH_SENDS: usize = 12;
-/// Pause of their caller after an answer.
+/// Pause between two sends of a crashing request.
 const CRASH_PAUSE: Duration = Duration::from_millis(5);
-/// Time beyond the last request after which every record is there.
-const LAST_RECORDS: Duration = Duration::from_millis(4_200);
+/// Time after the last request until every request is recorded.
+const RECORDS_GRACE: Duration = Duration::from_millis(4_200);
 
-/// A load.
+/// Parameters of a load.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
-    /// Callers' ports of the nodes.
+    /// Callers' listeners of the nodes.
     pub nodes: Vec<SocketAddr>,
-    /// Requests a second at each node.
+    /// Requests per second at each node.
     pub rate: f64,
-    /// Seed of gaps and kinds.
+    /// Seed of intervals and kinds.
     pub seed: u64,
-    /// Whether one caller sends requests that crash what runs them.
+    /// Whether one caller sends requests that crash the backend servers running them.
     pub crashes: bool,
 }
 
 /// A load that runs until it is ended.
 ///
-/// Requests start on a schedule, whatever becomes of earlier ones: a node that
-/// stalls can't slow the load down and so hide its own delay.
+/// Requests start on a schedule that doesn't wait for earlier responses. A stalled
+/// node therefore can't slow the load down and so hide its own latency.
 #[derive(Debug)]
 pub struct CallerLoad {
     records: Arc<Mutex<Vec<CallRecord>>>,
@@ -62,7 +62,7 @@
 }
 
 impl CallerLoad {
-    /// Starts a load.
+    /// Starts the load.
     pub fn start(plan: &LoadPlan) -> Self {
         let records: Arc<Mutex<Vec<CallRecord>>> = Arc::default();
         let stop = watch::Sender::new(false);
@@ -95,22 +95,22 @@
         }
     }
 
-    /// Ends the load and returns what callers got.
+    /// Ends the load and returns the records of all requests.
     ///
     /// # Panics
     ///
-    /// Panics when a caller did, which is a bug.
+    /// Panics if a caller's task panicked, which is a bug.
     pub async fn end(self) -> Vec<CallRecord> {
         self.stop.send_replace(true);
         for task in self.tasks {
             task.await.expect("no caller panics");
         }
-        sleep(LAST_RECORDS).await;
-        std::mem::take(&mut *self.records.lock().expect("no holder panics"))
+        sleep(RECORDS_GRACE).await;
+        std::mem::take(&mut *self.records.lock().expect("not poisoned"))
     }
 }
 
-/// Requests to one node.
+/// Load on one node.
 struct CallStream {
     node: usize,
     sender: CallSender,
@@ -130,11 +130,11 @@
                 () = sleep_until(next) => {}
                 _ = stop.wait_for(|stop| *stop) => return,
             }
-            self.start_one();
+            self.send_next();
         }
     }
 
-    fn start_one(&mut self) {
+    fn send_next(&mut self) {
         let kind = match self.rng.random_range(0..100) {
             0..58 => CallKind::Lookup,
             58..85 => CallKind::Order,
@@ -142,13 +142,13 @@
             _ => CallKind::Abandoned,
         };
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let call = call_of(kind, number);
+        let call = new_call(kind, number);
         let reuse = self.rng.random_bool(0.6);
-        let patience = (kind == CallKind::Abandoned).then_some(LEAVES_AFTER);
+        let leave_after = (kind == CallKind::Abandoned).then_some(ABANDON_AFTER);
         let (node, sender) = (self.node, self.sender.clone());
         let records = Arc::clone(&self.records);
         tokio::spawn(async move {
-            let sent = sender.send(&call, reuse, patience).await;
+            let sent = sender.send(&call, reuse, leave_after).await;
             let record = CallRecord {
                 id: call.id,
                 node,
@@ -159,13 +159,13 @@
                 ended: Instant::now(),
                 outcome: sent.outcome,
             };
-            records.lock().expect("no holder panics").push(record);
+            records.lock().expect("not poisoned").push(record);
         });
     }
 }
 
-/// A caller that sends a request which crashes backend servers again and again, through one
-/// node after the other.
+/// A caller that repeats requests which crash backend servers, through one node
+/// after the other.
 struct CrashCaller {
     senders: Vec<CallSender>,
     records: Arc<Mutex<Vec<CallRecord>>>,
@@ -175,22 +175,22 @@
     async fn run(self, mut stop: watch::Receiver<bool>) {
         for request in 0_u64.. {
             tokio::select! {
-                () = sleep(CRASH_GAP) => {}
+                () = sleep(CRASH_INTERVAL) => {}
                 _ = stop.wait_for(|stop| *stop) => return,
             }
-            for turn in 0..CRASH_SENDS {
-                let node = turn % self.senders.len();
-                self.send(request, turn, node).await;
+            for attempt in 0..CRASH_SENDS {
+                let node = attempt % self.senders.len();
+                self.send(request, attempt, node).await;
                 sleep(CRASH_PAUSE).await;
             }
         }
     }
 
-    async fn send(&self, request: u64, turn: usize, node: usize) {
-        let call = CallerCall {
-            id: format!("crash-{request}-{turn}"),
+    async fn send(&self, request: u64, attempt: usize, node: usize) {
+        let call = CallerRequest {
+            id: format!("crash-{request}-{attempt}"),
             path: format!("/p/crash-{request}"),
-            ..call_of(CallKind::Crash, request)
+            ..new_call(CallKind::Crash, request)
         };
         let sent = self.senders[node].send(&call, false, None).await;
         let record = CallRecord {
@@ -203,11 +203,11 @@
             ended: Instant::now(),
             outcome: sent.outcome,
         };
-        self.records.lock().expect("no holder panics").push(record);
+        self.records.lock().expect("not poisoned").push(record);
     }
 }
 
-fn call_of(kind: CallKind, number: u64) -> CallerCall {
+fn new_call(kind: CallKind, number: u64) -> CallerRequest {
     let (method, path) = match kind {
         CallKind::Lookup => (Method::GET, format!("/p/{number}")),
         CallKind::Order => (Method::POST, format!("/o/{number}")),
@@ -216,7 +216,7 @@
         CallKind::Crash => (Method::GET, format!("/p/crash-{number}")),
     };
     let id = format!("call-{number}");
-    CallerCall {
+    CallerRequest {
         body: if kind == CallKind::Order {
             format!("order {number} ")
         } else {
