--- a/crates/node/src/admin/admin_handler.rs
+++ b/crates/node/src/admin/admin_handler.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns the page that a request asks for, or a 404 response.
-    pub fn answer(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
+    pub fn handle(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             METRICS_PATH => self.metrics(),
             STATUS_PATH => self.status(),
--- a/crates/node/src/config/config_delta.rs
+++ b/crates/node/src/config/config_delta.rs
@@ -33,7 +33,7 @@
 impl ConfigDelta {
     /// Returns the delta that turns `from` into `to`.
     pub fn between(from: &ConfigInput, to: &ConfigInput) -> Self {
-        let before: HashMap<&str, &Rc<RouteInput>> = by_name(from);
+        let before: HashMap<&str, &Rc<RouteInput>> = routes_by_name(from);
         let after: HashSet<&str> = to.routes.iter().map(|route| &*route.name).collect();
         let is_unchanged = |route: &Rc<RouteInput>| {
             let known = before.get(&*route.name);
@@ -94,7 +94,7 @@
 }
 
 /// Returns the routes of a document by name.
-fn by_name(input: &ConfigInput) -> HashMap<&str, &Rc<RouteInput>> {
+fn routes_by_name(input: &ConfigInput) -> HashMap<&str, &Rc<RouteInput>> {
     input
         .routes
         .iter()
--- a/crates/node/src/config/config_error.rs
+++ b/crates/node/src/config/config_error.rs
@@ -35,10 +35,10 @@
         route: String,
     },
     /// A time isn't a number above 0 and up to 3600 seconds.
-    #[snafu(display("{location} has a time out of range"))]
+    #[snafu(display("{field} has a time out of range"))]
     TimeOutOfRange {
-        /// Name of the route or limit that contains the time.
-        location: String,
+        /// Name of the route, or of the limit, whose time is out of range.
+        field: String,
     },
     /// Two routes have the same host and prefix.
     #[snafu(display("route {route} repeats the host and prefix of another"))]
--- a/crates/node/src/config/mesh_config.rs
+++ b/crates/node/src/config/mesh_config.rs
@@ -19,9 +19,9 @@
     /// Largest size of a request's body in bytes.
     pub body_bytes: usize,
     /// Longest time for receiving a request's head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time for which a connection may stay idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl TryFrom<&LimitsInput> for CallerLimits {
@@ -31,8 +31,8 @@
         Ok(Self {
             head_bytes: input.head_bytes as usize,
             body_bytes: input.body_bytes as usize,
-            head_time: checked_time(input.head_s, "head limit")?,
-            idle_time: checked_time(input.idle_s, "idle limit")?,
+            head_timeout: checked_time(input.head_s, "head limit")?,
+            idle_timeout: checked_time(input.idle_s, "idle limit")?,
         })
     }
 }
@@ -167,7 +167,7 @@
     }
 
     /// Returns whether a route may send requests to `service`.
-    pub fn uses(&self, service: &str) -> bool {
+    pub fn routes_to(&self, service: &str) -> bool {
         self.routes
             .values()
             .any(|route| route.shares.allows(service))
--- a/crates/node/src/config/route_rule.rs
+++ b/crates/node/src/config/route_rule.rs
@@ -9,7 +9,7 @@
 /// Longest time in seconds of a route or limit.
 ///
 /// One hour is far longer than any request, and far from an overflow.
-const MAX_TIME_S: f64 = 3_600.0;
+const TIME_MAX_S: f64 = 3_600.0;
 
 /// A checked route, by which requests are sent to services.
 #[derive(Debug)]
@@ -73,12 +73,12 @@
 
 /// Converts seconds to a duration.
 ///
-/// Seconds out of range are refused with an error that names their `location`.
-pub(super) fn checked_time(seconds: f64, location: &str) -> Result<Duration, ConfigError> {
-    if seconds > 0.0 && seconds <= MAX_TIME_S {
+/// Seconds out of range are refused with an error that names their `field`.
+pub(super) fn checked_time(seconds: f64, field: &str) -> Result<Duration, ConfigError> {
+    if seconds > 0.0 && seconds <= TIME_MAX_S {
         Ok(Duration::from_secs_f64(seconds))
     } else {
-        let location = location.to_owned();
-        Err(ConfigError::TimeOutOfRange { location })
+        let field = field.to_owned();
+        Err(ConfigError::TimeOutOfRange { field })
     }
 }
--- a/crates/node/src/crash/broken_runs.rs
+++ b/crates/node/src/crash/broken_runs.rs
@@ -114,7 +114,7 @@
     /// crashes, unless the earlier start answered a probe after they broke.
     pub fn replaced(&self, now: Duration, ended: &EndpointStart, instance: &str) {
         let mut recent = self.recent.borrow_mut();
-        let crashed = |run: &RecentRun| {
+        let counts_as_crash = |run: &RecentRun| {
             let window = match run.cause {
                 BreakCause::AnswerLost if ended.instance() != instance => return false,
                 // The next start may have answered the probe under the same identifier.
@@ -123,7 +123,7 @@
             };
             run.record.start == *ended && now < run.at + window
         };
-        let records = recent.iter().filter(|run| crashed(run));
+        let records = recent.iter().filter(|run| counts_as_crash(run));
         let records: Vec<CrashRecord> = records.map(|run| run.record.clone()).collect();
         recent.retain(|run| run.record.start != *ended);
         if !records.is_empty() {
--- a/crates/node/src/crash/completion_credit.rs
+++ b/crates/node/src/crash/completion_credit.rs
@@ -31,7 +31,7 @@
     }
 
     /// Records a successful completion.
-    pub(super) fn completed(&mut self, fingerprint: u64) {
+    pub(super) fn record_completion(&mut self, fingerprint: u64) {
         let entry = self.entry_of(fingerprint);
         if entry.fingerprint == fingerprint {
             entry.credit = (entry.credit + 1).min(CREDIT_PER_CRASH);
--- a/crates/node/src/crash/crash_broadcast.rs
+++ b/crates/node/src/crash/crash_broadcast.rs
@@ -82,7 +82,7 @@
             method: Method::POST,
             path: CRASH_PATH,
             body: body.clone(),
-            time: PEER_TIMEOUT,
+            timeout: PEER_TIMEOUT,
         };
         calls.spawn_local(async move {
             let sent = call
--- a/crates/node/src/crash/crash_handler.rs
+++ b/crates/node/src/crash/crash_handler.rs
@@ -34,7 +34,7 @@
     /// Records the crashes of a message and answers once they count on this node.
     ///
     /// A body that is too long or can't be decoded gets status 400.
-    pub async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+    pub async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Limited::new(request.into_body(), BODY_MAX_BYTES)
             .collect()
             .await;
--- a/crates/node/src/crash/crash_history.rs
+++ b/crates/node/src/crash/crash_history.rs
@@ -42,8 +42,8 @@
     /// The revision is that of the record in the store, 0 while it isn't known. Other nodes
     /// get a record from this one once its revision is known.
     pub fn record(&mut self, now: Duration, record: CrashRecord, revision: Revision) -> bool {
-        let new = self.registry.record(now, record.clone());
-        if new {
+        let is_new = self.registry.record(now, record.clone());
+        if is_new {
             if self.records.len() == RECORDS_MAX {
                 self.records.pop_front();
             }
@@ -51,12 +51,12 @@
         } else if let Some(known) = self.records.iter_mut().find(|known| known.1 == record) {
             known.0 = known.0.max(revision);
         }
-        new
+        is_new
     }
 
     /// Records that a backend server completed a request successfully.
-    pub fn completed(&mut self, fingerprint: u64) {
-        self.registry.completed(fingerprint);
+    pub fn record_completion(&mut self, fingerprint: u64) {
+        self.registry.record_completion(fingerprint);
     }
 
     /// Returns for how long a request is still refused; none when it isn't.
--- a/crates/node/src/crash/crash_watch.rs
+++ b/crates/node/src/crash/crash_watch.rs
@@ -100,7 +100,7 @@
     if cause == BreakCause::Crashed {
         warn!(core.log.logger(), "backend server crashed";
             "instance" => %start, "runs" => records.len(), "evidence" => "probe");
-        record_crashes(Rc::clone(&core), store, records).await;
+        publish_crashes(Rc::clone(&core), store, records).await;
     } else {
         let now = core.clock.now();
         for record in records {
@@ -122,12 +122,12 @@
 ) {
     warn!(core.log.logger(), "backend server crashed";
         "runs" => records.len(), "evidence" => "another start took its place");
-    record_crashes(Rc::clone(&core), store, records).await;
+    publish_crashes(Rc::clone(&core), store, records).await;
     core.inbound.broken_runs().record_late_notified();
 }
 
 /// Records crashes on this node, on its peers and in the store.
-async fn record_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>, records: Vec<CrashRecord>) {
+async fn publish_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>, records: Vec<CrashRecord>) {
     let now = core.clock.now();
     for record in &records {
         let mut crashes = core.crashes.borrow_mut();
@@ -151,8 +151,8 @@
     let path = path.unwrap_or_else(|| "/".to_owned());
     let until = Instant::now() + PROBE_TIMEOUT;
     loop {
-        let answer = timeout_at(until, core.inbound.check_health(&path)).await;
-        match answer {
+        let probe_result = timeout_at(until, core.inbound.check_health(&path)).await;
+        match probe_result {
             Ok(Ok(health)) => {
                 return match health.instance {
                     Some(instance) if instance == start.instance() => BreakCause::AnswerLost,
--- a/crates/node/src/crash/poison_registry.rs
+++ b/crates/node/src/crash/poison_registry.rs
@@ -17,7 +17,7 @@
 /// Divisor of the refusal time for requests that always ran beside others. It applies while
 /// they have no more crashes than the limit. Of a dozen such requests one is the cause, and
 /// a wrong guess costs one more crash a minute later.
-const SHARED_CRASH_DIVISOR: u32 = 10;
+const SHARED_CRASH_REFUSAL_DIVISOR: u32 = 10;
 
 /// Counts crashes per request and decides which requests are refused.
 ///
@@ -89,8 +89,8 @@
     }
 
     /// Records that a backend server completed a request successfully.
-    pub fn completed(&mut self, fingerprint: u64) {
-        self.credit.completed(fingerprint);
+    pub fn record_completion(&mut self, fingerprint: u64) {
+        self.credit.record_completion(fingerprint);
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
@@ -140,7 +140,7 @@
         if above_limit || self.crashed_alone(fingerprint) {
             self.limits.refusal_time
         } else {
-            self.limits.refusal_time / SHARED_CRASH_DIVISOR
+            self.limits.refusal_time / SHARED_CRASH_REFUSAL_DIVISOR
         }
     }
 
--- a/crates/node/src/delegation/delegated_call_handler.rs
+++ b/crates/node/src/delegation/delegated_call_handler.rs
@@ -33,7 +33,7 @@
     /// Queues a delegated call and answers with its outcome.
     ///
     /// A body that can't be decoded and a call that isn't allowed get status 400.
-    pub async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+    pub async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Limited::new(request.into_body(), BODY_MAX_BYTES)
             .collect()
             .await;
--- a/crates/node/src/delegation/delegated_call_queue.rs
+++ b/crates/node/src/delegation/delegated_call_queue.rs
@@ -13,7 +13,7 @@
 const WAITING_CALLS_MAX: usize = 64;
 /// Maximum time since the store's last answer that counts as recent. A delegated call that
 /// fails later than that means that this node has lost the store, too.
-const RECENT_ANSWER_TIME: Duration = Duration::from_millis(500);
+const RECENT_RESPONSE_AGE_MAX: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct WaitingCall {
@@ -79,7 +79,7 @@
         }
         Err(cause) => {
             let age = core.relay_selector.borrow().store_age(core.clock.now());
-            if age > RECENT_ANSWER_TIME {
+            if age > RECENT_RESPONSE_AGE_MAX {
                 core.store_failed("errand", &cause);
             } else {
                 warn!(core.log.logger(), "delegated call failed"; "cause" => %cause);
--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -193,11 +193,11 @@
             method: Method::POST,
             path: DELEGATED_CALL_PATH,
             body: serde_json::to_vec(delegated_call)?.into(),
-            time: DELEGATED_CALL_TIMEOUT,
+            timeout: DELEGATED_CALL_TIMEOUT,
         };
-        let idle_time = self.core.settings.peer_idle_timeout;
+        let idle_timeout = self.core.settings.peer_idle_timeout;
         let response_body = call
-            .send(&self.core.peer_connections, peer_addr, idle_time)
+            .send(&self.core.peer_connections, peer_addr, idle_timeout)
             .await?;
         Ok(serde_json::from_slice(&response_body)?)
     }
--- a/crates/node/src/discovery/announcement_key.rs
+++ b/crates/node/src/discovery/announcement_key.rs
@@ -42,9 +42,9 @@
     /// names are cut. Two data centres may therefore share a prefix, but each announcement
     /// names its own data centre.
     pub fn prefix(data_centre: &str) -> String {
-        let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
         let name = data_centre.chars().take(DATA_CENTRE_MAX_CHARS);
-        let name: String = name.map(|c| if plain(c) { c } else { '_' }).collect();
+        let name: String = name.map(|c| if is_allowed(c) { c } else { '_' }).collect();
         format!("{MEMBER_PREFIX}{name}/")
     }
 
--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -11,7 +11,7 @@
 use super::own_key;
 use crate::{
     delegation::DelegatingStore,
-    inbound::LocalEndpoint,
+    inbound::CurrentStart,
     member::{MemberRecord, MemberState},
     node_core::NodeCore,
     store::{LeaseId, MetaStore, Revision, StoreEra, StoreError, StoreWrite},
@@ -21,7 +21,7 @@
 /// requests to a node learn sooner that it is gone; the lease is for those that don't.
 const LEASE_TIME: Duration = Duration::from_secs(6);
 /// Time between renewals of the lease. Two may fail before the lease ends.
-const RENEW_PERIOD: Duration = Duration::from_secs(2);
+const RENEW_INTERVAL: Duration = Duration::from_secs(2);
 
 /// First pause after a round in which no other node reached the store.
 const RETRY_PAUSE_MIN: Duration = Duration::from_millis(500);
@@ -93,7 +93,7 @@
         self.apply_watched(core);
         self.enter_era(core.eras.latest());
         let Some(desired) = desired else {
-            *renew_at = Instant::now() + RENEW_PERIOD;
+            *renew_at = Instant::now() + RENEW_INTERVAL;
             return self.withdraw(core, delegating_store, key.as_str()).await;
         };
         let lease = match self.lease {
@@ -108,7 +108,7 @@
             None => self.resume_lease(core, delegating_store).await?,
         };
         if Instant::now() >= *renew_at {
-            *renew_at = Instant::now() + RENEW_PERIOD;
+            *renew_at = Instant::now() + RENEW_INTERVAL;
         }
         if self.stands_for(&desired) {
             return Ok(());
@@ -134,16 +134,16 @@
         core: &NodeCore,
         delegating_store: &DelegatingStore<impl MetaStore>,
     ) -> Result<LeaseId, StoreError> {
-        let Some(lease) = core.own_lease.get() else {
+        let Some(lease) = core.earlier_lease.get() else {
             return self.grant(delegating_store).await;
         };
         let renewed = delegating_store.renew(lease).await;
         if let Err(StoreError::NoLease) = renewed {
-            core.own_lease.set(None);
+            core.earlier_lease.set(None);
             return self.grant(delegating_store).await;
         }
         renewed?;
-        core.own_lease.set(None);
+        core.earlier_lease.set(None);
         let fleet = core.fleet.borrow();
         let member = fleet.at(core.settings.peer_addr);
         let present = member.filter(|member| !member.has_lapsed());
@@ -289,7 +289,7 @@
 /// Returns the announcement that the store should hold; none when it should hold none.
 fn desired(core: &NodeCore) -> Option<MemberRecord> {
     let tracker = core.inbound.tracker().borrow();
-    let current: &LocalEndpoint = tracker.current()?;
+    let current: &CurrentStart = tracker.current()?;
     if current.deregistered {
         return None;
     }
--- a/crates/node/src/discovery/apply_updates.rs
+++ b/crates/node/src/discovery/apply_updates.rs
@@ -15,8 +15,8 @@
 
 /// Applies the configuration, crashes and members of a response to a request for updates.
 pub(super) fn apply_updates(core: &NodeCore, from: SocketAddr, response: UpdateResponse) {
-    if let Some(updates) = response.config {
-        apply_config(core, from, updates);
+    if let Some(update) = response.config {
+        apply_config(core, from, update);
     }
     for (revision, record) in response.crashes {
         core.record_crash(record, Revision(revision));
@@ -77,7 +77,7 @@
         apply_lapse(core, peer_addr, Revision(revision));
     }
     core.fleet.borrow_mut().advance(revision);
-    core.updates.notify_waiters();
+    core.update_arrived.notify_waiters();
 }
 
 /// Applies an announcement, and adds it to the log entries if it changes anything.
@@ -91,8 +91,8 @@
     if record.peer_addr == core.settings.peer_addr {
         core.inbound.tracker().borrow_mut().restore(now, &record);
         if core.inbound.tracker().borrow().current().is_none() {
-            *core.own_record.borrow_mut() = Some(record.clone());
-            core.own_record_received.notify_one();
+            *core.earlier_record.borrow_mut() = Some(record.clone());
+            core.earlier_record_received.notify_one();
         }
         core.announcement_changed.notify_one();
     }
@@ -104,11 +104,11 @@
 
 /// Applies the absence of a node's announcement.
 pub(super) fn apply_lapse(core: &NodeCore, peer_addr: SocketAddr, revision: Revision) {
-    let known = core
+    let newly_lapsed = core
         .fleet
         .borrow_mut()
         .lapse(core.clock.now(), peer_addr, revision);
-    if known {
+    if newly_lapsed {
         info!(core.log.logger(), "announcement missing";
             "at" => %peer_addr, "revision" => revision.0);
     }
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -23,7 +23,7 @@
 /// seconds.
 const GATHER_TIME: Duration = Duration::from_millis(400);
 /// Time between checks whether this node has to watch the store.
-const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Watches the configuration in the store while this node has that duty.
 pub async fn watch_config(core: Rc<NodeCore>, store: Rc<impl MetaStore>, source: ConfigSource) {
@@ -31,7 +31,7 @@
     loop {
         if !core.watches_store() {
             after = None;
-            let _idle = timeout(IDLE_CHECK_PERIOD, core.watch_duty_changed.notified()).await;
+            let _idle = timeout(IDLE_CHECK_INTERVAL, core.watch_duty_changed.notified()).await;
             continue;
         }
         core.until_store_back().await;
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -30,9 +30,9 @@
 const GATHER_TIME: Duration = Duration::from_millis(250);
 /// Time between listings while a new fleet announces itself. Heartbeats come every second
 /// and a half.
-const SETTLE_LIST_PERIOD: Duration = Duration::from_millis(500);
+const FIRST_START_LIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between checks whether this node has to watch the store.
-const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Watches the announcements and crashes in the store while this node has that duty.
 ///
@@ -49,7 +49,7 @@
             continue;
         }
         if !core.watches_store() {
-            let _idle = timeout(IDLE_CHECK_PERIOD, core.watch_duty_changed.notified()).await;
+            let _idle = timeout(IDLE_CHECK_INTERVAL, core.watch_duty_changed.notified()).await;
             continue;
         }
         core.until_store_back().await;
@@ -63,9 +63,9 @@
         match step {
             Ok(()) => {
                 core.store_answered();
-                core.updates.notify_waiters();
+                core.update_arrived.notify_waiters();
                 sleep(if settling {
-                    SETTLE_LIST_PERIOD
+                    FIRST_START_LIST_INTERVAL
                 } else {
                     GATHER_TIME
                 })
@@ -85,7 +85,7 @@
     let present: Vec<SocketAddr> = apply_items(core, &list.items);
     let key = own_key(core);
     let own = list.items.iter().find(|item| item.key == key.as_str());
-    core.own_lease.set(own.and_then(|item| item.lease));
+    core.earlier_lease.set(own.and_then(|item| item.lease));
     core.store_answered();
     if !present.contains(&core.settings.peer_addr) {
         core.announcement_changed.notify_one();
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -51,7 +51,7 @@
         let pause = core
             .store_access
             .borrow()
-            .pause(core.store_probe_duty(), share);
+            .probe_pause(core.store_probe_duty(), share);
         let due = started + pause;
         if timeout_at(due, core.watch_duty_changed.notified())
             .await
--- a/crates/node/src/discovery/update_client.rs
+++ b/crates/node/src/discovery/update_client.rs
@@ -28,7 +28,7 @@
 /// Pause between requests in which further updates are collected.
 const UPDATE_PAUSE: Duration = Duration::from_millis(100);
 /// Time between checks for a relay while this node watches the store itself.
-const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time that the relay has to send a newer configuration. After it, the node known to hold
 /// that configuration is asked.
 const RELAY_HEAD_START: Duration = Duration::from_millis(700);
@@ -62,7 +62,7 @@
     loop {
         match core.update_source() {
             UpdateSource::Store => {
-                let _idle = timeout(IDLE_CHECK_PERIOD, core.watch_duty_changed.notified()).await;
+                let _idle = timeout(IDLE_CHECK_INTERVAL, core.watch_duty_changed.notified()).await;
             }
             UpdateSource::Node(peer_addr) => {
                 let relay_lost_store =
@@ -75,38 +75,42 @@
 }
 
 /// Requests updates from the relay once, and returns whether it has lost the store.
-async fn request_from_relay(core: &NodeCore, peer_addr: SocketAddr, lost_known: bool) -> bool {
+async fn request_from_relay(
+    core: &NodeCore,
+    peer_addr: SocketAddr,
+    knows_store_lost: bool,
+) -> bool {
     let wait = if core.version().0 == 0 {
         FIRST_UPDATE_WAIT
     } else {
         UPDATE_WAIT
     };
-    let request = update_request(core, wait, lost_known);
+    let request = update_request(core, wait, knows_store_lost);
     let response = request_updates(core, peer_addr, request).await;
     let now = core.clock.now();
     let relay_lost_store = match response {
         Ok(response) => {
-            let contact = StoreReachability {
+            let reachability = StoreReachability {
                 age: Duration::from_millis(response.store_age_ms),
                 lost: response.store_lost,
             };
-            if contact.lost && !lost_known {
+            if reachability.lost && !knows_store_lost {
                 warn!(core.log.logger(), "relay has lost the store";
                     "at" => %peer_addr, "version" => core.version().0,
                     "answered_ms_ago" => response.store_age_ms);
             }
-            if lost_known && !contact.lost {
+            if knows_store_lost && !reachability.lost {
                 core.record_store_reached(peer_addr);
             }
             if core
                 .relay_selector
                 .borrow_mut()
-                .record_reachability(now, peer_addr, contact)
+                .record_reachability(now, peer_addr, reachability)
             {
                 core.recheck_store();
             }
             apply_updates(core, peer_addr, response);
-            contact.lost
+            reachability.lost
         }
         Err(cause) => {
             warn!(core.log.logger(), "request to the relay failed";
@@ -154,12 +158,12 @@
     }
 }
 
-fn update_request(core: &NodeCore, wait: Duration, lost_known: bool) -> UpdateRequest {
+fn update_request(core: &NodeCore, wait: Duration, knows_store_lost: bool) -> UpdateRequest {
     UpdateRequest {
         version: core.version(),
         members: core.fleet.borrow().revision(),
         wait,
-        lost_known,
+        knows_store_lost,
     }
 }
 
@@ -172,7 +176,7 @@
         method: Method::GET,
         path: format!("{UPDATE_PATH}?{request}"),
         body: Bytes::new(),
-        time: request.wait + RESPONSE_MARGIN,
+        timeout: request.wait + RESPONSE_MARGIN,
     };
     let response_body = call
         .send(
--- a/crates/node/src/discovery/update_handler.rs
+++ b/crates/node/src/discovery/update_handler.rs
@@ -30,7 +30,7 @@
     /// Answers as soon as there is an update, or when the request's wait ends.
     ///
     /// A query that can't be parsed gets status 400.
-    pub async fn answer(&self, uri: &Uri) -> Response<ResponseBody> {
+    pub async fn handle(&self, uri: &Uri) -> Response<ResponseBody> {
         let request = uri.query().unwrap_or_default().parse::<UpdateRequest>();
         let Ok(request) = request else {
             return empty_response(StatusCode::BAD_REQUEST);
@@ -49,13 +49,13 @@
     async fn wait_for_update(&self, request: UpdateRequest) -> UpdateResponse {
         let until = Instant::now() + request.wait;
         loop {
-            let notified = self.core.updates.notified();
+            let notified = self.core.update_arrived.notified();
             let response = self.update_for(request);
             // At revision 0 a starting node knows only the members of its own data centre.
             let members = &response.members;
             let no_members = members.is_empty() || members.revision == 0;
             let empty = response.config.is_none() && no_members && response.crashes.is_empty();
-            let changed = response.store_lost != request.lost_known;
+            let changed = response.store_lost != request.knows_store_lost;
             if !empty || changed || Instant::now() >= until {
                 return response;
             }
--- a/crates/node/src/distribution/config_history.rs
+++ b/crates/node/src/distribution/config_history.rs
@@ -9,7 +9,7 @@
 ///
 /// The configuration changes at most five times a second for some seconds, and other nodes
 /// request updates within one or two seconds.
-const MAX_VERSIONS: usize = 12;
+const VERSIONS_MAX: usize = 12;
 
 /// Recent configurations, from which updates for other nodes are computed.
 ///
@@ -26,7 +26,7 @@
     ///
     /// The oldest version is dropped if there are too many.
     pub fn push(&mut self, input: Rc<ConfigInput>) {
-        if self.versions.len() == MAX_VERSIONS {
+        if self.versions.len() == VERSIONS_MAX {
             self.versions.pop_front();
         }
         self.versions.push_back(input);
--- a/crates/node/src/distribution/packed_config.rs
+++ b/crates/node/src/distribution/packed_config.rs
@@ -10,7 +10,7 @@
 use crate::config::ConfigInput;
 
 /// Largest size in bytes of an uncompressed document.
-const MAX_DOCUMENT_BYTES: u64 = 64 * 1024 * 1024;
+const DOCUMENT_MAX_BYTES: u64 = 64 * 1024 * 1024;
 
 /// A whole configuration in compressed form.
 ///
@@ -88,7 +88,7 @@
         let mut document = Vec::new();
         let decoder = DeflateDecoder::new(&*packed);
         decoder
-            .take(MAX_DOCUMENT_BYTES)
+            .take(DOCUMENT_MAX_BYTES)
             .read_to_end(&mut document)?;
         Ok(serde_json::from_slice(&document)?)
     }
--- a/crates/node/src/distribution/relay_selector.rs
+++ b/crates/node/src/distribution/relay_selector.rs
@@ -11,7 +11,7 @@
 /// Time for which a node that failed as a relay isn't used again.
 const RELAY_EXCLUSION_TIME: Duration = Duration::from_secs(5);
 /// Number of cut-off nodes from which on the store counts as unavailable to all.
-const STORE_DOWN_NODES: usize = 2;
+const CUT_OFF_NODES_MIN: usize = 2;
 /// Time for which a node watches the store after an update request.
 ///
 /// A node repeats its request to its relay every two seconds.
@@ -118,16 +118,16 @@
         &mut self,
         now: Duration,
         peer_addr: SocketAddr,
-        contact: StoreReachability,
+        reachability: StoreReachability,
     ) -> bool {
-        let cut_off = contact.lost || contact.age > CUT_OFF_AGE;
+        let cut_off = reachability.lost || reachability.age > CUT_OFF_AGE;
         self.relay_cut_off = cut_off;
         if !cut_off || self.is_cut_off(now) {
             return false;
         }
         self.cut_off_until
             .insert(peer_addr, now + RELAY_EXCLUSION_TIME);
-        self.cut_off_nodes(now) >= STORE_DOWN_NODES
+        self.cut_off_nodes(now) >= CUT_OFF_NODES_MIN
     }
 
     /// Returns whether the relay that responded last is cut off from the store.
@@ -147,8 +147,8 @@
     }
 
     /// Returns whether the store seems unavailable to all nodes, not only to some.
-    fn is_store_down(&self, now: Duration) -> bool {
-        self.is_cut_off(now) && self.cut_off_nodes(now) >= STORE_DOWN_NODES
+    fn is_store_unavailable(&self, now: Duration) -> bool {
+        self.is_cut_off(now) && self.cut_off_nodes(now) >= CUT_OFF_NODES_MIN
     }
 
     fn cut_off_nodes(&self, now: Duration) -> usize {
@@ -162,7 +162,7 @@
     /// first of them probes the store, and tells the others when it is available again.
     pub fn choose(&self, now: Duration, relay_candidates: &[&MemberRecord]) -> UpdateSource {
         let cut_off = self.is_cut_off(now);
-        let skips_cut_off = !self.is_store_down(now);
+        let skips_cut_off = !self.is_store_unavailable(now);
         let is_excluded = |exclusions: &HashMap<SocketAddr, Duration>, peer_addr| {
             exclusions.get(peer_addr).is_some_and(|&until| now < until)
         };
--- a/crates/node/src/distribution/store_access.rs
+++ b/crates/node/src/distribution/store_access.rs
@@ -105,12 +105,12 @@
     /// let mut access = StoreAccess::default();
     /// assert!(access.record_failure());
     /// assert!(!access.is_open());
-    /// assert!(access.pause(StoreProbeDuty::Own, 1.0) <= Duration::from_millis(100));
+    /// assert!(access.probe_pause(StoreProbeDuty::Own, 1.0) <= Duration::from_millis(100));
     /// assert!(!access.record_failure());
-    /// let by_relay = access.pause(StoreProbeDuty::ByRelay, 0.0);
-    /// assert!(by_relay > access.pause(StoreProbeDuty::Own, 1.0));
+    /// let by_relay = access.probe_pause(StoreProbeDuty::ByRelay, 0.0);
+    /// assert!(by_relay > access.probe_pause(StoreProbeDuty::Own, 1.0));
     /// ```
-    pub fn pause(&self, duty: StoreProbeDuty, jitter: f64) -> Duration {
+    pub fn probe_pause(&self, duty: StoreProbeDuty, jitter: f64) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(10);
         let pause = PROBE_PAUSE_FIRST * (1 << doublings);
         let pause = match duty {
--- a/crates/node/src/distribution/update_message.rs
+++ b/crates/node/src/distribution/update_message.rs
@@ -25,7 +25,7 @@
     /// Longest time that the requesting node waits for an update.
     pub wait: Duration,
     /// Whether the requesting node knows already that the other one has lost the store.
-    pub lost_known: bool,
+    pub knows_store_lost: bool,
 }
 
 /// Reason why an update request can't be parsed.
@@ -45,7 +45,7 @@
 impl std::fmt::Display for UpdateRequest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let wait_ms = self.wait.as_millis();
-        let lost = u64::from(self.lost_known);
+        let lost = u64::from(self.knows_store_lost);
         write!(f, "{},{},{wait_ms},{lost}", self.version, self.members)
     }
 }
@@ -71,7 +71,7 @@
             version: ConfigVersion(next()?.parse()?),
             members: Revision(next()?.parse()?),
             wait: Duration::from_millis(next()?.parse()?),
-            lost_known: next()?.parse::<u8>()? != 0,
+            knows_store_lost: next()?.parse::<u8>()? != 0,
         })
     }
 }
--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -18,10 +18,10 @@
 const EXPIRED_WAIT_FACTOR: f64 = 1.5;
 /// Lower bound of the advised retry delay. A caller that returns sooner only meets the same queue
 /// again.
-const RETRY_MIN: Duration = Duration::from_millis(20);
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(20);
 /// Upper bound of the advised retry delay. A queue that refuses requests turns over within a few
 /// runs, and a caller that stays away longer misses its own target.
-const RETRY_MAX: Duration = Duration::from_millis(300);
+const RETRY_AFTER_MAX: Duration = Duration::from_millis(300);
 
 /// Position of a queued request; the smallest key runs next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,7 +43,7 @@
     /// Hash of the route, by which run times are kept.
     pub route_hash: u64,
     /// Whether the request is a nested call of a run that has begun.
-    pub nested: bool,
+    pub is_nested: bool,
     /// Whether the request may wait; otherwise it runs at once or not at all.
     pub may_wait: bool,
     /// Target time: the response is of full use until then.
@@ -159,7 +159,7 @@
     /// let target_deadline = Duration::from_millis(400);
     /// let ends_at = Duration::from_millis(1_000);
     /// let request =
-    ///     AdmissionRequest { rank: 1, route_hash: 7, nested: false, may_wait: true, target_deadline, ends_at };
+    ///     AdmissionRequest { rank: 1, route_hash: 7, is_nested: false, may_wait: true, target_deadline, ends_at };
     /// assert_eq!(queue.admit(Duration::ZERO, request), AdmissionDecision::Run);
     /// assert!(matches!(queue.admit(Duration::ZERO, request), AdmissionDecision::Wait { .. }));
     /// let freed = queue.finish(Duration::from_millis(100), 7, Some(Duration::from_millis(100)));
@@ -175,30 +175,30 @@
         }
         self.statistics.record_request(now, route);
         let run_time = self.statistics.mean_run_time_of(route);
-        let late = !request.nested && now + run_time > request.target_deadline;
+        let late = !request.is_nested && now + run_time > request.target_deadline;
         if self.running < self.slots {
             self.running += 1;
             self.record_decision(route, late, true);
             return AdmissionDecision::Run;
         }
-        if !request.nested && self.statistics.is_ahead(now, route) {
+        if !request.is_nested && self.statistics.is_ahead(now, route) {
             return self.refuse(route, late, self.wait());
         }
         self.order += 1;
         let key = QueueKey {
-            is_new: !request.nested,
+            is_new: !request.is_nested,
             rank: request.rank,
             late,
             target_deadline: request.target_deadline,
             order: self.order,
         };
-        let end = if request.nested || late {
+        let end = if request.is_nested || late {
             request.ends_at
         } else {
             request.target_deadline
         };
         let mut latest = end.saturating_sub(run_time.mul_f64(RUN_MARGIN));
-        if let Some(longest) = self.longest_wait(run_time).filter(|_| !request.nested) {
+        if let Some(longest) = self.longest_wait(run_time).filter(|_| !request.is_nested) {
             latest = latest.min(now + longest);
         }
         let planned = self.wait_before(key);
@@ -238,7 +238,7 @@
     fn refuse(&mut self, route: RankedRoute, late: bool, wait: Duration) -> AdmissionDecision {
         self.record_decision(route, late, false);
         self.statistics.record_refusal(route, late);
-        let retry_after = wait.clamp(RETRY_MIN, RETRY_MAX);
+        let retry_after = wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
         AdmissionDecision::Refuse { retry_after }
     }
 
--- a/crates/node/src/inbound/crash_admission.rs
+++ b/crates/node/src/inbound/crash_admission.rs
@@ -45,8 +45,8 @@
 
     fn refuse_poisoned(&self, fingerprint: u64) -> Result<(), InboundError> {
         let now = self.inner.clock.now();
-        let refusal: Option<Duration> = self.crashes.borrow().refusal(now, fingerprint);
-        match refusal {
+        let retry_after: Option<Duration> = self.crashes.borrow().refusal(now, fingerprint);
+        match retry_after {
             Some(retry_after) => refused(RefusalReason::Poisoned, retry_after),
             None => Ok(()),
         }
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -9,7 +9,8 @@
 use super::{
     InboundError, InboundProxy, InboundRequest, RefusalReason, RunSlot,
     inbound_proxy::{
-        IDLE_TIME_IDEMPOTENT, IDLE_TIME_NON_IDEMPOTENT, RETRY_OTHER_NODE_AFTER, broke, refused,
+        IDLE_TIMEOUT_IDEMPOTENT, IDLE_TIMEOUT_NON_IDEMPOTENT, RETRY_OTHER_NODE_AFTER, broke,
+        refused,
     },
 };
 use crate::{
@@ -17,7 +18,7 @@
     header_names::{header_text, set_header, strip_connection_headers, strip_peer_headers},
     member::EndpointStart,
     response_body::{ResponseBody, is_short},
-    transport::{ExchangeError, PooledSender},
+    transport::{ExchangeError, PooledConnection},
 };
 
 impl InboundProxy {
@@ -31,17 +32,17 @@
         let id = request.headers.get(&self.headers.request_id).cloned();
         let fingerprint = request.fingerprint;
         let outgoing = self.outgoing(request, start.instance());
-        let idle_time = if idempotent {
-            IDLE_TIME_IDEMPOTENT
+        let idle_timeout = if idempotent {
+            IDLE_TIMEOUT_IDEMPOTENT
         } else {
-            IDLE_TIME_NON_IDEMPOTENT
+            IDLE_TIMEOUT_NON_IDEMPOTENT
         };
         let addr = self.settings.endpoint;
         let began = self.inner.clock.now();
         let exchange = self
             .inner
             .endpoint_pool
-            .exchange(addr, outgoing, idle_time)
+            .exchange(addr, outgoing, idle_timeout)
             .await;
         let (response, sender) = match exchange {
             Ok(received) => received,
@@ -60,7 +61,7 @@
         self.check_response(&response, id.as_ref())?;
         if response.status().is_server_error() {
             let now = self.inner.clock.now();
-            self.nested_calls.borrow_mut().run_failed(now);
+            self.nested_call_detector.borrow_mut().run_failed(now);
         }
         deliver(response, slot, sender).await
     }
@@ -92,7 +93,7 @@
         if status == StatusCode::MISDIRECTED_REQUEST {
             if let Some(actual) = header_text(headers, &self.headers.instance) {
                 let now = self.inner.clock.now();
-                if let Some(ended) = self.tracker.borrow_mut().identified_as(actual) {
+                if let Some(ended) = self.tracker.borrow_mut().record_instance(actual) {
                     self.broken.replaced(now, &ended, actual);
                 }
             }
@@ -120,7 +121,7 @@
 async fn deliver(
     response: Response<Incoming>,
     mut slot: RunSlot,
-    sender: PooledSender,
+    sender: PooledConnection,
 ) -> Result<Response<ResponseBody>, InboundError> {
     let (mut head, body) = response.into_parts();
     strip_connection_headers(&mut head.headers);
--- a/crates/node/src/inbound/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -21,8 +21,8 @@
 /// health checks may be wrong.
 pub async fn confirm_endpoint(core: Rc<NodeCore>) {
     loop {
-        core.own_record_received.notified().await;
-        let record = core.own_record.borrow_mut().take();
+        core.earlier_record_received.notified().await;
+        let record = core.earlier_record.borrow_mut().take();
         if let Some(record) = record {
             confirm(&core, record).await;
         }
@@ -53,7 +53,7 @@
 
 async fn first_config(core: &NodeCore) -> Rc<MeshConfig> {
     loop {
-        let heard = core.updates.notified();
+        let heard = core.update_arrived.notified();
         let config = core.config.borrow().clone();
         if let Some(config) = config {
             return config;
--- a/crates/node/src/inbound/endpoint_health.rs
+++ b/crates/node/src/inbound/endpoint_health.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full};
 use tokio::time::timeout;
 
-use super::{InboundProxy, inbound_proxy::IDLE_TIME_NON_IDEMPOTENT};
+use super::{InboundProxy, inbound_proxy::IDLE_TIMEOUT_NON_IDEMPOTENT};
 use crate::{header_names::header_text, transport::ExchangeError};
 
 /// Timeout of a health check, which takes a millisecond when a slot is free. The next heartbeat
@@ -44,7 +44,7 @@
         }
         let endpoint_pool = &self.inner.endpoint_pool;
         let exchange =
-            endpoint_pool.exchange(self.settings.endpoint, request, IDLE_TIME_NON_IDEMPOTENT);
+            endpoint_pool.exchange(self.settings.endpoint, request, IDLE_TIMEOUT_NON_IDEMPOTENT);
         let (response, sender) = exchange.await?;
         let health_response = HealthCheckResponse {
             healthy: response.status() == StatusCode::OK,
--- a/crates/node/src/inbound/endpoint_tracker.rs
+++ b/crates/node/src/inbound/endpoint_tracker.rs
@@ -26,7 +26,7 @@
 
 /// The current start of the local backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LocalEndpoint {
+pub struct CurrentStart {
     /// Last report that was accepted.
     pub report: EndpointReport,
     /// Sequence number of the report that last changed the announcement.
@@ -48,10 +48,10 @@
 /// gone. Reports of one start are ordered by their sequence number. Starts are ordered by the time
 /// at which they began, or by their first report where that time is unknown, and ended starts stay
 /// ended. The response of the backend server itself overrides heartbeats: it refuses requests that
-/// expect another start and names its own ([`EndpointTracker::identified_as`]).
+/// expect another start and names its own ([`EndpointTracker::record_instance`]).
 #[derive(Debug, Default)]
 pub struct EndpointTracker {
-    current: Option<LocalEndpoint>,
+    current: Option<CurrentStart>,
     retired: VecDeque<EndpointStart>,
 }
 
@@ -95,10 +95,10 @@
 
     /// Processes the instance identifier that the backend server gave in a response. Returns the
     /// previous start if it ended without announcing that it was leaving.
-    pub fn identified_as(&mut self, instance: &str) -> Option<EndpointStart> {
+    pub fn record_instance(&mut self, instance: &str) -> Option<EndpointStart> {
         self.retired
             .retain(|retired| retired.instance() != instance);
-        let other = |current: &LocalEndpoint| current.report.start.instance() != instance;
+        let other = |current: &CurrentStart| current.report.start.instance() != instance;
         if !self.current.as_ref().is_some_and(other) {
             return None;
         }
@@ -137,7 +137,7 @@
     }
 
     /// Returns the current start of the local backend server, if one is known.
-    pub const fn current(&self) -> Option<&LocalEndpoint> {
+    pub const fn current(&self) -> Option<&CurrentStart> {
         self.current.as_ref()
     }
 
@@ -155,7 +155,7 @@
         now: Duration,
         instance: Option<&str>,
         grace: Duration,
-    ) -> Result<&LocalEndpoint, RefusalReason> {
+    ) -> Result<&CurrentStart, RefusalReason> {
         let current = self.current.as_ref().ok_or(RefusalReason::Shut)?;
         if instance.is_some_and(|instance| instance != current.report.start.instance()) {
             return Err(RefusalReason::OtherInstance);
@@ -170,7 +170,7 @@
 
     fn adopt(&mut self, now: Duration, report: EndpointReport) {
         let leaving = report.state == ReportState::Leaving;
-        let next = LocalEndpoint {
+        let next = CurrentStart {
             announced_sequence: report.sequence,
             cold: report.cold,
             report,
@@ -198,7 +198,7 @@
     }
 }
 
-fn update(current: &mut LocalEndpoint, now: Duration, report: EndpointReport) -> ReportOutcome {
+fn update(current: &mut CurrentStart, now: Duration, report: EndpointReport) -> ReportOutcome {
     if report.service != current.report.service {
         // A start serves the same service for its whole lifetime.
         return ReportOutcome::Foreign;
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -35,10 +35,10 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Longest idle time of a connection that is reused for idempotent requests. Backend servers close
 /// idle connections after about ten seconds, some without notice.
-pub(super) const IDLE_TIME_IDEMPOTENT: Duration = Duration::from_secs(4);
+pub(super) const IDLE_TIMEOUT_IDEMPOTENT: Duration = Duration::from_secs(4);
 /// Longest idle time of a connection that is reused for other requests. A request that crosses the
 /// closing of its connection can't be resent, and a new connection costs only a millisecond.
-pub(super) const IDLE_TIME_NON_IDEMPOTENT: Duration = Duration::from_secs(1);
+pub(super) const IDLE_TIMEOUT_NON_IDEMPOTENT: Duration = Duration::from_secs(1);
 /// Time after the caller's deadline at which the inbound proxy stops waiting. Usually the sender
 /// cancels the request first.
 const RESPONSE_GRACE_TIME: Duration = Duration::from_millis(100);
@@ -120,7 +120,7 @@
     /// Permit to run one of the requests that were running at a crash.
     pub(super) suspect_semaphore: Semaphore,
     pub(super) breaker: RefCell<EndpointBreaker>,
-    pub(super) nested_calls: RefCell<NestedCallDetector>,
+    pub(super) nested_call_detector: RefCell<NestedCallDetector>,
     stopping_since: Cell<Option<Duration>>,
 }
 
@@ -135,7 +135,7 @@
     ) -> Self {
         let endpoint_pool = ConnectionPool::new(PoolSettings {
             connect_timeout: CONNECT_TIMEOUT,
-            idle_timeout: IDLE_TIME_IDEMPOTENT,
+            idle_timeout: IDLE_TIMEOUT_IDEMPOTENT,
         });
         let inner = InboundState {
             endpoint_pool,
@@ -154,7 +154,7 @@
             crashes,
             suspect_semaphore: Semaphore::new(1),
             breaker: RefCell::default(),
-            nested_calls: RefCell::default(),
+            nested_call_detector: RefCell::default(),
             stopping_since: Cell::new(None),
         }
     }
@@ -165,8 +165,8 @@
     }
 
     /// Returns the detector of the backend server's nested calls.
-    pub const fn nested_calls(&self) -> &RefCell<NestedCallDetector> {
-        &self.nested_calls
+    pub const fn nested_call_detector(&self) -> &RefCell<NestedCallDetector> {
+        &self.nested_call_detector
     }
 
     /// Whether the breaker is open. The backend server has broken many runs in a row, and gets
@@ -206,9 +206,9 @@
         LoadReport {
             running: queue.running(),
             waiting: queue.waiting(),
-            service: queue.mean_run_time(),
-            run: queue.mean_run_time_of(route_hash),
-            link: self.inner.link.schedule().backlog(self.inner.clock.now()),
+            mean_run_time: queue.mean_run_time(),
+            route_run_time: queue.mean_run_time_of(route_hash),
+            link_backlog: self.inner.link.schedule().backlog(self.inner.clock.now()),
         }
     }
 
@@ -259,7 +259,7 @@
         }
         let response = response.unwrap_or_else(|_elapsed| broke("no response in time"))?;
         if response.status().is_success() {
-            self.crashes.borrow_mut().completed(fingerprint);
+            self.crashes.borrow_mut().record_completion(fingerprint);
         }
         let bytes = response.body().size_hint().exact();
         if let Some(bytes) = bytes {
--- a/crates/node/src/inbound/inbound_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -24,7 +24,7 @@
     /// Hash of the route, by which run times and response sizes are kept.
     pub route_hash: u64,
     /// Whether the request is a nested call of a run that has begun.
-    pub nested: bool,
+    pub is_nested: bool,
     /// Whether the request may wait for a slot.
     pub may_wait: bool,
     /// Target time: the response is of full use until then.
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -7,7 +7,7 @@
 
 use super::{InboundError, InboundProxy, InboundRequest, RefusalReason, inbound_proxy::refused};
 use crate::{
-    link::{LinkRequest, LinkReservation},
+    link::{LinkReservation, ReservationRequest},
     request_origin::RequestOrigin,
     response_body::SHORT_RESPONSE_MAX_BYTES,
 };
@@ -33,7 +33,7 @@
             return Ok(None);
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
-        let link_request = LinkRequest {
+        let reservation_request = ReservationRequest {
             bytes,
             ready_in: self
                 .inner
@@ -43,7 +43,7 @@
             target_deadline: clock.at(request.target_deadline),
             ends_at: clock.at(request.ends_at),
         };
-        match link.reserve(clock, self.request_id_of(request), link_request) {
+        match link.reserve(clock, self.request_id_of(request), reservation_request) {
             Ok(reservation) => Ok(Some(reservation)),
             Err(retry_after) => refused(RefusalReason::LinkFull, retry_after),
         }
@@ -62,13 +62,13 @@
             return None;
         }
         let (clock, link) = (self.inner.clock, &self.inner.link);
-        let link_request = LinkRequest {
+        let reservation_request = ReservationRequest {
             bytes,
             ready_in: Duration::ZERO,
             target_deadline: clock.at(response.target_deadline),
             ends_at: clock.at(response.ends_at),
         };
-        Some(link.reserve_unchecked(clock, response.id, link_request))
+        Some(link.reserve_unchecked(clock, response.id, reservation_request))
     }
 
     /// Returns what [`InboundProxy::schedule_long_response`] needs, if another node sent the
--- a/crates/node/src/inbound/mod.rs
+++ b/crates/node/src/inbound/mod.rs
@@ -28,7 +28,7 @@
 pub use endpoint_confirm::confirm_endpoint;
 pub use endpoint_health::HealthCheckResponse;
 pub use endpoint_report::{EndpointReport, ReportState};
-pub use endpoint_tracker::{EndpointTracker, LocalEndpoint, ReportOutcome};
+pub use endpoint_tracker::{CurrentStart, EndpointTracker, ReportOutcome};
 pub use inbound_proxy::{InboundError, InboundProxy, InboundSettings};
 pub use inbound_refusal::{InboundRefusal, RefusalReason};
 pub use inbound_request::InboundRequest;
--- a/crates/node/src/inbound/route_statistics.rs
+++ b/crates/node/src/inbound/route_statistics.rs
@@ -167,10 +167,10 @@
             return false;
         };
         self.records.iter().any(|(&route_hash, record)| {
-            let rival = route_hash != route.route_hash && record.rank <= route.rank;
+            let is_competitor = route_hash != route.route_hash && record.rank <= route.rank;
             let active = now < record.last_request_at + ACTIVE_TIME;
             let served = record.served_share();
-            rival && active && served.is_some_and(|served| own - served > LEAD_MAX)
+            is_competitor && active && served.is_some_and(|served| own - served > LEAD_MAX)
         })
     }
 }
--- a/crates/node/src/inbound/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::inbound_proxy::InboundState;
-use crate::transport::PooledSender;
+use crate::transport::PooledConnection;
 
 /// A slot of the backend server, held by one request until its response is ready.
 ///
@@ -18,7 +18,7 @@
     inner: Rc<InboundState>,
     route_hash: u64,
     started: Instant,
-    sender: Option<PooledSender>,
+    sender: Option<PooledConnection>,
     released: bool,
 }
 
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(super) fn hold_connection(&mut self, sender: PooledSender) {
+    pub(super) fn hold_connection(&mut self, sender: PooledConnection) {
         self.sender = Some(sender);
     }
 
--- a/crates/node/src/inbound/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -46,7 +46,7 @@
         let admission_request = AdmissionRequest {
             rank: request.rank,
             route_hash,
-            nested: request.nested,
+            is_nested: request.is_nested,
             may_wait: request.may_wait,
             target_deadline: self.inner.clock.at(request.target_deadline),
             ends_at: self.inner.clock.at(request.ends_at),
--- a/crates/node/src/link/link_reservation.rs
+++ b/crates/node/src/link/link_reservation.rs
@@ -42,7 +42,9 @@
     pub fn response_ready(&mut self, bytes: Option<u64>) {
         self.transfer.response_ready(self.clock.now(), bytes);
         if let Some(bytes) = bytes {
-            self.scheduler.schedule().resize(self.key, bytes);
+            self.scheduler
+                .schedule()
+                .set_remaining_bytes(self.key, bytes);
         }
     }
 
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -25,18 +25,18 @@
 /// displace another that can be in time.
 const LATE_WAIT_MAX: Duration = Duration::from_millis(100);
 /// Lower bound of the advised retry delay.
-const RETRY_MIN: Duration = Duration::from_millis(50);
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
 /// Key of a reserved transfer, ordered by due time, then by order of arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TransferKey {
-    due: Duration,
+    due_at: Duration,
     order: u64,
 }
 
 /// A long response for which the link is requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LinkRequest {
+pub struct ReservationRequest {
     /// Expected size in bytes.
     pub bytes: u64,
     /// Time until the backend server has the response ready.
@@ -128,10 +128,10 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::link::{LinkRequest, LinkSchedule, LinkDecision};
+    /// use geranium_node::link::{ReservationRequest, LinkSchedule, LinkDecision};
     ///
     /// let mut link = LinkSchedule::new(8.0);
-    /// let request = LinkRequest {
+    /// let request = ReservationRequest {
     ///     bytes: 90_000,
     ///     ready_in: Duration::from_millis(100),
     ///     target_deadline: Duration::from_millis(400),
@@ -142,34 +142,35 @@
     /// });
     /// assert_eq!(reserved.count(), 3);
     /// ```
-    pub fn reserve(&mut self, now: Duration, request: LinkRequest) -> LinkDecision {
+    pub fn reserve(&mut self, now: Duration, request: ReservationRequest) -> LinkDecision {
         if let Some(retry_after) = self.refusal(now, request) {
             return LinkDecision::Refused { retry_after };
         }
-        let due = if self.can_be_in_time(now, request) {
+        let due_at = if self.can_be_in_time(now, request) {
             request.target_deadline
         } else {
             request.ends_at
         };
-        LinkDecision::Reserved(self.reserve_unchecked(request.bytes, due, request.ends_at))
+        LinkDecision::Reserved(self.reserve_unchecked(request.bytes, due_at, request.ends_at))
     }
 
     /// Returns the time until a reservation is possible, or `None` if it is now.
-    pub fn refusal(&self, now: Duration, request: LinkRequest) -> Option<Duration> {
+    pub fn refusal(&self, now: Duration, request: ReservationRequest) -> Option<Duration> {
         let free = self.backlog(now);
-        let sent_at = now + free.max(request.ready_in) + self.transfer_time(request.bytes as f64);
+        let expected_sent_at =
+            now + free.max(request.ready_in) + self.transfer_time(request.bytes as f64);
         let excess = if self.can_be_in_time(now, request) {
-            sent_at.saturating_sub(due_by(now, request.target_deadline))
+            expected_sent_at.saturating_sub(due_by(now, request.target_deadline))
         } else {
-            let past_end = sent_at.saturating_sub(due_by(now, request.ends_at));
+            let past_end = expected_sent_at.saturating_sub(due_by(now, request.ends_at));
             free.saturating_sub(request.ready_in + LATE_WAIT_MAX)
                 .max(past_end)
         };
-        (excess > Duration::ZERO).then_some(excess.max(RETRY_MIN))
+        (excess > Duration::ZERO).then_some(excess.max(RETRY_AFTER_MIN))
     }
 
     /// Whether a response could arrive by its target time on an idle link.
-    fn can_be_in_time(&self, now: Duration, request: LinkRequest) -> bool {
+    fn can_be_in_time(&self, now: Duration, request: ReservationRequest) -> bool {
         now + request.ready_in + self.transfer_time(request.bytes as f64) <= request.target_deadline
     }
 
@@ -178,23 +179,23 @@
     pub fn reserve_unchecked(
         &mut self,
         bytes: u64,
-        due: Duration,
+        due_at: Duration,
         ends_at: Duration,
     ) -> TransferKey {
         let bytes = bytes as f64;
-        self.insert(due, ReservedTransfer { bytes, ends_at })
+        self.insert(due_at, ReservedTransfer { bytes, ends_at })
     }
 
-    fn insert(&mut self, due: Duration, transfer: ReservedTransfer) -> TransferKey {
+    fn insert(&mut self, due_at: Duration, transfer: ReservedTransfer) -> TransferKey {
         self.order += 1;
         let order = self.order;
-        let key = TransferKey { due, order };
+        let key = TransferKey { due_at, order };
         self.transfers.insert(key, transfer);
         key
     }
 
     /// Sets the remaining bytes of a transfer once its size is known.
-    pub fn resize(&mut self, key: TransferKey, bytes: u64) {
+    pub fn set_remaining_bytes(&mut self, key: TransferKey, bytes: u64) {
         if let Some(transfer) = self.transfers.get_mut(&key) {
             transfer.bytes = bytes as f64;
         }
@@ -220,8 +221,8 @@
     /// Moves a transfer that can't be in time any more behind those that can.
     fn postponed(&mut self, now: Duration, key: TransferKey) -> Option<TransferKey> {
         let transfer = *self.transfers.get(&key)?;
-        let late = now + self.transfer_time(transfer.bytes) > key.due;
-        if !late || transfer.ends_at <= key.due {
+        let late = now + self.transfer_time(transfer.bytes) > key.due_at;
+        if !late || transfer.ends_at <= key.due_at {
             return None;
         }
         self.withdraw(key);
@@ -287,6 +288,6 @@
 }
 
 /// Returns the time by which a response is planned to arrive.
-fn due_by(now: Duration, due: Duration) -> Duration {
-    now + due.saturating_sub(now).mul_f64(DEADLINE_FRACTION)
+fn due_by(now: Duration, due_at: Duration) -> Duration {
+    now + due_at.saturating_sub(now).mul_f64(DEADLINE_FRACTION)
 }
--- a/crates/node/src/link/link_scheduler.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -11,8 +11,8 @@
 use http::HeaderValue;
 
 use super::{
-    LinkDecision, LinkReporter, LinkRequest, LinkReservation, LinkSchedule, LinkTraffic, LinkUsage,
-    TransferKey, TransferRecord,
+    LinkDecision, LinkReporter, LinkReservation, LinkSchedule, LinkTraffic, LinkUsage,
+    ReservationRequest, TransferKey, TransferRecord,
 };
 use crate::node_clock::NodeClock;
 
@@ -53,14 +53,14 @@
         self: &Rc<Self>,
         clock: NodeClock,
         request_id: Option<HeaderValue>,
-        link_request: LinkRequest,
+        reservation_request: ReservationRequest,
     ) -> Result<LinkReservation, Duration> {
         let now = clock.now();
-        let decision = self.schedule().reserve(now, link_request);
+        let decision = self.schedule().reserve(now, reservation_request);
         match decision {
             LinkDecision::Reserved(key) => {
                 self.usage.borrow_mut().reserved += 1;
-                let transfer = TransferRecord::new(request_id, now, link_request);
+                let transfer = TransferRecord::new(request_id, now, reservation_request);
                 Ok(LinkReservation::new(self, clock, key, transfer))
             }
             LinkDecision::Refused { retry_after } => {
@@ -75,14 +75,14 @@
         self: &Rc<Self>,
         clock: NodeClock,
         request_id: Option<HeaderValue>,
-        link_request: LinkRequest,
+        reservation_request: ReservationRequest,
     ) -> LinkReservation {
         let key = self.schedule().reserve_unchecked(
-            link_request.bytes,
-            link_request.target_deadline,
-            link_request.ends_at,
+            reservation_request.bytes,
+            reservation_request.target_deadline,
+            reservation_request.ends_at,
         );
-        let transfer = TransferRecord::new(request_id, clock.now(), link_request);
+        let transfer = TransferRecord::new(request_id, clock.now(), reservation_request);
         LinkReservation::new(self, clock, key, transfer)
     }
 
--- a/crates/node/src/link/mod.rs
+++ b/crates/node/src/link/mod.rs
@@ -15,7 +15,7 @@
 
 pub use link_reporter::{LinkCounters, LinkReporter};
 pub use link_reservation::LinkReservation;
-pub use link_schedule::{LinkDecision, LinkRequest, LinkSchedule, LinkTurn, TransferKey};
+pub use link_schedule::{LinkDecision, LinkSchedule, LinkTurn, ReservationRequest, TransferKey};
 pub use link_scheduler::LinkScheduler;
 pub use link_traffic::LinkTraffic;
 pub use link_usage::LinkUsage;
--- a/crates/node/src/link/transfer_record.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -5,7 +5,7 @@
 use http::HeaderValue;
 use strum::{Display, EnumCount, IntoStaticStr, VariantArray};
 
-use super::LinkRequest;
+use super::ReservationRequest;
 
 /// Outcome of a long response for which the link was reserved.
 #[derive(
@@ -31,7 +31,7 @@
     /// Time at which the link was requested.
     pub requested_at: Duration,
     /// Request for which the link was reserved.
-    pub link_request: LinkRequest,
+    pub reservation_request: ReservationRequest,
     /// Actual size in bytes; `None` unless the response's head gave one.
     pub bytes: Option<u64>,
     /// Time at which the response was ready.
@@ -53,12 +53,12 @@
     pub const fn new(
         request_id: Option<HeaderValue>,
         requested_at: Duration,
-        link_request: LinkRequest,
+        reservation_request: ReservationRequest,
     ) -> Self {
         Self {
             request_id,
             requested_at,
-            link_request,
+            reservation_request,
             bytes: None,
             response_ready_at: None,
             started_at: None,
@@ -84,7 +84,7 @@
 
     /// Returns the outcome, given that nothing more is sent.
     pub fn outcome(&self) -> TransferOutcome {
-        let in_time = self.sent_at <= Some(self.link_request.target_deadline);
+        let in_time = self.sent_at <= Some(self.reservation_request.target_deadline);
         match (self.response_ready_at, self.is_complete) {
             (None, _) => TransferOutcome::Unmade,
             (Some(_), false) => TransferOutcome::Cut,
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -66,7 +66,7 @@
 pub struct FleetView {
     location: NodeLocation,
     members: Slab<MemberView>,
-    keys: HashMap<SocketAddr, MemberKey>,
+    keys_by_addr: HashMap<SocketAddr, MemberKey>,
     pub(super) services: HashMap<String, ServicePool>,
     /// Mean run time in seconds by route hash, over all members.
     pub(super) route_run_times: HashMap<u64, MovingMean>,
@@ -110,7 +110,7 @@
                 peer_addr,
             },
             members: Slab::new(),
-            keys: HashMap::new(),
+            keys_by_addr: HashMap::new(),
             services: HashMap::new(),
             route_run_times: HashMap::new(),
             generation: 0,
@@ -125,7 +125,7 @@
     /// Announcements arrive from several sources, among them the node's own writes, so they
     /// may be out of order. One that is older than the known one is ignored.
     pub fn announce(&mut self, now: Duration, record: MemberRecord, revision: Revision) -> bool {
-        let Some(&key) = self.keys.get(&record.peer_addr) else {
+        let Some(&key) = self.keys_by_addr.get(&record.peer_addr) else {
             self.insert(now, record, revision);
             return true;
         };
@@ -148,7 +148,7 @@
     /// The member is kept for a grace period: the store may drop announcements during an
     /// outage, and a node that is alive writes its own again.
     pub fn lapse(&mut self, now: Duration, peer_addr: SocketAddr, revision: Revision) -> bool {
-        let key = self.keys.get(&peer_addr);
+        let key = self.keys_by_addr.get(&peer_addr);
         key.is_some_and(|key| self.members[key.index as usize].lapse(now, revision))
     }
 
@@ -182,7 +182,7 @@
         let mut records = Vec::with_capacity(expired.len());
         for index in expired {
             let member = self.members.remove(index);
-            self.keys.remove(&member.record.peer_addr);
+            self.keys_by_addr.remove(&member.record.peer_addr);
             self.record_drop(member.record.peer_addr, member.revision);
             records.push(member.record);
         }
@@ -194,7 +194,7 @@
 
     /// Drops a member whose node deleted its announcement.
     pub fn remove(&mut self, peer_addr: SocketAddr, revision: Revision) {
-        if let Some(key) = self.keys.remove(&peer_addr) {
+        if let Some(key) = self.keys_by_addr.remove(&peer_addr) {
             self.members.remove(key.index as usize);
             self.record_drop(peer_addr, revision);
             self.index_services();
@@ -255,9 +255,10 @@
 
     /// Yields the addresses of nodes that are announced and neither ejected nor refusing.
     pub fn reachable(&self, now: Duration) -> impl Iterator<Item = SocketAddr> {
-        let open = self.members.iter().map(|(_, member)| member);
-        let open = open.filter(move |member| !member.has_lapsed() && member.is_available(now));
-        open.map(|member| member.record.peer_addr)
+        let available = self.members.iter().map(|(_, member)| member);
+        let available =
+            available.filter(move |member| !member.has_lapsed() && member.is_available(now));
+        available.map(|member| member.record.peer_addr)
     }
 
     /// Returns the member of `key`, or none if it was dropped.
@@ -268,7 +269,7 @@
 
     /// Returns the key of the member at `peer_addr`.
     pub fn key_of(&self, peer_addr: SocketAddr) -> Option<MemberKey> {
-        self.keys.get(&peer_addr).copied()
+        self.keys_by_addr.get(&peer_addr).copied()
     }
 
     /// Returns the member at `peer_addr`, if one is known.
@@ -308,7 +309,7 @@
         route_hash: u64,
         report: LoadReport,
     ) {
-        let run = report.run.as_secs_f64();
+        let run = report.route_run_time.as_secs_f64();
         let mean = self.route_run_times.entry(route_hash).or_default();
         if run > 0.0 {
             mean.observe(run, RUN_WEIGHT);
@@ -378,7 +379,7 @@
         let index = self.members.insert(member) as u32;
         let generation = self.generation;
         let key = MemberKey { index, generation };
-        self.keys.insert(peer_addr, key);
+        self.keys_by_addr.insert(peer_addr, key);
         self.services.entry(service).or_default().keys.push(key);
     }
 
--- a/crates/node/src/member/load_report.rs
+++ b/crates/node/src/member/load_report.rs
@@ -6,31 +6,31 @@
 
 /// Load of a backend server, which its node reports with each response.
 ///
-/// All requests to the backend server pass through that node, so the figures are exact
-/// when they are sent.
+/// All requests to the backend server pass through that node, so the numbers of requests
+/// are exact when they are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
     /// Number of requests that are running.
     pub running: u32,
     /// Number of requests in the node's queue.
     pub waiting: u32,
-    /// Mean run time over all routes, by which waiting times are estimated.
-    pub service: Duration,
+    /// Mean run time over all routes, by which waiting times are estimated; zero if unknown.
+    pub mean_run_time: Duration,
     /// Mean run time of the requested route; zero if unknown.
-    pub run: Duration,
+    pub route_run_time: Duration,
     /// Time that the instance's link needs for the responses already admitted to it.
-    pub link: Duration,
+    pub link_backlog: Duration,
 }
 
 /// Why the text of a load report can't be parsed.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum LoadReportError {
-    /// The text has fewer than five figures.
-    #[snafu(display("the load report has fewer than five figures"))]
+    /// The text has fewer than five fields.
+    #[snafu(display("the load report has fewer than five fields"))]
     Missing,
-    /// A figure isn't a valid number.
-    #[snafu(display("invalid figure in the load report: {source}"), context(false))]
-    Figure {
+    /// A field isn't a valid number.
+    #[snafu(display("invalid field in the load report: {source}"), context(false))]
+    Field {
         /// Error of the number parser.
         source: ParseIntError,
     },
@@ -38,10 +38,12 @@
 
 impl std::fmt::Display for LoadReport {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let [service, run, link] = [self.service, self.run, self.link].map(|time| time.as_millis());
+        let [mean_run_ms, route_run_ms, link_backlog_ms] =
+            [self.mean_run_time, self.route_run_time, self.link_backlog]
+                .map(|time| time.as_millis());
         write!(
             f,
-            "{},{},{service},{run},{link}",
+            "{},{},{mean_run_ms},{route_run_ms},{link_backlog_ms}",
             self.running, self.waiting
         )
     }
@@ -63,16 +65,16 @@
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     fn from_str(text: &str) -> Result<Self, LoadReportError> {
-        let mut figures = text.split(',');
-        let mut next = || figures.next().ok_or(LoadReportError::Missing);
+        let mut fields = text.split(',');
+        let mut next = || fields.next().ok_or(LoadReportError::Missing);
         let (running, waiting) = (next()?.parse()?, next()?.parse()?);
         let mut millis = || Ok::<_, LoadReportError>(Duration::from_millis(next()?.parse()?));
         Ok(Self {
             running,
             waiting,
-            service: millis()?,
-            run: millis()?,
-            link: millis()?,
+            mean_run_time: millis()?,
+            route_run_time: millis()?,
+            link_backlog: millis()?,
         })
     }
 }
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -70,7 +70,7 @@
         query: &PickQuery<'_>,
         rng: &mut impl Rng,
     ) -> Option<MemberKey> {
-        if !query.is_long() {
+        if !query.expects_long_response() {
             return None;
         }
         let pool = self.services.get(query.service)?;
@@ -137,7 +137,7 @@
     /// is none, and they are asked as a last resort. It is also none if a member on this
     /// node's instance, which needs no link, is available.
     pub fn link_wait(&self, now: Duration, query: &PickQuery<'_>) -> Option<Duration> {
-        if !query.is_long() {
+        if !query.expects_long_response() {
             return None;
         }
         let pool = self.services.get(query.service)?;
@@ -217,7 +217,7 @@
             now,
             query,
             averages,
-            has_near_member: query.is_long() && self.has_near_member(now, pool),
+            has_near_member: query.expects_long_response() && self.has_near_member(now, pool),
         }
     }
 
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -31,14 +31,14 @@
 const EJECTION_MAX: Duration = Duration::from_secs(4);
 /// Longest pause of long responses after a refusal because of a full link. A full link
 /// transfers two or three long responses in that time.
-const LINK_REFUSED_MAX: Duration = Duration::from_millis(300);
+const LINK_REFUSAL_PAUSE_MAX: Duration = Duration::from_millis(300);
 /// Pause of long responses from another data centre after such a refusal.
 ///
 /// It applies while a member in this data centre can be asked.
-const LINK_REFUSED_REMOTE: Duration = Duration::from_secs(5);
+const REMOTE_LINK_REFUSAL_PAUSE: Duration = Duration::from_secs(5);
 /// Longest time for which a refusal keeps new requests away. The requests in a queue are
 /// replaced by others within about one mean run time.
-const REFUSED_MAX: Duration = Duration::from_millis(150);
+const REFUSAL_PAUSE_MAX: Duration = Duration::from_millis(150);
 
 /// One member, with what this node has observed of it.
 #[derive(Debug)]
@@ -221,7 +221,9 @@
         averages: ServiceAverages,
     ) -> MemberEstimate {
         let run_s = self.run_s(now, route_hash, averages);
-        let reported = self.load.map(|load| load.report.service.as_secs_f64());
+        let reported = self
+            .load
+            .map(|load| load.report.mean_run_time.as_secs_f64());
         let mean_run_s = reported.filter(|&run_s| run_s > 0.0).unwrap_or(run_s);
         let slots = f64::from(self.record.slots.max(1));
         let held = self.held(now, averages.held);
@@ -239,7 +241,10 @@
         let Some(load) = self.load else {
             return 0.0;
         };
-        let left = load.report.link.saturating_sub(now.saturating_sub(load.at));
+        let left = load
+            .report
+            .link_backlog
+            .saturating_sub(now.saturating_sub(load.at));
         left.as_secs_f64()
     }
 
@@ -250,17 +255,18 @@
 
     /// Estimates the number of requests at the member, running or queued.
     ///
-    /// The reported number decays towards the mean of the service, `mean_per_slot`.
-    fn held(&self, now: Duration, mean_per_slot: f64) -> f64 {
+    /// The reported number decays towards the mean of the service, `mean_requests_per_slot`.
+    fn held(&self, now: Duration, mean_requests_per_slot: f64) -> f64 {
         let own = f64::from(self.outstanding);
         let Some(load) = self.load else {
             return own;
         };
         let age = now.saturating_sub(load.at).as_secs_f64();
-        let decay_s = (load.report.service.as_secs_f64() * LOAD_DECAY_RUNS).max(LOAD_DECAY_MIN_S);
+        let decay_s =
+            (load.report.mean_run_time.as_secs_f64() * LOAD_DECAY_RUNS).max(LOAD_DECAY_MIN_S);
         let weight = (-age / decay_s).exp();
         let reported = f64::from(load.report.running + load.report.waiting);
-        let mean = mean_per_slot * f64::from(self.record.slots);
+        let mean = mean_requests_per_slot * f64::from(self.record.slots);
         let since = f64::from(self.outstanding.saturating_sub(load.outstanding));
         (reported * weight + mean * (1.0 - weight) + since).max(own)
     }
@@ -289,7 +295,7 @@
             outstanding,
             at: now,
         });
-        let run = report.run.as_secs_f64();
+        let run = report.route_run_time.as_secs_f64();
         if run <= 0.0 {
             return;
         }
@@ -312,7 +318,7 @@
     }
 
     pub(super) fn record_refused(&mut self, now: Duration, retry_after: Duration) {
-        self.refused_until = now + retry_after.min(REFUSED_MAX);
+        self.refused_until = now + retry_after.min(REFUSAL_PAUSE_MAX);
         self.responded_at = Some(now);
         self.ejection_time = Duration::ZERO;
     }
@@ -329,8 +335,8 @@
     }
 
     pub(super) fn record_link_refused(&mut self, now: Duration, retry_after: Duration) {
-        self.link_refused_until = now + retry_after.min(LINK_REFUSED_MAX);
-        self.remote_link_refused_until = now + LINK_REFUSED_REMOTE;
+        self.link_refused_until = now + retry_after.min(LINK_REFUSAL_PAUSE_MAX);
+        self.remote_link_refused_until = now + REMOTE_LINK_REFUSAL_PAUSE;
         self.responded_at = Some(now);
         self.ejection_time = Duration::ZERO;
     }
--- a/crates/node/src/member/pick_cost.rs
+++ b/crates/node/src/member/pick_cost.rs
@@ -42,7 +42,7 @@
         let unconfirmed = member
             .lapsed_at
             .is_some_and(|at| member.responded_at() < Some(at));
-        let fits = !self.query.is_long() || self.link_wait(member).is_zero();
+        let fits = !self.query.expects_long_response() || self.link_wait(member).is_zero();
         !unconfirmed && fits && member.is_available(self.now)
     }
 
@@ -156,7 +156,7 @@
     /// Whether a long response uses the link of the member's instance. A response from this
     /// node's own instance doesn't leave it.
     fn uses_link(self, member: &MemberView) -> bool {
-        self.query.is_long() && !member.is_local()
+        self.query.expects_long_response() && !member.is_local()
     }
 
     /// Returns the seconds that the link of the member's instance needs for the response.
--- a/crates/node/src/member/pick_query.rs
+++ b/crates/node/src/member/pick_query.rs
@@ -24,7 +24,7 @@
 
 impl PickQuery<'_> {
     /// Whether a long response is expected, which uses the link of the member's instance.
-    pub const fn is_long(&self) -> bool {
+    pub const fn expects_long_response(&self) -> bool {
         self.response_bytes > SHORT_RESPONSE_MAX_BYTES
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -116,7 +116,7 @@
                 handler.clone(),
                 core.open_request_guard(RequestOrigin::Node),
             );
-            async move { track_response(handler.answer(request).await, open) }
+            async move { track_response(handler.handle(request).await, open) }
         }
     });
     let readiness = platform.clone();
@@ -129,7 +129,7 @@
     if let Some(metrics) = listeners.metrics {
         let handler = AdminHandler::new(Rc::clone(core));
         serve_internal(core, metrics, move |request| {
-            std::future::ready(handler.answer(&request))
+            std::future::ready(handler.handle(&request))
         });
     }
     spawn_local(watch_config(Rc::clone(core), Rc::clone(&store), source));
@@ -187,11 +187,11 @@
             proxy.clone(),
             counted.open_request_guard(RequestOrigin::Caller),
         );
-        async move { track_response(proxy.answer(request).await, open) }
+        async move { track_response(proxy.handle(request).await, open) }
     };
     let limits = move || match &*limited.config.borrow() {
         Some(config) => ConnectionLimits {
-            idle_timeout: config.limits.idle_time,
+            idle_timeout: config.limits.idle_timeout,
             max_head_bytes: config.limits.head_bytes,
         },
         None => ConnectionLimits {
--- a/crates/node/src/node_core/crash_records.rs
+++ b/crates/node/src/node_core/crash_records.rs
@@ -18,8 +18,8 @@
         let fingerprint = record.fingerprint;
         let start = record.start.to_string();
         let now = self.clock.now();
-        let new = self.crashes.borrow_mut().record(now, record, revision);
-        if new {
+        let is_new = self.crashes.borrow_mut().record(now, record, revision);
+        if is_new {
             info!(self.log.logger(), "crash heard";
                 "print" => format!("{fingerprint:016x}"),
                 "instance" => start,
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -54,14 +54,14 @@
 
     /// Handles the deregistration of a start of the backend server.
     pub fn deregister(&self, start: EndpointStart) {
-        let name = start.to_string();
+        let start_text = start.to_string();
         let is_current = self.inbound.tracker().borrow_mut().deregister(
             self.clock.now(),
             start,
             NodeClock::unix_ms(),
         );
         info!(self.log.logger(), "backend server deregistered";
-            "instance" => name, "here" => is_current);
+            "instance" => start_text, "here" => is_current);
         self.announcement_outdated.set(is_current);
         self.announcement_changed.notify_one();
     }
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -88,11 +88,11 @@
     /// Wakes the announcer after the inbound proxy's state changed.
     pub announcement_changed: Notify,
     /// Announcement of this node that an earlier process left in the store.
-    pub own_record: RefCell<Option<MemberRecord>>,
-    /// Lease of the announcement in `own_record`.
-    pub own_lease: Cell<Option<LeaseId>>,
-    /// Wakes the task that confirms `own_record` with the backend server.
-    pub own_record_received: Notify,
+    pub earlier_record: RefCell<Option<MemberRecord>>,
+    /// Lease of the announcement in `earlier_record`.
+    pub earlier_lease: Cell<Option<LeaseId>>,
+    /// Wakes the task that confirms `earlier_record` with the backend server.
+    pub earlier_record_received: Notify,
     /// Wakes tasks that wait until the announcement is written to the store.
     pub announced: Notify,
     /// Whether the announcement in the store is known to be outdated.
@@ -102,7 +102,7 @@
     /// Wakes the task that fetches the configuration from `newer_config_at`.
     pub newer_config_known: Notify,
     /// Wakes tasks that wait for a configuration, member or store-contact update.
-    pub updates: Notify,
+    pub update_arrived: Notify,
     /// Wakes tasks when this node may have to start or stop watching the store.
     pub watch_duty_changed: Notify,
     /// Eras of the store that this node has seen.
@@ -183,14 +183,14 @@
             retries: RefCell::new(RetryBudget::new(settings.retries)),
             log,
             announcement_changed: Notify::new(),
-            own_record: RefCell::default(),
-            own_lease: Cell::new(None),
-            own_record_received: Notify::new(),
+            earlier_record: RefCell::default(),
+            earlier_lease: Cell::new(None),
+            earlier_record_received: Notify::new(),
             announced: Notify::new(),
             announcement_outdated: Cell::new(false),
             newer_config_at: RefCell::default(),
             newer_config_known: Notify::new(),
-            updates: Notify::new(),
+            update_arrived: Notify::new(),
             watch_duty_changed: Notify::new(),
             eras: Rc::default(),
             store_access: RefCell::default(),
@@ -250,7 +250,7 @@
         self.metrics.config_version(config.version.0);
         self.history.borrow_mut().push(Rc::clone(&config.input));
         *self.config.borrow_mut() = Some(Rc::new(config));
-        self.updates.notify_waiters();
+        self.update_arrived.notify_waiters();
         true
     }
 
--- a/crates/node/src/node_core/request_outcomes.rs
+++ b/crates/node/src/node_core/request_outcomes.rs
@@ -64,7 +64,9 @@
         // The local inbound proxy records the requests that it answered itself.
         let is_remote = at.is_some_and(|at| at.peer_addr != self.settings.peer_addr);
         if is_remote && response.status().is_success() {
-            self.crashes.borrow_mut().completed(request.fingerprint);
+            self.crashes
+                .borrow_mut()
+                .record_completion(request.fingerprint);
         }
         let took = request.arrived.elapsed();
         let result = match response.status() {
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -26,7 +26,7 @@
         let now = self.clock.now();
         if self.relay_selector.borrow_mut().store_answered(now) {
             // Nodes that use this one as their relay wait for this update.
-            self.updates.notify_waiters();
+            self.update_arrived.notify_waiters();
         }
         if self.store_access.borrow_mut().record_success() {
             info!(self.log.logger(), "store regained");
@@ -53,7 +53,7 @@
     /// lost while the store is available.
     pub fn notify_store_lost(&self) {
         if self.relay_selector.borrow_mut().record_store_lost() {
-            self.updates.notify_waiters();
+            self.update_arrived.notify_waiters();
             self.watch_duty_changed.notify_waiters();
         }
     }
--- a/crates/node/src/outbound/deadline_tracker.rs
+++ b/crates/node/src/outbound/deadline_tracker.rs
@@ -8,7 +8,7 @@
 /// one in five of a route's requests has is certain to be found.
 const DEADLINES_MAX: usize = 5;
 /// Least share of a route's requests for a deadline of first attempts.
-const USUAL_SHARE: f64 = 0.1;
+const FIRST_ATTEMPT_SHARE_MIN: f64 = 0.1;
 /// Largest difference between deadlines that count as the same. A request takes a
 /// millisecond to reach the node, and a few more on a busy machine.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(5);
@@ -94,7 +94,7 @@
     }
 
     fn time_since_first_attempt(&self, deadline: Duration) -> Duration {
-        let least = self.total * USUAL_SHARE;
+        let least = self.total * FIRST_ATTEMPT_SHARE_MIN;
         let usual = self.seen.iter().filter(|seen| seen.count >= least);
         let from = usual.map(|seen| seen.deadline);
         let from = from
--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use crate::{member::MemberKey, node_core::NodeCore, transport::PooledSender};
+use crate::{member::MemberKey, node_core::NodeCore, transport::PooledConnection};
 
 /// Counts a request as outstanding at a member until the guard is dropped.
 ///
@@ -11,7 +11,7 @@
 pub struct InFlightGuard {
     core: Rc<NodeCore>,
     key: MemberKey,
-    sender: Option<PooledSender>,
+    sender: Option<PooledConnection>,
 }
 
 impl InFlightGuard {
@@ -31,7 +31,7 @@
     }
 
     /// Holds the connection on which the response arrives.
-    pub fn hold(&mut self, sender: PooledSender) {
+    pub fn hold(&mut self, sender: PooledConnection) {
         self.sender = Some(sender);
     }
 
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -50,7 +50,7 @@
     /// Handles a request and returns the response for the caller.
     ///
     /// The response carries the caller's request identifier.
-    pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
+    pub async fn handle(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = Instant::now();
         let id = incoming
             .headers()
@@ -108,10 +108,10 @@
         let caller_deadline = deadline.map(|deadline| arrived + deadline);
         let first_attempt_at = self.first_attempt_at(arrived, &route, fingerprint, deadline);
         let target_deadline = first_attempt_at + route.target;
-        let nested = self
+        let is_nested = self
             .core
             .inbound
-            .nested_calls()
+            .nested_call_detector()
             .borrow()
             .is_nested_call(route.route_hash);
         Ok(OutboundRequest {
@@ -124,7 +124,7 @@
             first_attempt_at,
             caller_deadline,
             target_deadline,
-            nested,
+            is_nested,
             route,
             service,
             version: config.version,
@@ -139,7 +139,7 @@
     /// configuration, and most of them make no third one.
     async fn current_config(&self) -> Result<Rc<MeshConfig>, LocalReply> {
         loop {
-            let updated = self.core.updates.notified();
+            let updated = self.core.update_arrived.notified();
             let config = self.core.config.borrow().clone();
             if let Some(config) = config {
                 return Ok(config);
@@ -235,10 +235,12 @@
             }
             Err(reply) => {
                 let now = self.core.clock.now();
-                let mut nested_calls = self.core.inbound.nested_calls().borrow_mut();
-                let learned = nested_calls.request_failed(now, request.route.route_hash);
-                drop(nested_calls);
-                if let Some(route_hash) = learned {
+                let mut nested_call_detector =
+                    self.core.inbound.nested_call_detector().borrow_mut();
+                let newly_detected =
+                    nested_call_detector.request_failed(now, request.route.route_hash);
+                drop(nested_call_detector);
+                if let Some(route_hash) = newly_detected {
                     self.core.record_nested_calls(route_hash);
                 }
                 self.record_refused(request);
--- a/crates/node/src/outbound/outbound_request.rs
+++ b/crates/node/src/outbound/outbound_request.rs
@@ -30,7 +30,7 @@
     /// Version of the configuration by which the request was routed.
     pub version: ConfigVersion,
     /// Whether this machine's backend server sent the request during a run of its own.
-    pub nested: bool,
+    pub is_nested: bool,
     /// When the request arrived at the node.
     pub arrived: Instant,
     /// When the caller made its first attempt, as far as is known.
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -18,7 +18,7 @@
     member::{MemberKey, MemberRecord, PickQuery, TryOutcome},
     node_core::NodeCore,
     response_body::ResponseBody,
-    retry::RetryNeed,
+    retry::RetryQuery,
 };
 
 /// A member that the request is sent to next, or was sent to.
@@ -50,7 +50,7 @@
         loop {
             let next = self.next_try(tries)?;
             tries.begin(next.key);
-            let (sent_try, result) = self.send_watched(next, tries).await;
+            let (sent_try, result) = self.send_with_hedge(next, tries).await;
             match result {
                 Ok(response) => {
                     tries.in_flight -= 1;
@@ -107,7 +107,11 @@
     /// member that sends this node nothing for the silence timeout is ejected, and an
     /// idempotent request is sent to another member as well. The first try
     /// continues until the second has a response, as it may be the only one to get one.
-    async fn send_watched(self, next: NextTry, tries: &mut TryRecord<'_>) -> (NextTry, TryResult) {
+    async fn send_with_hedge(
+        self,
+        next: NextTry,
+        tries: &mut TryRecord<'_>,
+    ) -> (NextTry, TryResult) {
         let sent_at = self.core.clock.now();
         let silence_timeout = {
             let fleet = self.core.fleet.borrow();
@@ -185,7 +189,7 @@
         self.request.route.kind.is_idempotent()
             && self.has_tries(tries)
             && fleet.has_available(now, &self.query(tries))
-            && self.may_run_again(fleet.len())
+            && self.budget_allows_rerun(fleet.len())
     }
 
     /// Whether the request may be tried again after the member `failed` responded with a
@@ -198,7 +202,8 @@
         }
         let now = self.core.clock.now();
         let fleet = self.core.fleet.borrow();
-        fleet.has_healthier(now, failed, &self.query(tries)) && self.may_run_again(fleet.len())
+        fleet.has_healthier(now, failed, &self.query(tries))
+            && self.budget_allows_rerun(fleet.len())
     }
 
     fn has_tries(self, tries: &TryRecord<'_>) -> bool {
@@ -206,14 +211,14 @@
     }
 
     /// Whether the retry budget allows a further try of a request that may have run.
-    fn may_run_again(self, nodes: usize) -> bool {
-        let need = RetryNeed {
+    fn budget_allows_rerun(self, nodes: usize) -> bool {
+        let retry_query = RetryQuery {
             service: &self.request.service,
             nodes,
-            runs_again: true,
+            may_rerun: true,
         };
         let now = self.core.clock.now();
-        self.core.retries.borrow().has_room(now, need)
+        self.core.retries.borrow().has_room(now, retry_query)
     }
 
     /// Picks the next member, or returns none when the request is to be given up.
@@ -233,7 +238,7 @@
             });
             return None;
         }
-        if tries.is_full() && !self.request.nested && !fleet.has_available(now, &query) {
+        if tries.is_full() && !self.request.is_nested && !fleet.has_available(now, &query) {
             return None;
         }
         let rng = &mut rand::rng();
@@ -272,13 +277,13 @@
         if tries.arrivals >= self.request.route.attempts {
             return false;
         }
-        let need = RetryNeed {
+        let retry_query = RetryQuery {
             service: &self.request.service,
             nodes: self.core.fleet.borrow().len(),
-            runs_again: tries.may_have_run(),
+            may_rerun: tries.may_have_run(),
         };
         let now = self.core.clock.now();
-        self.core.retries.borrow_mut().withdraw(now, need)
+        self.core.retries.borrow_mut().withdraw(now, retry_query)
     }
 
     fn query<'b>(self, tries: &'b TryRecord<'_>) -> PickQuery<'b>
--- a/crates/node/src/outbound/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -24,7 +24,7 @@
 /// announced again, within one or two seconds.
 const RETRY_NO_BACKEND: Duration = Duration::from_millis(250);
 /// Least `Retry-After`.
-pub(super) const RETRY_MIN: Duration = Duration::from_millis(30);
+pub(super) const RETRY_AFTER_MIN: Duration = Duration::from_millis(30);
 
 /// State of the tries of one request so far.
 #[derive(Debug)]
@@ -130,7 +130,7 @@
         };
         return LocalReply::not_run(code, RETRY_NO_BACKEND);
     };
-    let retry_after = refusal.retry_after.max(RETRY_MIN);
+    let retry_after = refusal.retry_after.max(RETRY_AFTER_MIN);
     LocalReply::not_run(result_code_of(refusal.reason), retry_after)
 }
 
@@ -139,7 +139,7 @@
     if tries.may_have_run() {
         LocalReply::timed_out()
     } else {
-        LocalReply::not_run(ResultCode::DeadlineBeforeRun, RETRY_MIN)
+        LocalReply::not_run(ResultCode::DeadlineBeforeRun, RETRY_AFTER_MIN)
     }
 }
 
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -82,7 +82,7 @@
             body: request.body.clone(),
             rank: request.route.rank,
             route_hash: request.route.route_hash,
-            nested: request.nested,
+            is_nested: request.is_nested,
             may_wait: self.may_wait,
             target_deadline: request.target_deadline,
             ends_at: request.ends_at,
@@ -115,11 +115,11 @@
         let bytes = head_bytes(peer_request.headers()) + self.request.body.len() as u64;
         let link = &self.core.link;
         link.record_sent(self.core.clock.now(), LinkTraffic::Request, bytes);
-        let idle_time = self.core.settings.peer_idle_timeout;
+        let idle_timeout = self.core.settings.peer_idle_timeout;
         let exchange = self
             .core
             .peer_connections
-            .exchange(record.peer_addr, peer_request, idle_time)
+            .exchange(record.peer_addr, peer_request, idle_timeout)
             .await;
         let (response, sender) = match exchange {
             Ok(exchanged) => exchanged,
@@ -162,7 +162,7 @@
         let peer_header = PeerRequestHeader {
             rank: request.route.rank,
             route_hash: request.route.route_hash,
-            nested: request.nested,
+            is_nested: request.is_nested,
             idempotent: request.route.kind.is_idempotent(),
             may_wait: self.may_wait,
             target_remaining: request.target_deadline.saturating_duration_since(now),
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -42,16 +42,16 @@
     }
 
     /// Returns the response to a request, with this node's configuration version.
-    pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
+    pub async fn handle(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let mut response = if incoming.uri().path() == UPDATE_PATH {
             let handler = UpdateHandler::new(Rc::clone(&self.core));
-            handler.answer(incoming.uri()).await
+            handler.handle(incoming.uri()).await
         } else if incoming.uri().path() == DELEGATED_CALL_PATH {
             let handler = DelegatedCallHandler::new(Rc::clone(&self.core));
-            handler.answer(incoming).await
+            handler.handle(incoming).await
         } else if incoming.uri().path() == CRASH_PATH {
             let handler = CrashHandler::new(Rc::clone(&self.core));
-            handler.answer(incoming).await
+            handler.handle(incoming).await
         } else {
             self.run(incoming).await
         };
@@ -120,7 +120,7 @@
             body,
             rank: peer_header.rank,
             route_hash: peer_header.route_hash,
-            nested: peer_header.nested,
+            is_nested: peer_header.is_nested,
             may_wait: peer_header.may_wait,
             target_deadline: now + peer_header.target_remaining,
             ends_at: now + remaining,
--- a/crates/node/src/retry/mod.rs
+++ b/crates/node/src/retry/mod.rs
@@ -2,4 +2,4 @@
 
 mod retry_budget;
 
-pub use retry_budget::{RetryBudget, RetryLimits, RetryNeed};
+pub use retry_budget::{RetryBudget, RetryLimits, RetryQuery};
--- a/crates/node/src/retry/retry_budget.rs
+++ b/crates/node/src/retry/retry_budget.rs
@@ -31,24 +31,24 @@
 
 /// A further try for which the budget is asked.
 #[derive(Debug, Clone, Copy)]
-pub struct RetryNeed<'a> {
+pub struct RetryQuery<'a> {
     /// Name of the service that would get the try.
     pub service: &'a str,
     /// Number of nodes that share the slack.
     pub nodes: usize,
     /// Whether an earlier try of the request has run, or may have.
-    pub runs_again: bool,
+    pub may_rerun: bool,
 }
 
 /// Requests and retries of one service within the window.
 #[derive(Debug, Default)]
 struct ServiceWindow {
-    buckets: VecDeque<Bucket>,
+    buckets: VecDeque<WindowBucket>,
 }
 
 /// Counts of one bucket's time.
 #[derive(Debug, Clone, Copy, Default)]
-struct Bucket {
+struct WindowBucket {
     /// Index of the bucket, counted from time zero.
     number: u64,
     requests: u32,
@@ -77,12 +77,12 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::retry::{RetryBudget, RetryNeed, RetryLimits};
+    /// use geranium_node::retry::{RetryBudget, RetryQuery, RetryLimits};
     ///
     /// let window = Duration::from_secs(10);
     /// let mut budget = RetryBudget::new(RetryLimits { ratio: 0.2, slack: 50.0, window });
-    /// let need = RetryNeed { service: "prices", nodes: 10, runs_again: false };
-    /// let granted = (0..20).filter(|_| budget.withdraw(Duration::ZERO, need)).count();
+    /// let retry_query = RetryQuery { service: "prices", nodes: 10, may_rerun: false };
+    /// let granted = (0..20).filter(|_| budget.withdraw(Duration::ZERO, retry_query)).count();
     /// assert_eq!(granted, 2);
     /// ```
     pub fn new(limits: RetryLimits) -> Self {
@@ -105,34 +105,34 @@
     }
 
     /// Takes a further try out of the budget, and returns whether it had one.
-    pub fn withdraw(&mut self, now: Duration, need: RetryNeed<'_>) -> bool {
+    pub fn withdraw(&mut self, now: Duration, retry_query: RetryQuery<'_>) -> bool {
         let window = self.limits.window;
-        let granted = self.has_room(now, need);
+        let granted = self.has_room(now, retry_query);
         if granted {
-            let entry = self.services.entry(need.service.into()).or_default();
+            let entry = self.services.entry(retry_query.service.into()).or_default();
             let bucket = entry.bucket(now, window);
             bucket.retries += 1;
-            bucket.reruns += u32::from(need.runs_again);
+            bucket.reruns += u32::from(retry_query.may_rerun);
         }
         granted
     }
 
     /// Whether [`RetryBudget::withdraw`] would grant a further try.
-    pub fn has_room(&self, now: Duration, need: RetryNeed<'_>) -> bool {
-        let counts = match self.services.get(need.service) {
+    pub fn has_room(&self, now: Duration, retry_query: RetryQuery<'_>) -> bool {
+        let counts = match self.services.get(retry_query.service) {
             Some(entry) => entry.counts(now, self.limits.window),
-            None => Bucket::default(),
+            None => WindowBucket::default(),
         };
         let own = self.limits.ratio * f64::from(counts.requests);
-        let allowance = own + self.limits.slack / need.nodes.max(1) as f64;
-        let fits = |used: u32, part: f64| f64::from(used) + 1.0 <= part * allowance;
-        let rerun_fits = !need.runs_again || fits(counts.reruns, RERUN_SHARE);
+        let allowance = own + self.limits.slack / retry_query.nodes.max(1) as f64;
+        let fits = |used: u32, share: f64| f64::from(used) + 1.0 <= share * allowance;
+        let rerun_fits = !retry_query.may_rerun || fits(counts.reruns, RERUN_SHARE);
         rerun_fits && fits(counts.retries, RETRY_SHARE)
     }
 }
 
 impl ServiceWindow {
-    fn bucket(&mut self, now: Duration, window: Duration) -> &mut Bucket {
+    fn bucket(&mut self, now: Duration, window: Duration) -> &mut WindowBucket {
         let number = bucket_number(now);
         let oldest = oldest_bucket(now, window);
         while self
@@ -147,9 +147,9 @@
             .back()
             .is_none_or(|bucket| bucket.number < number)
         {
-            self.buckets.push_back(Bucket {
+            self.buckets.push_back(WindowBucket {
                 number,
-                ..Bucket::default()
+                ..WindowBucket::default()
             });
         }
         self.buckets.back_mut().expect("the current bucket exists")
@@ -158,10 +158,10 @@
     /// Returns the sum of all buckets in the window.
     ///
     /// Of the oldest bucket, which may lie partly outside the window, only the retries count.
-    fn counts(&self, now: Duration, window: Duration) -> Bucket {
+    fn counts(&self, now: Duration, window: Duration) -> WindowBucket {
         let oldest = oldest_bucket(now, window);
         let recent = self.buckets.iter().filter(|bucket| bucket.number >= oldest);
-        recent.fold(Bucket::default(), |mut sum, bucket| {
+        recent.fold(WindowBucket::default(), |mut sum, bucket| {
             if bucket.number > oldest {
                 sum.requests += bucket.requests;
             }
--- a/crates/node/src/transport/connection_pool.rs
+++ b/crates/node/src/transport/connection_pool.rs
@@ -32,13 +32,13 @@
 
 /// Connection that is in use, to be put back into the pool.
 #[derive(Debug)]
-pub struct PooledSender {
+pub struct PooledConnection {
     addr: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
 }
 
 #[derive(Debug)]
-struct IdleSender {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     since: Instant,
 }
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct ConnectionPool {
     settings: PoolSettings,
-    idle: RefCell<HashMap<SocketAddr, Vec<IdleSender>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
@@ -73,14 +73,14 @@
         addr: SocketAddr,
         mut request: Request<Full<Bytes>>,
         idle_timeout: Duration,
-    ) -> Result<(Response<Incoming>, PooledSender), ExchangeError> {
+    ) -> Result<(Response<Incoming>, PooledConnection), ExchangeError> {
         loop {
-            let (mut sender, is_new) = match self.take(addr, idle_timeout) {
+            let (mut sender, is_new) = match self.take_idle(addr, idle_timeout) {
                 Some(sender) => (sender, false),
                 None => (self.connect(addr).await?, true),
             };
             match sender.try_send_request(request).await {
-                Ok(response) => return Ok((response, PooledSender { addr, sender })),
+                Ok(response) => return Ok((response, PooledConnection { addr, sender })),
                 Err(mut error) => {
                     let reason = error.error().to_string();
                     let Some(unsent) = error.take_message() else {
@@ -96,12 +96,12 @@
     }
 
     /// Puts a connection back for the next request, unless it is closed.
-    pub fn put_back(&self, pooled: PooledSender) {
+    pub fn put_back(&self, pooled: PooledConnection) {
         if pooled.sender.is_closed() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        idle.entry(pooled.addr).or_default().push(IdleSender {
+        idle.entry(pooled.addr).or_default().push(IdleConnection {
             sender: pooled.sender,
             since: Instant::now(),
         });
@@ -125,12 +125,17 @@
     ///
     /// The others reach their idle timeout and are closed, so that no more connections
     /// stay open than are needed.
-    fn take(&self, addr: SocketAddr, idle_timeout: Duration) -> Option<SendRequest<Full<Bytes>>> {
+    fn take_idle(
+        &self,
+        addr: SocketAddr,
+        idle_timeout: Duration,
+    ) -> Option<SendRequest<Full<Bytes>>> {
         let longest = idle_timeout.min(self.settings.idle_timeout);
         let mut idle = self.idle.borrow_mut();
         let senders = idle.get_mut(&addr)?;
         senders.retain(|idle| !idle.sender.is_closed());
-        let usable = |idle: &IdleSender| idle.sender.is_ready() && idle.since.elapsed() < longest;
+        let usable =
+            |idle: &IdleConnection| idle.sender.is_ready() && idle.since.elapsed() < longest;
         let index = senders.iter().rposition(usable)?;
         Some(senders.remove(index).sender)
     }
--- a/crates/node/src/transport/mod.rs
+++ b/crates/node/src/transport/mod.rs
@@ -6,7 +6,7 @@
 mod peer_request_header;
 mod socket_tuning;
 
-pub use connection_pool::{ConnectionPool, PoolSettings, PooledSender};
+pub use connection_pool::{ConnectionPool, PoolSettings, PooledConnection};
 pub use exchange_error::ExchangeError;
 pub use peer_call::{PeerCall, PeerCallError};
 pub use peer_request_header::PeerRequestHeader;
--- a/crates/node/src/transport/peer_call.rs
+++ b/crates/node/src/transport/peer_call.rs
@@ -20,7 +20,7 @@
     /// Request body.
     pub body: Bytes,
     /// Longest time until the whole response has arrived.
-    pub time: Duration,
+    pub timeout: Duration,
 }
 
 /// Failure of a call to another node, as the calling node sees it.
@@ -63,8 +63,8 @@
         peer_addr: SocketAddr,
         idle_timeout: Duration,
     ) -> Result<Bytes, PeerCallError> {
-        let time = self.time;
-        let result = timeout(time, self.exchange(pool, peer_addr, idle_timeout)).await;
+        let time_limit = self.timeout;
+        let result = timeout(time_limit, self.exchange(pool, peer_addr, idle_timeout)).await;
         result.unwrap_or(Err(PeerCallError::TimedOut))
     }
 
--- a/crates/node/src/transport/peer_request_header.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -19,7 +19,7 @@
     /// Hash of the route.
     pub route_hash: u64,
     /// Whether a request that already runs at a backend server made this one.
-    pub nested: bool,
+    pub is_nested: bool,
     /// Whether the request may run more than once without harm.
     pub idempotent: bool,
     /// Whether the request may queue for a slot; if not, it is refused unless one is free.
@@ -55,11 +55,11 @@
 impl std::fmt::Display for PeerRequestHeader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let useful_ms = self.target_remaining.as_millis();
-        let flags = [self.nested, self.idempotent, self.may_wait];
-        let [nested, idempotent, may_wait] = flags.map(u8::from);
+        let flags = [self.is_nested, self.idempotent, self.may_wait];
+        let [is_nested, idempotent, may_wait] = flags.map(u8::from);
         write!(
             f,
-            "{},{:x},{nested},{idempotent},{may_wait},",
+            "{},{:x},{is_nested},{idempotent},{may_wait},",
             self.rank, self.route_hash
         )?;
         write!(f, "{useful_ms},{},{}", self.version, self.from)
@@ -89,7 +89,7 @@
         Ok(Self {
             rank,
             route_hash,
-            nested: flag()?,
+            is_nested: flag()?,
             idempotent: flag()?,
             may_wait: flag()?,
             target_remaining: Duration::from_millis(next()?.parse()?),
--- a/crates/node/tests/all/budget.rs
+++ b/crates/node/tests/all/budget.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use geranium_node::retry::{RetryBudget, RetryLimits, RetryNeed};
+use geranium_node::retry::{RetryBudget, RetryLimits, RetryQuery};
 
 const LIMITS: RetryLimits = RetryLimits {
     ratio: 0.2,
@@ -22,12 +22,12 @@
         let now = Duration::from_millis(step * 1_000 / PER_SECOND);
         for budget in &mut budgets {
             budget.record_request(now, &service);
-            let need = RetryNeed {
+            let retry_query = RetryQuery {
                 service: &service,
                 nodes: NODES,
-                runs_again: false,
+                may_rerun: false,
             };
-            if budget.withdraw(now, need) {
+            if budget.withdraw(now, retry_query) {
                 retries_at.push(now);
             }
         }
@@ -51,13 +51,13 @@
 fn slack_is_divided_by_the_number_of_nodes() {
     for (nodes, most) in [(1, 33), (10, 3), (1_000, 0)] {
         let mut budget = RetryBudget::new(LIMITS);
-        let need = RetryNeed {
+        let retry_query = RetryQuery {
             service: "prices",
             nodes,
-            runs_again: false,
+            may_rerun: false,
         };
         let granted = (0..200)
-            .filter(|_| budget.withdraw(Duration::ZERO, need))
+            .filter(|_| budget.withdraw(Duration::ZERO, retry_query))
             .count();
         assert_eq!(granted, most);
     }
@@ -78,19 +78,19 @@
             budget.record_request(now, &lookups);
             for _ in 0..CALLS {
                 budget.record_request(now, &stock);
-                let need = RetryNeed {
+                let retry_query = RetryQuery {
                     service: &stock,
                     nodes: NODES,
-                    runs_again: false,
+                    may_rerun: false,
                 };
-                repeats += usize::from(budget.withdraw(now, need));
+                repeats += usize::from(budget.withdraw(now, retry_query));
             }
-            let need = RetryNeed {
+            let retry_query = RetryQuery {
                 service: &lookups,
                 nodes: NODES,
-                runs_again: true,
+                may_rerun: true,
             };
-            repeats += CALLS * usize::from(budget.withdraw(now, need));
+            repeats += CALLS * usize::from(budget.withdraw(now, retry_query));
         }
     }
     let calls = LOOKUPS_PER_SECOND as f64 * (CALLS * NODES) as f64 * 10.0;
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -52,9 +52,9 @@
     LoadReport {
         running,
         waiting,
-        service: run,
-        run,
-        link: Duration::ZERO,
+        mean_run_time: run,
+        route_run_time: run,
+        link_backlog: Duration::ZERO,
     }
 }
 
@@ -135,7 +135,7 @@
     let mut fleet = view_with_local_first(3, 1);
     let own = fleet.key_of(peer_addr(1)).expect("the member is known");
     let full = LoadReport {
-        link: at(2_000),
+        link_backlog: at(2_000),
         ..load(1, 0, at(100))
     };
     fleet.record_load(at(0), own, QUERY.route_hash, full);
@@ -182,7 +182,7 @@
             .key_of(peer_addr(number))
             .expect("the member is known");
         let report = LoadReport {
-            link: at(400),
+            link_backlog: at(400),
             ..load(4, 0, at(100))
         };
         fleet.record_load(at(0), key, QUERY.route_hash, report);
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -97,9 +97,9 @@
         LoadReport {
             running: self.queue.running(),
             waiting: self.queue.waiting(),
-            service: self.queue.mean_run_time(),
-            run: self.queue.mean_run_time_of(ROUTE_HASH),
-            link: Duration::ZERO,
+            mean_run_time: self.queue.mean_run_time(),
+            route_run_time: self.queue.mean_run_time_of(ROUTE_HASH),
+            link_backlog: Duration::ZERO,
         }
     }
 }
@@ -363,7 +363,7 @@
             rank: 1,
             route_hash: ROUTE_HASH,
             may_wait,
-            nested: false,
+            is_nested: false,
             target_deadline: request.target_at,
             ends_at: request.target_at + TARGET,
         };
@@ -395,7 +395,7 @@
             let wait = report.map_or(0.0, |report| {
                 let held = f64::from(report.running + report.waiting) + 1.0;
                 let excess = (held - f64::from(SLOTS)).max(0.0) / f64::from(SLOTS);
-                report.service.as_secs_f64() * (1.0 + excess)
+                report.mean_run_time.as_secs_f64() * (1.0 + excess)
             });
             let cost = wait * (1.0 + 0.15 * noise(&mut self.rng));
             if !tried.contains(&key) && best.is_none_or(|(least, _)| cost < least) {
--- a/crates/node/tests/all/gate.rs
+++ b/crates/node/tests/all/gate.rs
@@ -115,7 +115,7 @@
         tracker.report(at(20), report("i-2", 4, ReportState::Ready)),
         ReportOutcome::Stale
     );
-    tracker.identified_as("i-2");
+    tracker.record_instance("i-2");
     assert_eq!(refusal(&tracker, at(30), "i-1"), Some(RefusalReason::Shut));
     assert_eq!(
         tracker.report(at(40), report("i-2", 5, ReportState::Ready)),
--- a/crates/node/tests/all/guide.rs
+++ b/crates/node/tests/all/guide.rs
@@ -7,7 +7,7 @@
 
 use crate::support::{at, peer_addr, record};
 
-fn contact(age_ms: u64, lost: bool) -> StoreReachability {
+fn reachability(age_ms: u64, lost: bool) -> StoreReachability {
     let age = at(age_ms);
     StoreReachability { age, lost }
 }
@@ -60,14 +60,18 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut selector = RelaySelector::new(peer_addr(3));
     selector.store_answered(at(10_000));
-    assert!(!selector.record_reachability(at(10_100), peer_addr(1), contact(6_000, false)));
+    assert!(!selector.record_reachability(at(10_100), peer_addr(1), reachability(6_000, false)));
     assert_eq!(
         selector.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
     );
     let mut cut_off_selector = RelaySelector::new(peer_addr(3));
     cut_off_selector.store_answered(at(1_000));
-    assert!(!cut_off_selector.record_reachability(at(10_100), peer_addr(1), contact(6_000, false)));
+    assert!(!cut_off_selector.record_reachability(
+        at(10_100),
+        peer_addr(1),
+        reachability(6_000, false)
+    ));
     assert_eq!(
         cut_off_selector.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(1))
@@ -106,7 +110,7 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut selector = RelaySelector::new(peer_addr(3));
     selector.store_answered(at(10_000));
-    assert!(!selector.record_reachability(at(10_100), peer_addr(1), contact(200, true)));
+    assert!(!selector.record_reachability(at(10_100), peer_addr(1), reachability(200, true)));
     assert_eq!(
         selector.choose(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
@@ -130,8 +134,8 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut selector = RelaySelector::new(peer_addr(5));
     selector.store_answered(at(10_000));
-    assert!(!selector.record_reachability(at(10_100), peer_addr(1), contact(200, true)));
-    assert!(selector.record_reachability(at(10_200), peer_addr(2), contact(200, true)));
+    assert!(!selector.record_reachability(at(10_100), peer_addr(1), reachability(200, true)));
+    assert!(selector.record_reachability(at(10_200), peer_addr(2), reachability(200, true)));
     assert_eq!(
         selector.choose(at(10_300), &order),
         UpdateSource::Node(peer_addr(3))
--- a/crates/node/tests/all/link.rs
+++ b/crates/node/tests/all/link.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use geranium_node::link::{LinkDecision, LinkRequest, LinkSchedule, LinkTurn, TransferKey};
+use geranium_node::link::{LinkDecision, LinkSchedule, LinkTurn, ReservationRequest, TransferKey};
 
 /// Link rate that carries 940 bytes of payload per millisecond.
 const LINK_MBPS: f64 = 8.0;
@@ -13,8 +13,8 @@
 }
 
 /// Returns a request for a file that is ready in 100 ms and due at `due`.
-fn request(due: u64) -> LinkRequest {
-    LinkRequest {
+fn request(due: u64) -> ReservationRequest {
+    ReservationRequest {
         bytes: FILE,
         ready_in: at(100),
         target_deadline: at(due),
@@ -73,7 +73,7 @@
     let mut link = LinkSchedule::new(LINK_MBPS);
     let long = expect_reserved(link.reserve(at(0), request(800)));
     expect_reserved(link.reserve(at(0), request(800)));
-    link.resize(long, FILE * 5);
+    link.set_remaining_bytes(long, FILE * 5);
     assert!(is_refused(link.reserve(at(0), request(800))));
     expect_reserved(link.reserve(at(0), request(2_000)));
 }
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    link::{LinkDecision, LinkRequest, LinkSchedule, LinkTurn, TransferKey},
+    link::{LinkDecision, LinkSchedule, LinkTurn, ReservationRequest, TransferKey},
     outbound::ResendTracker,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -185,13 +185,13 @@
         let first_attempt_at = known
             .filter(|_| self.accounting.knows_resends)
             .unwrap_or(now);
-        let link_request = LinkRequest {
+        let reservation_request = ReservationRequest {
             bytes: FILE_BYTES as u64,
             ready_in: RUN,
             target_deadline: first_attempt_at + TARGET,
             ends_at: caller.end,
         };
-        match self.link.reserve(now, link_request) {
+        match self.link.reserve(now, reservation_request) {
             LinkDecision::Reserved(key) => self.start_transfer(now, key, caller),
             LinkDecision::Refused { retry_after } => {
                 self.result.refused += 1;
@@ -251,7 +251,7 @@
         for file in &mut self.files {
             if !file.is_ready && now >= file.ready_at {
                 file.is_ready = true;
-                self.link.resize(file.key, file.left);
+                self.link.set_remaining_bytes(file.key, file.left);
             }
         }
     }
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use geranium_node::{
-    link::{LinkDecision, LinkRequest, LinkSchedule, TransferKey},
+    link::{LinkDecision, LinkSchedule, ReservationRequest, TransferKey},
     member::{FleetView, LoadReport, MemberKey, MemberRecord, PickQuery, TryOutcome},
     store::Revision,
 };
@@ -153,19 +153,19 @@
     /// Returns whether the member's link was reserved for the file.
     fn reserve_link(&mut self, now: Duration, sender: usize, key: MemberKey) -> bool {
         let link = usize::from(self.senders[sender].key_of(peer_addr(2)) == Some(key));
-        let link_request = LinkRequest {
+        let reservation_request = ReservationRequest {
             bytes: FILE_BYTES,
             ready_in: RUN,
             target_deadline: now + TARGET,
             ends_at: now + TARGET * 4,
         };
-        let decision = self.links[link].reserve(now, link_request);
+        let decision = self.links[link].reserve(now, reservation_request);
         let report = LoadReport {
             running: 1,
             waiting: 0,
-            service: RUN,
-            run: RUN,
-            link: self.links[link].backlog(now),
+            mean_run_time: RUN,
+            route_run_time: RUN,
+            link_backlog: self.links[link].backlog(now),
         };
         let fleet = &mut self.senders[sender];
         fleet.record_load(now, key, LONG.route_hash, report);
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -52,7 +52,7 @@
             return;
         }
         let (since, jitter) = self.pause;
-        if now >= since + self.access.pause(duty, jitter) {
+        if now >= since + self.access.probe_pause(duty, jitter) {
             self.fail(now, rng);
             self.relay_selector.record_store_lost();
         }
@@ -76,13 +76,14 @@
                 let relay_selector =
                     &mut fleet[position.expect("the relay is a member")].relay_selector;
                 relay_selector.record_update_request(now);
-                let contact = StoreReachability {
+                let reachability = StoreReachability {
                     age: relay_selector.store_age(now),
                     lost: relay_selector.has_lost_store(),
                 };
-                let probe_needed = fleet[own]
-                    .relay_selector
-                    .record_reachability(now, peer_addr, contact);
+                let probe_needed =
+                    fleet[own]
+                        .relay_selector
+                        .record_reachability(now, peer_addr, reachability);
                 if probe_needed && fleet[own].access.recheck() {
                     fleet[own].pause = (now, rng.random());
                 }
--- a/crates/node/tests/all/poison.rs
+++ b/crates/node/tests/all/poison.rs
@@ -59,7 +59,7 @@
             if is_refused(registry.status(now, fingerprint)) {
                 result.frequent_refused += 1;
             } else {
-                registry.completed(fingerprint);
+                registry.record_completion(fingerprint);
             }
         }
         let sent = second >= FIRST_SENT;
@@ -131,9 +131,9 @@
 fn completions_clear_a_suspect() {
     let mut registry = PoisonRegistry::new(LIMITS);
     registry.record(SECOND, crash_record(2, 0, 1));
-    (0..15).for_each(|_| registry.completed(2));
+    (0..15).for_each(|_| registry.record_completion(2));
     assert_eq!(registry.status(SECOND, 2), PoisonStatus::Suspect);
-    registry.completed(2);
+    registry.record_completion(2);
     assert_eq!(registry.status(SECOND, 2), PoisonStatus::Clear);
 }
 
@@ -143,7 +143,7 @@
 #[test]
 fn past_completions_offset_only_one_crash() {
     let mut registry = PoisonRegistry::new(LIMITS);
-    (0..100_000).for_each(|_| registry.completed(POISON));
+    (0..100_000).for_each(|_| registry.record_completion(POISON));
     let mut crashes = 0;
     while !is_refused(registry.status(SECOND, POISON)) {
         registry.record(SECOND, crash_record(POISON, crashes, 1));
@@ -157,7 +157,7 @@
 #[test]
 fn crashes_together_refuse_a_frequent_lookup_for_a_minute_at_most() {
     let mut registry = PoisonRegistry::new(LIMITS);
-    (0..1_000).for_each(|_| registry.completed(7));
+    (0..1_000).for_each(|_| registry.record_completion(7));
     for instance in 0..4 {
         registry.record(SECOND, crash_record(7, instance, 1));
         registry.record(SECOND, crash_record(100 + instance as u64, instance, 1));
--- a/crates/node/tests/all/queue.rs
+++ b/crates/node/tests/all/queue.rs
@@ -12,7 +12,7 @@
     AdmissionRequest {
         rank,
         route_hash,
-        nested: false,
+        is_nested: false,
         may_wait: true,
         target_deadline: at(target_deadline),
         ends_at: at(target_deadline + 1_000),
@@ -127,7 +127,7 @@
     queue.admit(at(0), request(1, 1, 1_000));
     let order = expect_wait(queue.admit(at(0), request(1, 1, 1_000)));
     let call = AdmissionRequest {
-        nested: true,
+        is_nested: true,
         ..request(1, 2, 50)
     };
     let call = expect_wait(queue.admit(at(1), call));
@@ -165,7 +165,7 @@
         };
         for _ in 0..3 {
             let call = AdmissionRequest {
-                nested: true,
+                is_nested: true,
                 ..request(1, 2, now + 50)
             };
             expect_wait(queue.admit(at(now), call));
--- a/crates/node/tests/all/queue_load.rs
+++ b/crates/node/tests/all/queue_load.rs
@@ -108,7 +108,7 @@
             let admission_request = AdmissionRequest {
                 rank: route.rank,
                 route_hash: number as u64,
-                nested: false,
+                is_nested: false,
                 may_wait: true,
                 target_deadline: target_at,
                 ends_at: target_at + millis(500),
