--- a/crates/node/src/admin/admin_handler.rs
+++ b/crates/node/src/admin/admin_handler.rs
@@ -18,7 +18,6 @@
 pub const METRICS_PATH: &str = "/metrics";
 /// Path of the node's [`NodeStatus`], as JSON.
 pub const STATUS_PATH: &str = "/status";
-
 /// Path of the records of all known members, as JSON.
 pub const MEMBERS_PATH: &str = "/members";
 
@@ -34,7 +33,7 @@
         Self { core }
     }
 
-    /// Returns the page that a request asks for, or a 404 response.
+    /// Returns the page at the path of a request, or a 404 response.
     pub fn handle(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             METRICS_PATH => self.metrics(),
--- a/crates/node/src/admin/node_status.rs
+++ b/crates/node/src/admin/node_status.rs
@@ -7,11 +7,11 @@
 /// Status of a node, as its status page shows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Instance on which the node runs.
+    /// Name of the machine (platform instance) on which the node runs.
     pub instance: String,
     /// Data centre of the instance.
     pub data_centre: String,
-    /// Service of the local backend server.
+    /// Service that the settings named at the node's start.
     pub service: String,
     /// Address at which other nodes reach this one.
     #[serde(rename = "hop")]
@@ -20,14 +20,16 @@
     pub version: u64,
     /// Number of members that the node knows.
     pub members: usize,
-    /// Milliseconds since the store last answered this node.
+    /// Milliseconds since the store last responded to this node; since the node's start
+    /// before the first response.
     pub store_age_ms: u64,
-    /// Current start of the local backend server; none when no live one is known.
+    /// Current start of the local backend server, which may be leaving or dead; none while
+    /// none is known.
     pub backend: Option<String>,
     /// Number of requests that run at the local backend server.
     pub running: u32,
     /// Number of requests that wait for a slot of the local backend server.
     pub waiting: u32,
-    /// Whether the node accepts callers' requests.
+    /// Whether the readiness check of the node passes.
     pub ready: bool,
 }
--- a/crates/node/src/config/config_delta.rs
+++ b/crates/node/src/config/config_delta.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns the document that the delta makes out of `from`.
+    /// Returns the document that results from applying the delta to `from`.
     ///
     /// Returns `None` if the delta applies to another version.
     ///
--- a/crates/node/src/config/config_error.rs
+++ b/crates/node/src/config/config_error.rs
@@ -28,13 +28,13 @@
         /// Prefix as written in the document.
         prefix: String,
     },
-    /// A route allows 0 attempts.
+    /// The `attempts` of a route are 0.
     #[snafu(display("route {route} allows no attempt"))]
     NoAttempts {
         /// Name of the route.
         route: String,
     },
-    /// A time isn't a number above 0 and up to 3600 seconds.
+    /// A time isn't above 0 and at most 3600 seconds.
     #[snafu(display("{field} has a time out of range"))]
     TimeOutOfRange {
         /// Name of the route, or of the limit, whose time is out of range.
--- a/crates/node/src/config/config_input.rs
+++ b/crates/node/src/config/config_input.rs
@@ -38,7 +38,7 @@
     pub target_s: f64,
     /// Priority rank; 0 is the most urgent.
     pub rank: u8,
-    /// Largest number of backend servers that one request may be sent to.
+    /// Largest number of backend servers that one attempt of a caller may reach.
     pub attempts: u32,
     /// Services that requests are sent to, with their weights.
     pub shares: Vec<ShareInput>,
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: checked routes and services.
+//! Configuration documents, their checked form, and deltas between versions.
 //!
 //! [`ConfigInput`] is the unchecked document, in the form in which nodes send it to each
 //! other. [`MeshConfig`] is the checked form. Each of its routes names only services that the
--- a/crates/node/src/config/route_rule.rs
+++ b/crates/node/src/config/route_rule.rs
@@ -18,7 +18,7 @@
     pub input: Rc<RouteInput>,
     /// Name of the route.
     pub name: Rc<str>,
-    /// Hash of the name, which identifies the route in the members' load estimates.
+    /// Hash of the name, by which nodes identify the route in headers and statistics.
     pub route_hash: u64,
     /// Kind of the requests, which says whether they may run more than once.
     pub kind: RequestKind,
@@ -28,7 +28,7 @@
     pub target: Duration,
     /// Priority rank; 0 is the most urgent.
     pub rank: u8,
-    /// Largest number of backend servers that one request may be sent to.
+    /// Largest number of backend servers that one attempt of a caller may reach.
     pub attempts: u32,
     /// Services that requests are sent to.
     pub shares: WeightedRoundRobin,
@@ -73,7 +73,7 @@
 
 /// Converts seconds to a duration.
 ///
-/// Seconds out of range are refused with an error that names their `field`.
+/// Seconds out of range are refused with an error that names `field`.
 pub(super) fn checked_time(seconds: f64, field: &str) -> Result<Duration, ConfigError> {
     if seconds > 0.0 && seconds <= TIME_MAX_S {
         Ok(Duration::from_secs_f64(seconds))
--- a/crates/node/src/config/weighted_round_robin.rs
+++ b/crates/node/src/config/weighted_round_robin.rs
@@ -13,8 +13,8 @@
 
 /// Divides a route's requests among its services in proportion to their weights.
 ///
-/// It uses smooth weighted round robin. After any number of requests, each service has got its
-/// share to within one request, so the shares also hold over short times. With random
+/// The division is a smooth weighted round robin. After any number of requests, each service has
+/// got its share to within about one request, so the shares also hold over short times. With random
 /// selection, a service with half of the weight would be off its share by 0.1 in one of twenty
 /// windows of 100 requests.
 #[derive(Debug)]
--- a/crates/node/src/crash/break_diagnosis.rs
+++ b/crates/node/src/crash/break_diagnosis.rs
@@ -13,7 +13,7 @@
     /// The backend server has crashed: its address refuses connections, or another start
     /// of it listens there.
     Crashed,
-    /// The backend server still runs, and only the answer was lost.
+    /// The backend server still runs, and only the response was lost.
     AnswerLost,
     /// The probe couldn't tell whether the backend server still runs.
     Unclear,
@@ -31,7 +31,7 @@
 impl BreakDiagnosis {
     /// Returns whether the request may have crashed the backend server.
     ///
-    /// Such a request might crash the next backend server, too.
+    /// A suspicious request might crash the next backend server, too.
     ///
     /// # Examples
     ///
--- a/crates/node/src/crash/broken_runs.rs
+++ b/crates/node/src/crash/broken_runs.rs
@@ -20,7 +20,7 @@
 /// that breaks every run for some seconds.
 const RECENT_MAX: usize = 1_024;
 
-/// Run whose connection broke before an answer, and whose sender waits for the cause.
+/// Run whose connection broke before a response, and whose sender waits for the cause.
 #[derive(Debug)]
 pub(super) struct BrokenRun {
     pub(super) record: CrashRecord,
@@ -38,7 +38,7 @@
     record: CrashRecord,
 }
 
-/// Runs whose connection broke before an answer, and crashes waiting to be shared.
+/// Runs whose connection broke before a response, and crashes waiting to be shared.
 ///
 /// The inbound proxy adds broken runs; [`watch_crashes`](super::watch_crashes) takes them
 /// out and diagnoses them.
@@ -49,7 +49,7 @@
     /// doesn't find the start crashed.
     first_break: RefCell<Option<(EndpointStart, Duration)>>,
     recent: RefCell<Vec<RecentRun>>,
-    /// Records of crashes that showed only after the runs were diagnosed otherwise.
+    /// Records of crashes that were detected only after the runs had another diagnosis.
     late_crashes: RefCell<Vec<CrashRecord>>,
     /// Number of batches of late crashes that are being sent to other nodes.
     late_batches_open: Cell<u32>,
@@ -58,7 +58,7 @@
     written: RefCell<Vec<(Duration, Vec<CrashRecord>)>>,
     /// Crashes that are to be written to the store again.
     unwritten: RefCell<Vec<Vec<CrashRecord>>>,
-    /// Signals waiting runs, late crashes or crashes to be written again.
+    /// Wakes the watcher for waiting runs, late crashes or crashes to be written again.
     pub(super) work_added: Notify,
 }
 
@@ -90,7 +90,7 @@
         diagnosis
     }
 
-    /// Drops the runs that were sent after the start crashed. They weren't running then.
+    /// Drops the runs that were sent after the start crashed, which weren't running at the crash.
     pub(super) fn drop_sent_after_crash(&self, start: &EndpointStart, runs: &mut Vec<BrokenRun>) {
         let first = self.first_break.borrow();
         let crash = first.as_ref().filter(|(crashed, _)| crashed == start);
--- a/crates/node/src/crash/crash_broadcast.rs
+++ b/crates/node/src/crash/crash_broadcast.rs
@@ -22,7 +22,8 @@
 pub(super) const CRASH_LEASE_TIME: Duration = Duration::from_secs(30);
 /// Pause after a crash couldn't be written to the store.
 const STORE_RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Time after which writing a crash is given up. Callers' automatic resends end by then.
+/// Time after which the node gives up writing a crash. Callers' automatic resends end by
+/// then.
 const STORE_RETRY_TIME: Duration = Duration::from_secs(600);
 /// Timeout of a call that notifies another node of crashes. The senders of broken runs wait
 /// until these calls end.
@@ -36,7 +37,7 @@
 
 /// Sends crashes to the nodes whose backend servers get the same requests.
 ///
-/// Returns once each has answered or missed the timeout; the latter are tried again later.
+/// Returns once each has responded or missed the timeout; the latter are tried again later.
 pub(super) async fn notify_peers(core: &Rc<NodeCore>, records: &[CrashRecord]) {
     let body = match serde_json::to_vec(records) {
         Ok(body) => Bytes::from(body),
@@ -101,7 +102,7 @@
 
 /// Writes crashes to the store, for the nodes that aren't notified directly.
 ///
-/// Waits for the store while it is away, and tries again after a failure.
+/// Waits while the store is unavailable, and tries again after a failure.
 pub(super) async fn store_crashes(
     core: Rc<NodeCore>,
     store: Rc<impl MetaStore>,
@@ -144,7 +145,7 @@
     let key = format!("{CRASH_PREFIX}{}-{:x}", first.start, first.fingerprint);
     let write = StoreWrite::leased(&key, &value, Revision(0), grant.lease);
     match store.commit(&[write]).await {
-        // An earlier write whose answer was lost has created the key under another lease.
+        // An earlier write whose response was lost has created the key under another lease.
         Err(StoreError::Conflict { .. }) => Ok(Revision(0)),
         written => written,
     }
--- a/crates/node/src/crash/crash_handler.rs
+++ b/crates/node/src/crash/crash_handler.rs
@@ -16,7 +16,8 @@
 
 /// Path to which other nodes post crash records.
 pub const CRASH_PATH: &str = "/.geranium/crash";
-/// Maximum size of a message: a thousand records of some 80 bytes, with room to spare.
+/// Maximum size of a message in bytes. A thousand records of some 80 bytes take a third of
+/// it.
 const BODY_MAX_BYTES: usize = 256 * 1024;
 
 /// Handles crash records that other nodes send.
@@ -26,12 +27,12 @@
 }
 
 impl CrashHandler {
-    /// Makes the handler of a node.
+    /// Creates the handler of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
-    /// Records the crashes of a message and answers once they count on this node.
+    /// Records the crashes of a message and responds once they count on this node.
     ///
     /// A body that is too long or can't be decoded gets status 400.
     pub async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
--- a/crates/node/src/crash/crash_history.rs
+++ b/crates/node/src/crash/crash_history.rs
@@ -59,7 +59,7 @@
         self.registry.record_completion(fingerprint);
     }
 
-    /// Returns for how long a request is still refused; none when it isn't.
+    /// Returns the time for which a request is still refused; none when it isn't refused.
     pub fn refusal(&self, now: Duration, fingerprint: u64) -> Option<Duration> {
         match self.registry.status(now, fingerprint) {
             PoisonStatus::Refused { retry_after } => Some(retry_after),
@@ -69,14 +69,14 @@
 
     /// Returns whether a request must not run beside other suspects.
     ///
-    /// A suspect was running when a backend server crashed. A request whose successful
-    /// completions offset a crash more likely only ran beside the cause, and isn't held apart.
+    /// A suspect was running when a backend server crashed. A request whose successful completions
+    /// offset a crash more likely only ran beside the cause, and isn't a suspect.
     pub fn is_suspect(&self, now: Duration, fingerprint: u64) -> bool {
         let status = self.registry.status(now, fingerprint);
         status == PoisonStatus::Suspect && !self.registry.was_forgiven(fingerprint)
     }
 
-    /// Returns the records after a revision, each with its own, for another node.
+    /// Returns the records after a revision, each with its own revision, for another node.
     pub fn records_since(&self, since: Revision) -> Vec<(u64, CrashRecord)> {
         let records = self
             .records
--- a/crates/node/src/crash/crash_watch.rs
+++ b/crates/node/src/crash/crash_watch.rs
@@ -31,10 +31,10 @@
 
 /// Diagnoses broken runs and records crashes of the backend server until the node ends.
 ///
-/// A request crashed its backend server, rather than lost its answer, if the backend
-/// server doesn't run any more after its connections broke. The senders of broken runs are
-/// answered only once that is known, so that a request that a caller resends at once meets
-/// nodes that know of the crash.
+/// A request crashed its backend server, rather than lost its response, if the backend
+/// server doesn't run anymore after its connections broke. The senders of broken runs get
+/// the diagnosis only once that is known, so that a request that a caller resends at once
+/// meets nodes that know of the crash.
 pub async fn watch_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
         core.inbound.broken_runs().work_added.notified().await;
@@ -71,7 +71,7 @@
     starts
 }
 
-/// Diagnoses broken runs of one start, and answers their senders.
+/// Diagnoses broken runs of one start, and sends the diagnosis to their senders.
 async fn diagnose_runs(
     core: Rc<NodeCore>,
     store: Rc<impl MetaStore>,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Records crashes that showed when another start replaced the one that crashed.
+/// Records crashes that were detected only when another start replaced the crashed one.
 async fn record_late_crashes(
     core: Rc<NodeCore>,
     store: Rc<impl MetaStore>,
@@ -126,7 +126,7 @@
     core.inbound.broken_runs().record_late_notified();
 }
 
-/// Records crashes on this node, on its peers and in the store.
+/// Records crashes on this node, notifies its peers, and starts writing them to the store.
 async fn publish_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>, records: Vec<CrashRecord>) {
     let now = core.clock.now();
     for record in &records {
@@ -139,7 +139,7 @@
 
 /// Probes the backend server's health path to find out whether `start` still runs.
 ///
-/// An answer from the same start shows that it still runs. A refused connection shows that
+/// A response from the same start shows that it still runs. A refused connection shows that
 /// it has ended, unless other runs are still open there: an overloaded server refuses
 /// connections, too.
 async fn probe(core: &NodeCore, start: &EndpointStart) -> BreakCause {
--- a/crates/node/src/crash/mod.rs
+++ b/crates/node/src/crash/mod.rs
@@ -5,7 +5,7 @@
 //! whether it still runs ([`watch_crashes`]). If it doesn't, or if another start soon
 //! replaces it, each request that was running gets a [`CrashRecord`]. The nodes whose
 //! backend servers get the same requests are notified ([`CrashHandler`]) before the sender
-//! of the request is answered; all others learn of it by way of the store
+//! of the request gets the diagnosis; all others learn of it by way of the store
 //! ([`CrashHistory`]). [`PoisonRegistry`] counts the records of each
 //! [`request_fingerprint`] and decides from which count on a request is refused. Outbound
 //! proxies refuse it to callers, and inbound proxies to other nodes.
--- a/crates/node/src/crash/poison_limits.rs
+++ b/crates/node/src/crash/poison_limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Limits from which requests that crash backend servers are refused.
+/// When, and for how long, requests that crash backend servers are refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoisonLimits {
     /// Number of crashes of backend servers after which a request is refused.
--- a/crates/node/src/crash/poison_registry.rs
+++ b/crates/node/src/crash/poison_registry.rs
@@ -56,7 +56,7 @@
 }
 
 impl PoisonRegistry {
-    /// Makes an empty registry.
+    /// Creates an empty registry.
     pub fn new(limits: PoisonLimits) -> Self {
         Self {
             limits,
--- a/crates/node/src/crash/poison_status.rs
+++ b/crates/node/src/crash/poison_status.rs
@@ -2,14 +2,15 @@
 
 use std::time::Duration;
 
-/// Status of a request in the poison registry.
+/// Whether a request may run, given the crashes that are recorded for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PoisonStatus {
     /// No crash counts against the request.
     Clear,
     /// The request was running when a backend server crashed.
     ///
-    /// It is never retried, and never runs beside another suspect.
+    /// The inbound proxy runs one suspect at a time, unless successful completions offset
+    /// one of its crashes.
     Suspect,
     /// The request is refused as `Poisoned` and doesn't run.
     Refused {
--- a/crates/node/src/crash/suspect_record.rs
+++ b/crates/node/src/crash/suspect_record.rs
@@ -1,4 +1,4 @@
-//! Crash count of one request.
+//! Number of crashes of one request.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
         self.forgiven = (self.forgiven + 1).min(self.crashes);
     }
 
-    /// Removes the oldest crash, counting it as an offset one if there are any.
+    /// Removes the oldest crash, and with it one offset, if there is one.
     pub(super) fn forget_one(&mut self) {
         self.crashes = self.crashes.saturating_sub(1);
         self.forgiven = self.forgiven.saturating_sub(1);
--- a/crates/node/src/delegation/delegated_call.rs
+++ b/crates/node/src/delegation/delegated_call.rs
@@ -77,9 +77,9 @@
 }
 
 impl DelegatedCall {
-    /// Makes the delegated call for a write.
+    /// Creates the delegated call for a write.
     ///
-    /// None when the value isn't UTF-8 or has no lease.
+    /// Returns none when the value isn't UTF-8 or has no lease.
     pub fn from_write(write: &StoreWrite<'_>) -> Option<Self> {
         let value = match write.change {
             StoreChange::Put { value, lease } => {
@@ -100,7 +100,8 @@
 
     /// Returns whether a node makes this call for another one.
     ///
-    /// Only announcements and short leases are allowed.
+    /// Allowed are leases of up to 30 s, renewals of any lease, and writes and removals of
+    /// announcements.
     ///
     /// # Examples
     ///
@@ -128,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// When the store can't be reached or refuses the call. A conflict and an ended lease are
+    /// Fails when the store can't be reached or refuses the call. A conflict and an ended lease are
     /// outcomes.
     pub async fn run(&self, store: &impl MetaStore) -> Result<DelegatedOutcome, StoreError> {
         let result = match self {
--- a/crates/node/src/delegation/delegated_call_handler.rs
+++ b/crates/node/src/delegation/delegated_call_handler.rs
@@ -15,7 +15,7 @@
 
 /// Path to which other nodes post delegated calls.
 pub const DELEGATED_CALL_PATH: &str = "/.geranium/errand";
-/// Maximum size of a delegated call. An announcement takes some 300 bytes.
+/// Maximum size of a delegated call in bytes. An announcement takes some 300 bytes.
 const BODY_MAX_BYTES: usize = 16 * 1024;
 
 /// Handles delegated calls from other nodes.
@@ -25,12 +25,12 @@
 }
 
 impl DelegatedCallHandler {
-    /// Makes the handler of a node.
+    /// Creates the handler of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
-    /// Queues a delegated call and answers with its outcome.
+    /// Queues a delegated call and responds with its outcome.
     ///
     /// A body that can't be decoded and a call that isn't allowed get status 400.
     pub async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
--- a/crates/node/src/delegation/delegated_call_queue.rs
+++ b/crates/node/src/delegation/delegated_call_queue.rs
@@ -11,7 +11,7 @@
 /// Maximum number of delegated calls that wait. Each node that has lost the store sends one
 /// every two seconds, and a call takes milliseconds.
 const WAITING_CALLS_MAX: usize = 64;
-/// Maximum time since the store's last answer that counts as recent. A delegated call that
+/// Maximum age of the store's last response that counts as recent. A delegated call that
 /// fails later than that means that this node has lost the store, too.
 const RECENT_RESPONSE_AGE_MAX: Duration = Duration::from_millis(500);
 
@@ -31,7 +31,7 @@
 impl DelegatedCallQueue {
     /// Queues a delegated call and returns the receiver of its outcome.
     ///
-    /// None when too many calls wait.
+    /// Returns none when too many calls wait.
     pub fn submit(&self, call: DelegatedCall) -> Option<oneshot::Receiver<DelegatedOutcome>> {
         let mut waiting = self.waiting.borrow_mut();
         if waiting.len() >= WAITING_CALLS_MAX {
--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -38,18 +38,18 @@
 
 /// Store access for this node's announcement.
 ///
-/// The node calls the store itself, or has another node make the calls while the store
-/// doesn't answer this one.
+/// The node calls the store itself. While it can't reach the store, it has another node
+/// make the calls.
 #[derive(Debug)]
 pub struct DelegatingStore<S> {
     core: Rc<NodeCore>,
     store: Rc<S>,
-    /// Node that made the last delegated call.
+    /// Node that last made a delegated call for this node; it is asked first.
     delegate: Cell<Option<SocketAddr>>,
 }
 
 impl<S: MetaStore> DelegatingStore<S> {
-    /// Makes the access of a node to `store`.
+    /// Creates the access of a node to `store`.
     pub const fn new(core: Rc<NodeCore>, store: Rc<S>) -> Self {
         Self {
             core,
@@ -67,7 +67,8 @@
     ///
     /// # Errors
     ///
-    /// When the store can't be reached or refuses the call.
+    /// Fails when the store refuses the call, or when neither this node nor another one can
+    /// make it.
     pub async fn grant(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
         if self.is_direct() {
             self.core.metrics.record_store_call("grant");
@@ -91,7 +92,8 @@
     ///
     /// # Errors
     ///
-    /// As [`MetaStore::renew`].
+    /// Fails as [`MetaStore::renew`], or with [`StoreError::NoAnswer`] when no other node
+    /// could make the call.
     pub async fn renew(&self, lease: LeaseId) -> Result<(), StoreError> {
         if self.is_direct() {
             self.core.metrics.record_store_call("renew");
@@ -112,7 +114,8 @@
     ///
     /// # Errors
     ///
-    /// As [`MetaStore::commit`].
+    /// Fails as [`MetaStore::commit`], or with [`StoreError::NoAnswer`] when no other node
+    /// could make the call.
     pub async fn commit(
         &self,
         write: StoreWrite<'_>,
@@ -148,8 +151,8 @@
         result
     }
 
-    /// Sends a delegated call to a few nodes in turn. The node that made the last one comes
-    /// first.
+    /// Sends a delegated call to a few nodes in turn. The node that made the last delegated
+    /// call comes first.
     async fn send(&self, delegated_call: &DelegatedCall) -> Result<DelegatedOutcome, StoreError> {
         for peer_addr in self.delegates() {
             match self.send_to(peer_addr, delegated_call).await {
--- a/crates/node/src/discovery/announcement_key.rs
+++ b/crates/node/src/discovery/announcement_key.rs
@@ -18,7 +18,7 @@
 }
 
 impl AnnouncementKey {
-    /// Makes the key of the node at `peer_addr` in a data centre.
+    /// Creates the key of the node at `peer_addr` in a data centre.
     ///
     /// # Examples
     ///
@@ -55,7 +55,7 @@
 
     /// Returns the address of the node that announces itself under `key`.
     ///
-    /// None when it isn't the key of an announcement.
+    /// Returns none when `key` isn't the key of an announcement.
     pub fn peer_addr_in(key: &str) -> Option<SocketAddr> {
         let (_, peer_addr) = key.strip_prefix(MEMBER_PREFIX)?.rsplit_once('/')?;
         peer_addr.parse().ok()
--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -17,39 +17,38 @@
     store::{LeaseId, MetaStore, Revision, StoreEra, StoreError, StoreWrite},
 };
 
-/// Time after which the store removes an announcement that isn't renewed. Nodes that send
+/// Time after which the store removes an announcement whose lease isn't renewed. Nodes that send
 /// requests to a node learn sooner that it is gone; the lease is for those that don't.
 const LEASE_TIME: Duration = Duration::from_secs(6);
 /// Time between renewals of the lease. Two may fail before the lease ends.
 const RENEW_INTERVAL: Duration = Duration::from_secs(2);
 
-/// First pause after a round in which no other node reached the store.
+/// First pause after a round of calls in which no other node reached the store.
 const RETRY_PAUSE_MIN: Duration = Duration::from_millis(500);
-/// Longest pause between such rounds. Three fit into the time of a lease. While no node
+/// Longest pause between such rounds of calls. Three fit into the time of a lease. While no node
 /// reaches the store, each round costs every node two requests.
 const RETRY_PAUSE_MAX: Duration = Duration::from_secs(2);
 
-/// What this node knows of its announcement in the store.
+/// This node's knowledge of its announcement in the store.
 #[derive(Debug, Default)]
 struct Announcement {
     lease: Option<LeaseId>,
     /// Revision of the key that the next write replaces; 0 when there is no key.
     revision: Revision,
-    /// Latest revision of the key that was applied here. The store's answer to a write is
-    /// newer than whatever the watch delivered before it.
+    /// Latest revision of the key that was applied here. The store's response to a write is newer
+    /// than whatever the watch delivered before it.
     seen_revision: Revision,
     record: Option<MemberRecord>,
 }
 
 /// Keeps this node's announcement in the store until the node stops.
 ///
-/// The lease may lapse while the store is away, the store may lose the key without notice,
-/// and a write may take effect without an answer or seconds later. The node therefore
-/// watches its own key like any other, and writes again what is missing there. Every write
-/// names the revision that it replaces, so a delayed write finds another revision and
-/// fails.
+/// The lease may end while the store is unavailable, the store may lose the key without notice, and
+/// a write may take effect without a response or seconds later. The node therefore watches its own
+/// key like any other, and writes again what is missing there. Every write names the revision that
+/// it replaces, so a delayed write finds another revision and fails.
 ///
-/// While the store doesn't answer this node, another one makes its calls ([`DelegatingStore`]).
+/// While this node can't reach the store, another node makes its calls ([`DelegatingStore`]).
 pub async fn keep_announced(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     let delegating_store = DelegatingStore::new(Rc::clone(&core), store);
     let mut announcement = Announcement::default();
@@ -81,7 +80,7 @@
 }
 
 impl Announcement {
-    /// Makes the calls that are due, if any.
+    /// Makes the store calls that are due, if any.
     async fn step(
         &mut self,
         core: &NodeCore,
@@ -125,7 +124,7 @@
         }
     }
 
-    /// Renews the lease of this node's earlier process, or asks for a new one.
+    /// Renews the lease of this node's earlier process, or requests a new one.
     ///
     /// Nodes restart more often than their backend servers do, and many at once. A new lease
     /// and a new announcement each cost a call, and every other node gets the change.
@@ -238,7 +237,7 @@
         }
     }
 
-    /// Notifies those who wait for the announcement, if the store holds the desired state.
+    /// Notifies the tasks that wait for the announcement, if the store holds the desired one.
     fn notify_if_stored(&self, core: &NodeCore) {
         let stored = match desired(core) {
             Some(desired) => self.stands_for(&desired),
@@ -250,7 +249,7 @@
         }
     }
 
-    /// Returns whether the stored announcement says what other nodes need of `desired`.
+    /// Returns whether the stored announcement tells other nodes the same as `desired`.
     fn stands_for(&self, desired: &MemberRecord) -> bool {
         let record = self.record.as_ref();
         record.is_some_and(|record| record.stands_for(desired))
--- a/crates/node/src/discovery/apply_updates.rs
+++ b/crates/node/src/discovery/apply_updates.rs
@@ -41,8 +41,8 @@
             .map(Rc::new),
     };
     let Some(input) = input else {
-        // The value couldn't be decoded, or a newer version arrived otherwise meanwhile, so
-        // that the difference doesn't apply.
+        // The document couldn't be decoded, or a newer version came from another source
+        // meanwhile, so that the delta doesn't apply.
         return;
     };
     match MeshConfig::checked(input, current.as_deref()) {
@@ -80,7 +80,7 @@
     core.update_arrived.notify_waiters();
 }
 
-/// Applies an announcement, and adds it to the log entries if it changes anything.
+/// Applies an announcement, and adds it to `member_log` if it changes anything.
 pub(super) fn apply_record(
     core: &NodeCore,
     record: MemberRecord,
@@ -102,7 +102,7 @@
     }
 }
 
-/// Applies the absence of a node's announcement.
+/// Records that the announcement of the node at `peer_addr` is missing.
 pub(super) fn apply_lapse(core: &NodeCore, peer_addr: SocketAddr, revision: Revision) {
     let newly_lapsed = core
         .fleet
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -91,7 +91,7 @@
     Ok(batch.revision.max(after))
 }
 
-/// Puts a configuration in force; an invalid one leaves the present one in force.
+/// Puts a configuration in force; an invalid one leaves the current one in force.
 fn adopt(core: &NodeCore, source: ConfigSource, item: &StoreItem) {
     let before = core.config.borrow().clone();
     let input = (source.parse)(&item.value);
--- a/crates/node/src/discovery/era_watch.rs
+++ b/crates/node/src/discovery/era_watch.rs
@@ -10,13 +10,14 @@
 ///
 /// The task runs until the node ends.
 ///
-/// Whoever uses a watch or a lease of the earlier era discards it. Nodes that watch the
-/// members list them again, and other nodes get them from these.
+/// Other tasks discard watches and leases of the earlier era
+/// ([`keep_announced`](super::keep_announced), [`watch_members`](super::watch_members)).
+/// Nodes that watch the members list them again, and other nodes get them from these nodes.
 pub async fn watch_eras(core: Rc<NodeCore>) {
     let mut known = core.eras.latest();
     loop {
         let era = core.eras.after(known).await;
-        // A node that starts first learns the present era, which is no change.
+        // At its start a node learns the current era; that is no change.
         if core.fleet.borrow().revision().number() > 0 {
             warn!(core.log.logger(), "store era changed";
                 "before" => known.0, "era" => era.0);
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -28,16 +28,16 @@
 /// Pause after a change in which further ones are collected. Each watch costs a call. Until
 /// the change arrives here, the inbound proxies refuse requests that come too late.
 const GATHER_TIME: Duration = Duration::from_millis(250);
-/// Time between listings while a new fleet announces itself. Heartbeats come every second
-/// and a half.
+/// Time between listings while a fleet starts for the first time and announces itself.
+/// Heartbeats come every second and a half.
 const FIRST_START_LIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between checks whether this node has to watch the store.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Watches the announcements and crashes in the store while this node has that duty.
 ///
-/// First lists the members of its data centre, unless the whole fleet starts for the first
-/// time.
+/// The node first lists the members of its data centre, unless the whole fleet starts for
+/// the first time.
 pub async fn watch_members(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
         if !core.knows_local_members() {
@@ -76,8 +76,8 @@
     }
 }
 
-/// Reads the announcements of this data centre. One of them is that of the node to ask for
-/// all others.
+/// Reads the announcements of this data centre. One of these nodes becomes the relay, which
+/// sends all others.
 async fn list_local_members(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
     core.metrics.record_store_call("list-home");
     let prefix = AnnouncementKey::prefix(&core.settings.data_centre);
@@ -152,8 +152,8 @@
 ///
 /// Another program may have written the key: fields are missing or have another type, the
 /// value isn't an announcement, or it replaced that of a member. Such an item gives no
-/// address. The member whose announcement it replaced is treated as if that was removed,
-/// and its own node writes it again. The other items are still applied.
+/// address. The announcement that it replaced is treated as removed, and its own node
+/// writes it again. The other items are still applied.
 fn apply_item(core: &NodeCore, item: &StoreItem, member_log: &mut MemberLog) -> Option<SocketAddr> {
     if item.key.starts_with(CRASH_PREFIX) {
         apply_crashes(core, item);
@@ -174,7 +174,7 @@
     None
 }
 
-/// Applies the absence of an announcement at a key. A key under which the node wouldn't
+/// Records that the announcement at a key is missing. A key under which its node wouldn't
 /// announce itself has no effect on a member.
 fn apply_removal(core: &NodeCore, key: &str, revision: Revision) {
     let Some(peer_addr) = AnnouncementKey::peer_addr_in(key) else {
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,15 +1,15 @@
 //! Discovery of the configuration and the members, and this node's announcement.
 //!
 //! Every call to the store is paid for, and the rate of calls must grow more slowly than
-//! the fleet. Therefore only one node of each data centre, the relay that
-//! [`RelaySelector`] chooses, watches the store by [`watch_config`] and [`watch_members`].
-//! The other nodes send their requests to the relay, which holds each one until it has an
-//! update ([`follow_relay`], [`UpdateHandler`]). A node that learns from a request or a
-//! response that another node holds a newer configuration asks that node
-//! ([`fetch_newer_config`]). [`keep_announced`] keeps this node's announcement under a
-//! lease. While the store is away, every node keeps the data that it has, and only
-//! [`probe_store`] calls the store ([`StoreAccess`]). Relays do so often, and tell their
-//! nodes when it is back.
+//! the fleet. Therefore only one node of each data centre, the relay that [`RelaySelector`]
+//! chooses, watches the store by [`watch_config`] and [`watch_members`]. The other nodes
+//! send their requests to the relay, which holds each one until it has an update
+//! ([`follow_relay`], [`UpdateHandler`]). A node that learns from a request or a response
+//! that another node holds a newer configuration asks that node ([`fetch_newer_config`]).
+//! [`keep_announced`] keeps this node's announcement under a lease. While the store is
+//! unavailable, every node keeps the data that it has, and only [`probe_store`] calls the
+//! store ([`StoreAccess`]). Relays probe often, and tell the nodes that use them when the
+//! store is available again.
 
 mod announcement_key;
 mod announcer;
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -1,4 +1,4 @@
-//! Probes a lost store until it answers again.
+//! Probes an unavailable store until it responds again.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
     store::{MetaStore, ReadConsistency},
 };
 
-/// Probes the store after each failed call until it answers.
+/// Probes the store after each failed call until it responds.
 ///
 /// The task runs until the node ends.
 pub async fn probe_store(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Waits until a probe is due; returns false if the store is back.
+/// Waits until a probe is due; returns false if the store may be called again.
 ///
 /// The pause is computed again whenever the node's duty changes, since a node that loses
 /// its relay must probe the store itself soon.
--- a/crates/node/src/discovery/update_client.rs
+++ b/crates/node/src/discovery/update_client.rs
@@ -15,22 +15,22 @@
     transport::{PeerCall, PeerCallError},
 };
 
-/// Longest time that a relay holds a request until it has an update. Its response also
-/// says how long ago the store answered it, so a relay that is cut off from the store is
-/// skipped a second or two after that shows.
+/// Longest time that a relay holds a request while it has no update. Its response tells the
+/// age of its last contact with the store, so a relay that is cut off from the store is
+/// noticed and skipped within a second or two.
 const UPDATE_WAIT: Duration = Duration::from_secs(2);
-/// Longest wait of a node without a configuration. Its callers are refused until another
-/// node is asked.
+/// Shorter wait while this node has no configuration. It refuses callers meanwhile, so it
+/// must soon give up a relay that hangs and ask another node.
 const FIRST_UPDATE_WAIT: Duration = Duration::from_millis(400);
-/// Time beyond the wait in which the response has to arrive. It allows for the slowest
+/// Time after the wait within which the response has to arrive, even over the slowest
 /// links.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(1_200);
 /// Pause between requests in which further updates are collected.
 const UPDATE_PAUSE: Duration = Duration::from_millis(100);
 /// Time between checks for a relay while this node watches the store itself.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time that the relay has to send a newer configuration. After it, the node known to hold
-/// that configuration is asked.
+/// Time that the relay has to send a newer configuration. After this time, the node that is
+/// known to hold that configuration is asked.
 const RELAY_HEAD_START: Duration = Duration::from_millis(700);
 
 /// Failure of a request for updates.
@@ -52,11 +52,11 @@
 
 /// Polls the relay for updates while there is one.
 ///
-/// A relay that dies, hangs or is cut off from the store shows by a request that fails, or
-/// by the age of its last contact with the store. It is skipped for some seconds, and the
-/// next one is asked, or the store itself when none is left. A relay that the store refuses
-/// says so at once, so that a change is in force in time even where the store refuses
-/// every relay at the same moment.
+/// A relay that dies, hangs or is cut off from the store is noticed by a request that
+/// fails, or by the age of its last contact with the store. It is skipped for some seconds,
+/// and the next one is asked, or the store itself when none is left. A relay whose calls
+/// the store refuses says so at once, so that a change is in force in time even where the
+/// store refuses every relay at the same moment.
 pub async fn follow_relay(core: Rc<NodeCore>) {
     let mut lost_relay: Option<SocketAddr> = None;
     loop {
--- a/crates/node/src/discovery/update_handler.rs
+++ b/crates/node/src/discovery/update_handler.rs
@@ -12,22 +12,22 @@
     response_body::{ResponseBody, empty_response, json_response},
 };
 
-/// Path at which a node answers requests for updates.
+/// Path at which a node handles requests for updates.
 pub const UPDATE_PATH: &str = "/.geranium/follow";
 
-/// Answers requests for updates of the configuration, the members and the crashes.
+/// Handles other nodes' requests for updates of the configuration, members and crashes.
 #[derive(Debug, Clone)]
 pub struct UpdateHandler {
     core: Rc<NodeCore>,
 }
 
 impl UpdateHandler {
-    /// Makes the handler of a node.
+    /// Creates the handler of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
-    /// Answers as soon as there is an update, or when the request's wait ends.
+    /// Responds as soon as there is an update, or when the request's wait ends.
     ///
     /// A query that can't be parsed gets status 400.
     pub async fn handle(&self, uri: &Uri) -> Response<ResponseBody> {
@@ -35,7 +35,7 @@
         let Ok(request) = request else {
             return empty_response(StatusCode::BAD_REQUEST);
         };
-        // A node that waits uses this one as its relay. One that doesn't asks only once.
+        // A node that waits uses this one as its relay; a node that doesn't wait asks only once.
         if !request.wait.is_zero() {
             self.core.record_update_request();
         }
--- a/crates/node/src/distribution/config_history.rs
+++ b/crates/node/src/distribution/config_history.rs
@@ -5,7 +5,7 @@
 use super::{ConfigUpdate, PackedConfig};
 use crate::config::{ConfigDelta, ConfigInput, ConfigVersion};
 
-/// Number of versions kept.
+/// Largest number of versions that the history keeps.
 ///
 /// The configuration changes at most five times a second for some seconds, and other nodes
 /// request updates within one or two seconds.
--- a/crates/node/src/distribution/packed_config.rs
+++ b/crates/node/src/distribution/packed_config.rs
@@ -9,7 +9,7 @@
 
 use crate::config::ConfigInput;
 
-/// Largest size in bytes of an uncompressed document.
+/// Largest size of an uncompressed document in bytes.
 const DOCUMENT_MAX_BYTES: u64 = 64 * 1024 * 1024;
 
 /// A whole configuration in compressed form.
--- a/crates/node/src/distribution/relay_selector.rs
+++ b/crates/node/src/distribution/relay_selector.rs
@@ -26,10 +26,10 @@
     Node(SocketAddr),
 }
 
-/// A node's contact with the store, as that node reports it.
+/// How well a node reaches the store, as that node reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreReachability {
-    /// Time since the store last answered the node.
+    /// Time since the store last responded to the node.
     pub age: Duration,
     /// Whether the node has lost the store.
     pub lost: bool,
@@ -53,7 +53,7 @@
     cut_off_until: HashMap<SocketAddr, Duration>,
     /// Until when this node watches the store on behalf of others.
     watch_until: Duration,
-    /// When the store last answered this node.
+    /// When the store last responded to this node.
     store_answered_at: Duration,
     store_lost: bool,
     /// Whether the relay that responded last is cut off from the store.
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Records that the store answered, and returns whether it was lost before.
+    /// Records that the store responded to this node, and returns whether it was lost before.
     pub fn store_answered(&mut self, now: Duration) -> bool {
         self.store_answered_at = now;
         std::mem::take(&mut self.store_lost)
@@ -87,12 +87,12 @@
         !std::mem::replace(&mut self.store_lost, true)
     }
 
-    /// Returns whether this node has lost the store.
+    /// Returns whether this node has lost the store: a probe has failed since its last response.
     pub const fn has_lost_store(&self) -> bool {
         self.store_lost
     }
 
-    /// Returns the time since the store last answered this node.
+    /// Returns the time since the store last responded to this node.
     pub fn store_age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.store_answered_at)
     }
@@ -108,7 +108,7 @@
             .insert(peer_addr, now + RELAY_EXCLUSION_TIME);
     }
 
-    /// Records the contact with the store that the node at `peer_addr` reported.
+    /// Records how well the node at `peer_addr` reaches the store, as it reported.
     ///
     /// A node that is cut off from the store is skipped for a while, unless this node is cut
     /// off as well. Returns whether so many nodes are cut off that this node should probe the
@@ -141,7 +141,7 @@
 
     /// Returns whether another node uses this one as its relay.
     ///
-    /// If so, this node watches the store.
+    /// A node that is used as a relay watches the store.
     pub fn has_recent_update_request(&self, now: Duration) -> bool {
         now < self.watch_until
     }
--- a/crates/node/src/distribution/store_access.rs
+++ b/crates/node/src/distribution/store_access.rs
@@ -20,7 +20,7 @@
 /// The relay tells this node when the store is available again.
 const PROBE_PAUSE_BY_RELAY: Duration = Duration::from_secs(8);
 
-/// Which node probes a store that this node has lost.
+/// Which node probes the store after this node has lost it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreProbeDuty {
     /// This node, for itself and for the nodes whose relay it is.
@@ -35,16 +35,16 @@
 
 /// Decides whether any part of a node may call the store.
 ///
-/// The store may be unavailable, or refuse this node's calls, for seconds, and each call is
-/// billed. After a failed call, no part of the node calls the store until a cheap probe has
-/// been answered. The pauses between probes grow, and are randomized so that the nodes don't
-/// probe at the same moment. A node with a relay probes rarely: otherwise the number of probes
-/// would grow with the size of the fleet times the length of the outage.
+/// The store may be unavailable, or refuse this node's calls, for seconds, and each call is billed.
+/// After a failed call, no part of the node calls the store until a cheap probe has succeeded. The
+/// pauses between probes grow, and are randomized so that the nodes don't probe at the same moment.
+/// A node with a relay probes rarely: otherwise the number of probes would grow with the size of
+/// the fleet times the length of the outage.
 #[derive(Debug, Default)]
 pub struct StoreAccess {
     /// Failed calls and probes since the last successful call.
     failures: u32,
-    /// Whether calls wait until a probe is answered.
+    /// Whether calls wait until a probe succeeds.
     suspended: bool,
 }
 
@@ -54,7 +54,7 @@
         !self.suspended
     }
 
-    /// Records that a call was answered.
+    /// Records that a call succeeded.
     ///
     /// Returns whether calls or probes had failed before.
     pub fn record_success(&mut self) -> bool {
@@ -73,7 +73,7 @@
         first
     }
 
-    /// Suspends calls until a probe is answered, because other nodes have lost the store.
+    /// Suspends calls until a probe succeeds, because other nodes have lost the store.
     ///
     /// Returns whether calls weren't suspended already.
     pub fn recheck(&mut self) -> bool {
@@ -85,7 +85,7 @@
         true
     }
 
-    /// Records that a probe was answered, and allows calls again.
+    /// Records that a probe succeeded, and allows calls again.
     ///
     /// Calls may still fail, as some faults of the store don't affect reads.
     pub fn record_probe_success(&mut self) {
--- a/crates/node/src/distribution/update_message.rs
+++ b/crates/node/src/distribution/update_message.rs
@@ -22,7 +22,7 @@
     pub version: ConfigVersion,
     /// Revision up to which the requesting node knows the members; 0 for none.
     pub members: Revision,
-    /// Longest time that the requesting node waits for an update.
+    /// Longest time that the other node may hold the request while it has no update.
     pub wait: Duration,
     /// Whether the requesting node knows already that the other one has lost the store.
     pub knows_store_lost: bool,
@@ -88,7 +88,7 @@
 /// A node's response to an [`UpdateRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UpdateResponse {
-    /// Milliseconds since the store last answered the responding node.
+    /// Milliseconds since the store last responded to the responding node.
     pub store_age_ms: u64,
     /// Whether the responding node has lost the store.
     pub store_lost: bool,
--- a/crates/node/src/event_log.rs
+++ b/crates/node/src/event_log.rs
@@ -12,13 +12,14 @@
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 use slog::{Drain, Logger, o};
 
-/// Most lines that wait for the writer thread; further ones are dropped.
+/// Largest number of lines that wait for the writer thread; further ones are dropped.
 const QUEUE_LINES_MAX: usize = 512;
-/// Most lines a second about single requests. Further ones are only counted: an overloaded
-/// node refuses many requests for the same reason.
+/// Largest number of lines a second about single requests. Further ones are only counted:
+/// an overloaded node refuses many requests for the same reason.
 const REQUEST_LINES_PER_SECOND: u32 = 200;
-/// Most bytes of one write. Writes of up to this size to a pipe that several processes
-/// share are atomic; longer ones may be interleaved with lines of other processes.
+/// Largest size of one write in bytes. Writes of up to this size to a pipe that several
+/// processes share are atomic; longer ones may be interleaved with lines of other
+/// processes.
 const WRITE_MAX_BYTES: usize = 4_096;
 /// Longest wait for each step of the flush at the end of the process.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/node/src/header_names.rs
+++ b/crates/node/src/header_names.rs
@@ -12,13 +12,14 @@
     pub request_id: HeaderName,
     /// Milliseconds until the caller stops waiting for the response.
     pub deadline_ms: HeaderName,
-    /// Signature that proves that a response comes from the backend server.
+    /// Signature that the backend server adds to a successful response. The node checks
+    /// only that it is there.
     pub signature: HeaderName,
-    /// The only start of the backend server that may run the request.
+    /// Identifier of the only backend server instance that may run the request.
     pub expected_instance: HeaderName,
-    /// Start of the backend server that responded.
+    /// Instance identifier of the backend server that responded.
     pub instance: HeaderName,
-    /// States that the backend server did not run the request.
+    /// Header whose presence states that the backend server did not run the request.
     pub not_executed: HeaderName,
     /// Service of the machine on which the request originated.
     pub caller_service: HeaderName,
@@ -62,7 +63,7 @@
 ];
 
 /// Estimated bytes of a head apart from the given headers: the first line, and the headers
-/// that the HTTP library adds (date, length, connection).
+/// that hyper adds (date, length, connection).
 const HEAD_FIXED_BYTES: u64 = 120;
 
 /// Returns the approximate size of a request's or response's head in bytes.
--- a/crates/node/src/http_listener.rs
+++ b/crates/node/src/http_listener.rs
@@ -16,11 +16,11 @@
 
 use crate::{node_core::NodeCore, response_body::ResponseBody, transport::tune_socket};
 
-/// Most connections that may wait to be accepted: a second's new callers at twenty
-/// times today's rate. Beyond it the kernel drops SYN packets, which clients send
+/// Largest number of connections that may wait to be accepted: a second's new callers at
+/// twenty times the usual rate. Beyond it the kernel drops SYN packets, which clients send
 /// again after a second.
 const BACKLOG: u32 = 1_024;
-/// Smallest read buffer that the HTTP library accepts.
+/// Smallest read buffer in bytes that hyper accepts.
 const BUFFER_MIN_BYTES: usize = 8_192;
 /// Time without a further connection after which a closing listener is shut.
 /// Connections that wait in the kernel are accepted at once.
@@ -46,7 +46,7 @@
 pub struct ConnectionLimits {
     /// Longest time that a connection may stay idle or a head may take to arrive.
     pub idle_timeout: Duration,
-    /// Most bytes of a request's head.
+    /// Largest size of a request's head in bytes.
     pub max_head_bytes: usize,
 }
 
--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -29,7 +29,7 @@
     /// Whether the request is new. A nested call belongs to a run that has begun.
     is_new: bool,
     rank: u8,
-    /// Whether the response can't arrive by its target time any more.
+    /// Whether the response can't arrive by its target time anymore.
     late: bool,
     target_deadline: Duration,
     order: u64,
@@ -61,14 +61,14 @@
     Busy,
     /// The request waits, and is to be refused if it still does at `latest`.
     Wait {
-        /// Key by which the request is granted a slot or withdrawn.
+        /// Position in the queue, by which the request is granted a slot or withdrawn.
         key: QueueKey,
         /// Latest time at which starting the request is of use.
         latest: Duration,
     },
     /// The response could not arrive in time; the request hasn't run.
     Refuse {
-        /// Time after which room is expected.
+        /// Time after which the queue is expected to accept a request.
         retry_after: Duration,
     },
 }
@@ -102,7 +102,7 @@
     late: bool,
     latest: Duration,
     requested_at: Duration,
-    /// Wait that was expected if no later request overtook this one.
+    /// Wait that was expected on arrival if no later request overtook this one.
     planned: Duration,
 }
 
@@ -124,12 +124,12 @@
         self.grant(now)
     }
 
-    /// Returns the number of running requests.
+    /// Returns the number of requests that hold a slot.
     pub const fn running(&self) -> u32 {
         self.running
     }
 
-    /// Returns the number of queued requests.
+    /// Returns the number of requests that wait for a slot.
     pub fn waiting(&self) -> u32 {
         self.waiting.len() as u32
     }
@@ -282,12 +282,12 @@
             .record_wait(queued.route, queued.late, queued.planned, waited);
     }
 
-    /// Returns the expected wait of a request at the position of `key`.
+    /// Returns the planned wait of a request at the position of `key`, if none overtakes it.
     fn wait_before(&self, key: QueueKey) -> Duration {
         self.wait_behind(self.waiting.range(..key).count() as u32)
     }
 
-    /// Returns the expected wait at the end of the queue.
+    /// Returns the planned wait at the end of the queue, if no later request overtakes.
     pub fn wait(&self) -> Duration {
         self.wait_behind(self.waiting())
     }
--- a/crates/node/src/inbound/crash_admission.rs
+++ b/crates/node/src/inbound/crash_admission.rs
@@ -10,10 +10,10 @@
 };
 
 impl InboundProxy {
-    /// Refuses a request that has crashed backend servers. A request that was running at a crash
+    /// Refuses a request that has crashed backend servers. A suspect, which was running at a crash,
     /// waits for a permit, which it holds while it runs.
     ///
-    /// Only one such request runs at a time. Of the dozen requests that are running when a server
+    /// Only one suspect runs at a time. Of the dozen requests that are running when a server
     /// crashes, one causes the crash. Were they all retried together, they would all be running at
     /// the second crash as well, and be refused with the one that causes it.
     ///
@@ -38,7 +38,8 @@
         if permit.is_none() {
             return refused(RefusalReason::Busy, RETRY_OTHER_NODE_AFTER);
         }
-        // The previous holder of the permit may have been this very request, sent twice.
+        // The previous holder of the permit may have been this same request, sent twice, and may
+        // have crashed a backend server.
         self.refuse_poisoned(request.fingerprint)?;
         Ok(permit)
     }
--- a/crates/node/src/inbound/endpoint_breaker.rs
+++ b/crates/node/src/inbound/endpoint_breaker.rs
@@ -28,7 +28,9 @@
 }
 
 impl EndpointBreaker {
-    /// Admits a run; once the open time has passed, as a trial.
+    /// Admits a run while the breaker is closed.
+    ///
+    /// While the breaker is open, one run is admitted as a trial at the end of each open time.
     ///
     /// # Errors
     ///
@@ -66,7 +68,7 @@
         Ok(())
     }
 
-    /// Whether the breaker admits nothing but trials.
+    /// Whether the breaker is open and admits only trials.
     pub const fn is_open(&self) -> bool {
         self.consecutive_breaks >= BREAKS_MAX
     }
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -82,7 +82,8 @@
         outgoing
     }
 
-    /// Rejects refusals, malformed responses and responses to other requests.
+    /// Rejects refusals, responses to other requests, and responses without a signature or
+    /// with an encoded body.
     fn check_response(
         &self,
         response: &Response<Incoming>,
@@ -100,7 +101,7 @@
             return refused(RefusalReason::OtherInstance, RETRY_OTHER_NODE_AFTER);
         }
         if id.is_some() && headers.get(&self.headers.request_id) != id {
-            // This response to an earlier request came late or twice.
+            // The response belongs to an earlier request; it came late or twice.
             return broke("the response names another request");
         }
         if headers.contains_key(&self.headers.not_executed) {
--- a/crates/node/src/inbound/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -17,8 +17,8 @@
 /// When node processes are killed and restarted while their backend servers keep running, inbound
 /// proxies would refuse everything until the next heartbeat. The announcement in the store says
 /// which start was ready, and the health check says whether the backend server is still that start
-/// and isn't leaving. Only both together open the inbound proxy: the announcement may be old, and
-/// health checks may be wrong.
+/// and isn't leaving. The inbound proxy accepts requests only if both agree: the announcement may
+/// be old, and health checks may be wrong.
 pub async fn confirm_endpoint(core: Rc<NodeCore>) {
     loop {
         core.earlier_record_received.notified().await;
--- a/crates/node/src/inbound/endpoint_health.rs
+++ b/crates/node/src/inbound/endpoint_health.rs
@@ -13,6 +13,7 @@
 /// Timeout of a health check, which takes a millisecond when a slot is free. The next heartbeat
 /// comes within a second and a half.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+
 /// Response of the backend server to a health check.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HealthCheckResponse {
@@ -57,7 +58,7 @@
         Ok(health_response)
     }
 
-    /// Whether the backend server runs no request of this node.
+    /// Whether no request occupies a slot of the backend server.
     pub fn is_idle(&self) -> bool {
         self.inner.queue.borrow().running() == 0
     }
--- a/crates/node/src/inbound/endpoint_tracker.rs
+++ b/crates/node/src/inbound/endpoint_tracker.rs
@@ -1,4 +1,4 @@
-//! Tracks which start of the local backend server is current and admits requests.
+//! Tracks which start of the local backend server is current and whether it is sent requests.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -24,7 +24,7 @@
     Foreign,
 }
 
-/// The current start of the local backend server.
+/// The current start of the local backend server, as its reports describe it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CurrentStart {
     /// Last report that was accepted.
@@ -41,7 +41,9 @@
     pub deregistered: bool,
 }
 
-/// Tracks which start of the local backend server is current and admits requests.
+/// Tracks which start of the local backend server is current.
+///
+/// It also decides whether a request for that start is admitted.
 ///
 /// Heartbeats may be late, out of order, or from a start that has crashed since. If all were
 /// accepted, they would readmit requests to a backend server that is leaving, or name one that is
@@ -56,7 +58,7 @@
 }
 
 impl EndpointTracker {
-    /// Processes a heartbeat.
+    /// Processes a heartbeat and returns its effect.
     pub fn report(&mut self, now: Duration, report: EndpointReport) -> ReportOutcome {
         if self.is_retired(&report.start) {
             return ReportOutcome::Stale;
@@ -128,8 +130,8 @@
         self.adopt(now, report);
     }
 
-    /// Returns the current start unless it announced that it is leaving. If another start replaced
-    /// it now, its end would be unannounced.
+    /// Returns the current start unless it has announced that it is leaving. If another start
+    /// replaced it now, its end would be unannounced.
     pub fn unannounced_end(&self) -> Option<EndpointStart> {
         let current = self.current.as_ref()?;
         let staying = current.leaving_since.is_none();
@@ -141,7 +143,7 @@
         self.current.as_ref()
     }
 
-    /// Checks whether a request that expects `instance` is admitted.
+    /// Admits a request that expects `instance`, and returns the current start.
     ///
     /// A leaving start is admitted for `grace` longer, while its announcement reaches the other
     /// nodes. The grace time counts as over if this process has known the start only as leaving:
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -39,10 +39,11 @@
 /// Longest idle time of a connection that is reused for other requests. A request that crosses the
 /// closing of its connection can't be resent, and a new connection costs only a millisecond.
 pub(super) const IDLE_TIMEOUT_NON_IDEMPOTENT: Duration = Duration::from_secs(1);
-/// Time after the caller's deadline at which the inbound proxy stops waiting. Usually the sender
-/// cancels the request first.
+/// Time after the end of a request at which the inbound proxy stops waiting for the backend server.
+/// Usually the sender cancels the request first.
 const RESPONSE_GRACE_TIME: Duration = Duration::from_millis(100);
-/// Advised retry delay after a refusal that isn't about load. Another node is asked at once.
+/// Advised retry delay after a refusal that isn't about load. The sender tries another node at
+/// once.
 pub(super) const RETRY_OTHER_NODE_AFTER: Duration = Duration::from_millis(50);
 
 /// Settings of an inbound proxy.
@@ -117,7 +118,7 @@
     pub(super) tracker: RefCell<EndpointTracker>,
     pub(super) broken: BrokenRuns,
     pub(super) crashes: Rc<RefCell<CrashHistory>>,
-    /// Permit to run one of the requests that were running at a crash.
+    /// Its only permit allows one suspect of a crash to run.
     pub(super) suspect_semaphore: Semaphore,
     pub(super) breaker: RefCell<EndpointBreaker>,
     pub(super) nested_call_detector: RefCell<NestedCallDetector>,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Returns the tracker of the backend server's starts, which takes the reports.
+    /// Returns the tracker of the backend server's starts, which processes its reports.
     pub fn tracker(&self) -> &RefCell<EndpointTracker> {
         &self.tracker
     }
@@ -169,8 +170,8 @@
         &self.nested_call_detector
     }
 
-    /// Whether the breaker is open. The backend server has broken many runs in a row, and gets
-    /// nothing but trials.
+    /// Whether the breaker is open: the backend server has broken many runs in a row, and gets only
+    /// trials.
     pub fn is_breaker_open(&self) -> bool {
         self.breaker.borrow().is_open()
     }
@@ -180,7 +181,7 @@
         &self.broken
     }
 
-    /// Sets the number of slots that the backend server reported.
+    /// Sets the number of slots, and starts queued requests in those that were added.
     pub fn set_slots(&self, slots: u32) {
         let now = self.inner.clock.now();
         let granted = self.inner.queue.borrow_mut().set_slots(now, slots);
@@ -225,7 +226,7 @@
         self.inner.endpoint_pool.sweep();
     }
 
-    /// Runs a request at the backend server.
+    /// Runs a request at the backend server and returns its response.
     ///
     /// Dropping the future withdraws the request from the queue, or closes the connection on which
     /// it runs.
@@ -242,8 +243,8 @@
         let start = self.admit(&request)?;
         let reservation = self.reserve_link(&request)?;
         let slot = self.wait_for_slot(&request).await?;
-        // While this request waited, a backend server may have crashed, or this one begun to
-        // leave.
+        // While this request waited, it may have become a suspect of a crash on another node, or
+        // the local backend server may have begun to leave.
         let _permit = match permit {
             Some(permit) => Some(permit),
             None => self.admit_fingerprint(&request).await?,
--- a/crates/node/src/inbound/inbound_refusal.rs
+++ b/crates/node/src/inbound/inbound_refusal.rs
@@ -16,7 +16,8 @@
     OtherInstance,
     /// Every slot is taken, and the request may not wait for one.
     Busy,
-    /// The queue is too long for the time that the request has left.
+    /// The queue is too long for the time that the request has left, or the request's route
+    /// is served more often than others of its rank or above.
     Full,
     /// The response couldn't arrive in time, because the instance's link is reserved too far
     /// ahead.
@@ -46,7 +47,7 @@
 /// Refusal of a request that certainly didn't run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InboundRefusal {
-    /// Reason of the refusal.
+    /// Why the request was refused.
     pub reason: RefusalReason,
     /// Time after which capacity is expected.
     pub retry_after: Duration,
--- a/crates/node/src/inbound/inbound_request.rs
+++ b/crates/node/src/inbound/inbound_request.rs
@@ -25,7 +25,7 @@
     pub route_hash: u64,
     /// Whether the request is a nested call of a run that has begun.
     pub is_nested: bool,
-    /// Whether the request may wait for a slot.
+    /// Whether the request may wait for a slot; otherwise it is refused unless one is free.
     pub may_wait: bool,
     /// Target time: the response is of full use until then.
     pub target_deadline: Instant,
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -1,4 +1,4 @@
-//! Reservations of the link for responses of the inbound proxy.
+//! Reservations of the instance's network link for long responses of the inbound proxy.
 
 use std::time::Duration;
 
--- a/crates/node/src/inbound/nested_call_detector.rs
+++ b/crates/node/src/inbound/nested_call_detector.rs
@@ -9,11 +9,11 @@
 
 /// Time within which a run fails after one of its nested calls was refused.
 const FAILURE_WINDOW: Duration = Duration::from_millis(3);
-/// Weight of one refused request in the failure share of its route. Five or six refusals are
-/// enough to tell.
+/// Weight of one refused request in the failure share of its route. Five or six refusals are enough
+/// to detect nested calls.
 const SHARE_WEIGHT: f64 = 0.2;
-/// Share from which on the requests of a route count as nested calls. A failed run follows some
-/// callers' requests by chance.
+/// Share of a route's refused requests followed by a failed run, from which on its requests count
+/// as nested calls. Some refused requests of callers are followed by a failed run by chance.
 const NESTED_SHARE_MIN: f64 = 0.5;
 /// Number of refused requests before a route can be taken for nested calls.
 const REJECTIONS_MIN: u32 = 3;
@@ -56,8 +56,8 @@
 }
 
 impl NestedCallDetector {
-    /// Records that a request from this machine got no response. Returns a route that has been
-    /// found to carry nested calls since the last call of this method.
+    /// Records that a request from this machine got no response of a backend server. Returns a
+    /// route that has been found to carry nested calls since the last call of this method.
     pub fn request_failed(&mut self, now: Duration, route_hash: u64) -> Option<u64> {
         self.evaluate_pending(now);
         if self.pending.len() < PENDING_MAX {
--- a/crates/node/src/inbound/route_statistics.rs
+++ b/crates/node/src/inbound/route_statistics.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Records how long a request waited, relative to the planned wait.
+    /// Records how long a request waited, relative to the planned wait, which it ignores if zero.
     pub(super) fn record_wait(
         &mut self,
         route: RankedRoute,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns the wait to expect for a planned wait.
+    /// Scales a planned wait by the route's recent ratio of actual to planned waits.
     pub(super) fn expected_wait(
         &mut self,
         route: RankedRoute,
--- a/crates/node/src/inbound/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -37,7 +37,7 @@
         self.sender = Some(sender);
     }
 
-    /// Frees the slot once the response is ready; further calls do nothing.
+    /// Frees the slot and records the run time; further calls do nothing.
     pub fn release(&mut self) {
         if !std::mem::replace(&mut self.released, true) {
             self.inner
--- a/crates/node/src/link/link_reservation.rs
+++ b/crates/node/src/link/link_reservation.rs
@@ -22,7 +22,7 @@
 }
 
 impl LinkReservation {
-    /// Wraps a reservation that the schedule made.
+    /// Creates the guard of a reservation that the schedule granted.
     pub(super) fn new(
         scheduler: &Rc<LinkScheduler>,
         clock: NodeClock,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Records that the response is ready, and its size if the head gives one.
+    /// Records that the response is ready, and its size in bytes if the head gives one.
     pub fn response_ready(&mut self, bytes: Option<u64>) {
         self.transfer.response_ready(self.clock.now(), bytes);
         if let Some(bytes) = bytes {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Ends the reservation after the last byte.
+    /// Ends the reservation after the last byte was sent.
     pub fn complete(mut self) {
         self.transfer.is_complete = true;
     }
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -10,13 +10,13 @@
 const PAYLOAD_FRACTION: f64 = 0.94;
 /// Bytes per second in one megabit per second.
 const BYTES_PER_MBIT: f64 = 125_000.0;
-/// Time that long responses may fill the link ahead. A short response waits behind them, and a
+/// Time for which long responses may fill the link ahead. A short response waits behind them, and a
 /// timer may fire some milliseconds late.
 const SEND_AHEAD_TIME: Duration = Duration::from_millis(12);
 /// Time for which one chunk of a long response occupies the link.
 const CHUNK_TIME: Duration = Duration::from_millis(6);
 /// Bounds of a chunk in bytes. Below a packet or two, handing a chunk over costs more than
-/// transmitting it. Above 64 KiB, more is asked for than the library reads at a time.
+/// transmitting it. Above 64 KiB, a chunk exceeds what hyper reads at a time.
 const CHUNK_BYTES: std::ops::RangeInclusive<f64> = 4_096.0..=65_536.0;
 /// Fraction of the time until a response is due that is planned with. The rest is for the path
 /// through the other node to the caller, and for variations of run times and sizes.
@@ -24,7 +24,7 @@
 /// Longest wait for the link of a late response that is ready. Beyond it the response would
 /// displace another that can be in time.
 const LATE_WAIT_MAX: Duration = Duration::from_millis(100);
-/// Lower bound of the advised retry delay.
+/// Lower bound of the advised retry delay after a refused reservation.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
 /// Key of a reserved transfer, ordered by due time, then by order of arrival.
@@ -68,7 +68,7 @@
     After(Duration),
     /// Another transfer goes first.
     Later,
-    /// The transfer can't be in time any more. It continues under this key, behind those that can.
+    /// The transfer can't be in time anymore. It continues under this key, behind those that can.
     Postponed(TransferKey),
 }
 
@@ -154,7 +154,7 @@
         LinkDecision::Reserved(self.reserve_unchecked(request.bytes, due_at, request.ends_at))
     }
 
-    /// Returns the time until a reservation is possible, or `None` if it is now.
+    /// Returns the time until a reservation is possible, or `None` if it is possible now.
     pub fn refusal(&self, now: Duration, request: ReservationRequest) -> Option<Duration> {
         let free = self.backlog(now);
         let expected_sent_at =
@@ -218,7 +218,9 @@
         LinkTurn::Now
     }
 
-    /// Moves a transfer that can't be in time any more behind those that can.
+    /// Moves a transfer that can't be in time anymore behind those that can.
+    ///
+    /// Returns its new key, or `None` if it keeps its place.
     fn postponed(&mut self, now: Duration, key: TransferKey) -> Option<TransferKey> {
         let transfer = *self.transfers.get(&key)?;
         let late = now + self.transfer_time(transfer.bytes) > key.due_at;
@@ -229,7 +231,7 @@
         Some(self.insert(transfer.ends_at, transfer))
     }
 
-    /// Returns the first of the transfers that are ready to send a chunk.
+    /// Returns the transfer with the earliest due time among those ready to send a chunk.
     pub fn next(&self) -> Option<TransferKey> {
         self.waiting.first().copied()
     }
@@ -260,12 +262,12 @@
         self.waiting.remove(&key);
     }
 
-    /// Returns the planned payload rate in bytes per second.
+    /// Returns the payload rate of the link in bytes per second.
     pub const fn bytes_per_s(&self) -> f64 {
         self.bytes_per_s
     }
 
-    /// Returns how long everything reserved or in progress will take.
+    /// Returns the time that the link needs for all bytes queued or reserved.
     pub fn backlog(&self, now: Duration) -> Duration {
         self.transfer_time(
             self.queued_bytes_at(now)
@@ -287,7 +289,7 @@
     }
 }
 
-/// Returns the time by which a response is planned to arrive.
+/// Returns the time by which a response that is due at `due_at` is planned to arrive.
 fn due_by(now: Duration, due_at: Duration) -> Duration {
     now + due_at.saturating_sub(now).mul_f64(DEADLINE_FRACTION)
 }
--- a/crates/node/src/link/link_scheduler.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Borrows the schedule; the borrow must end before the next one.
+    /// Borrows the schedule; panics if it is borrowed already.
     pub fn schedule(&self) -> RefMut<'_, LinkSchedule> {
         self.schedule.borrow_mut()
     }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Registers the task to wake for a turn.
+    /// Registers the task that is woken when the transfer may have its turn.
     pub(super) fn register_waker(&self, key: TransferKey, waker: &Waker) {
         self.wakers.borrow_mut().insert(key, waker.clone());
     }
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Removes the task to wake.
+    /// Removes the task that waits for a turn of the transfer.
     pub(super) fn remove_waker(&self, key: TransferKey) {
         self.wakers.borrow_mut().remove(&key);
     }
--- a/crates/node/src/link/link_usage.rs
+++ b/crates/node/src/link/link_usage.rs
@@ -47,8 +47,8 @@
         self.outcomes[outcome as usize]
     }
 
-    /// Takes the counts if they cover at least `length`, and starts anew. Returns them with the
-    /// time that they cover.
+    /// Takes the counts if they cover at least `length`, and starts counting from zero. Returns
+    /// them with the time that they cover.
     ///
     /// # Examples
     ///
--- a/crates/node/src/link/transfer_record.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -34,17 +34,17 @@
     pub reservation_request: ReservationRequest,
     /// Actual size in bytes; `None` unless the response's head gave one.
     pub bytes: Option<u64>,
-    /// Time at which the response was ready.
+    /// Time at which the response was ready; none before.
     pub response_ready_at: Option<Duration>,
-    /// Time at which the first bytes were sent.
+    /// Time at which the first bytes were sent; none before.
     pub started_at: Option<Duration>,
-    /// Time at which the most recent bytes were sent.
+    /// Time at which the most recent bytes were sent; none before the first ones.
     pub sent_at: Option<Duration>,
     /// Number of bytes sent so far.
     pub sent: u64,
     /// Whether the last byte was sent.
     pub is_complete: bool,
-    /// Time at which the transfer was moved behind those that can be in time.
+    /// Time at which the transfer was moved behind those that can be in time; none before.
     pub postponed_at: Option<Duration>,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Records that the response is ready, and its size if the head gives one.
+    /// Records that the response is ready, and its size in bytes if the head gives one.
     pub fn response_ready(&mut self, now: Duration, bytes: Option<u64>) {
         self.response_ready_at = Some(now);
         self.bytes = bytes;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns the milliseconds from the link request to `at`.
+    /// Returns the milliseconds from the reservation request to `at`; none if `at` is none.
     pub fn millis_since_request(&self, at: Option<Duration>) -> Option<u64> {
         at.map(|at| at.saturating_sub(self.requested_at).as_millis() as u64)
     }
--- a/crates/node/src/member/endpoint_start.rs
+++ b/crates/node/src/member/endpoint_start.rs
@@ -14,7 +14,8 @@
     pub born_ms: Option<u64>,
 }
 
-/// Longest identifier. It is part of keys in the store, whose length is limited.
+/// Longest instance identifier in bytes. Identifiers are part of keys in the store, whose
+/// length is limited.
 const INSTANCE_MAX_BYTES: usize = 128;
 
 /// Why a [`StartInput`] was rejected.
@@ -60,6 +61,7 @@
 #[serde(try_from = "StartInput")]
 pub struct EndpointStart {
     instance: String,
+    /// Unix time of the start in milliseconds; none if it wasn't reported.
     #[serde(skip_serializing_if = "Option::is_none")]
     born_ms: Option<u64>,
 }
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Sets the start time to `born_ms` unless it is known already.
+    /// Sets the Unix time of the start to `born_ms`, in milliseconds, unless it is known.
     #[must_use]
     pub fn with_default_born_ms(self, born_ms: u64) -> Self {
         Self {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Whether the end of `ended` implies that this start has ended, too.
+    /// Whether this start has ended if the start `ended` has.
     ///
     /// This is so for the same start and for an earlier one under the same identifier.
     pub fn ended_with(&self, ended: &Self) -> bool {
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -23,10 +23,10 @@
 /// two seconds. In the meantime the member gets requests only if it has responded since.
 const LAPSE_GRACE: Duration = Duration::from_secs(2);
 
-/// Number of dropped members that are remembered for nodes that ask for updates. A node
-/// that asks for changes from before these gets the whole list.
+/// Largest number of dropped members that are remembered for nodes that ask for updates. A
+/// node that asks for changes from before these drops gets the whole list.
 const DROPS_MAX: usize = 256;
-/// Weight of one report in the mean run time of its route.
+/// Weight of one load report in the mean run time of its route over all members.
 const RUN_WEIGHT: f64 = 0.02;
 
 /// Outcome of sending a request to a member once.
@@ -88,7 +88,7 @@
 
     /// Creates an empty view for a node in `data_centre` with a backend server.
     ///
-    /// The node's own backend server is announced at `peer_addr`.
+    /// The node announces its backend server at `peer_addr`.
     ///
     /// # Examples
     ///
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Returns the members of this node's data centre, fastest link first.
+    /// Returns the announced members of this node's data centre, fastest link first.
     ///
     /// Members with equal links are ordered by a hash of their address, so all nodes get the
     /// same order.
@@ -253,7 +253,8 @@
         records
     }
 
-    /// Yields the addresses of nodes that are announced and neither ejected nor refusing.
+    /// Yields the addresses of nodes that are announced, not ejected, and haven't just
+    /// refused.
     pub fn reachable(&self, now: Duration) -> impl Iterator<Item = SocketAddr> {
         let available = self.members.iter().map(|(_, member)| member);
         let available =
@@ -277,12 +278,12 @@
         self.get(self.key_of(peer_addr)?)
     }
 
-    /// Returns the members' announcements.
+    /// Yields the last announcement of each known member, including lapsed ones.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.iter().map(|(_, member)| &member.record)
     }
 
-    /// Returns the number of members, among them those that take no requests.
+    /// Returns the number of known members, including those that take no requests.
     pub fn len(&self) -> usize {
         self.members.len()
     }
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -10,23 +10,22 @@
     service_pool::{ServiceAverages, ServicePool},
 };
 
-/// Requests per slot from which on no free slot is expected: all slots are in use, and the
-/// queue is empty.
+/// Mean requests per slot of a service from which on its members aren't probed. At 1.0, all
+/// slots are in use and the queues are empty on average.
 const PROBE_HELD_MAX: f64 = 1.0;
 /// Silence timeout as a multiple of the expected response time.
 const SILENCE_RUNS: f64 = 3.0;
 /// Shortest silence timeout. A machine that has used up its CPU quota stands still for a
 /// tenth of a second.
 const SILENCE_TIMEOUT_MIN: Duration = Duration::from_millis(300);
-/// Largest share of a member's failure rate at which the service counts as healthier.
-///
-/// It is compared with the mean failure rate of the service.
+/// Largest ratio of a service's mean failure rate to that of a member, for the service to
+/// count as healthier than the member.
 const HEALTHIER_FACTOR: f64 = 0.5;
 
 /// Selection of a member for a request.
 ///
 /// Members differ in speed, are slow after a start, become slow, fail a share of their
-/// requests, or disappear, and are spread unevenly over data centres. A node hears of a
+/// requests, or disappear, and are spread unevenly over data centres. A node learns a
 /// member's load only with its own requests, so most of what it knows is seconds old. The
 /// best of all by outdated reports would be the same few members for every node, and equal
 /// shares would overload the slow members.
@@ -41,8 +40,9 @@
 impl FleetView {
     /// Picks a member that was neither tried nor probed for the request.
     ///
-    /// Members that recently refused or couldn't be reached are picked only if no other is
-    /// left.
+    /// Unavailable members are picked only if no other is left: those that are ejected or
+    /// recently refused, whose link is full, or that haven't responded since their
+    /// announcement lapsed.
     pub fn pick(
         &self,
         now: Duration,
@@ -131,11 +131,11 @@
 
     /// Returns the time until a long response may be requested, if all links are full.
     ///
-    /// Members that can't be reached, or whose backend server is down or breaks its runs,
-    /// are ejected. They don't count as members with a free link, as they would attract
-    /// every request that the others refuse. If there are only ejected members, the result
-    /// is none, and they are asked as a last resort. It is also none if a member on this
-    /// node's instance, which needs no link, is available.
+    /// Members are ejected that can't be reached, or whose backend server accepts no
+    /// connections or breaks its runs. They don't count as members with a free link, as
+    /// they would attract every request that the others refuse. If there are only ejected
+    /// members, the result is none, and they are asked as a last resort. It is also none if
+    /// a member on this node's instance, which needs no link, is available.
     pub fn link_wait(&self, now: Duration, query: &PickQuery<'_>) -> Option<Duration> {
         if !query.expects_long_response() {
             return None;
--- a/crates/node/src/member/member_estimate.rs
+++ b/crates/node/src/member/member_estimate.rs
@@ -1,4 +1,4 @@
-//! Estimated response time and risk of a request at a member.
+//! Estimated run time, queueing time, occupancy and failure rate of a request at a member.
 
 use std::time::Duration;
 
@@ -28,12 +28,12 @@
 }
 
 impl MemberEstimate {
-    /// Seconds until the backend server has produced the response.
+    /// Returns the seconds until the backend server has produced the response.
     pub(super) fn response_ready_s(&self) -> f64 {
         self.queue_s + self.run_s
     }
 
-    /// Whether a request is likely to run at once and be answered within `target`.
+    /// Whether a request is likely to run at once and get its response within `target`.
     ///
     /// That is so if it costs no more than the last free slot of a backend server that is
     /// fast enough.
--- a/crates/node/src/member/member_record.rs
+++ b/crates/node/src/member/member_record.rs
@@ -48,10 +48,10 @@
 }
 
 impl MemberRecord {
-    /// Whether `other` needs no announcement while this one is in the store.
+    /// Whether `other` needn't be announced while this announcement is in the store.
     ///
-    /// Both may differ in `cold_ms` and `sequence`, which are of no use to other nodes
-    /// without another change.
+    /// The two may differ in `cold_ms` and `sequence`: other nodes have no use for a new
+    /// value of these alone.
     pub fn stands_for(&self, other: &Self) -> bool {
         let other = Self {
             cold_ms: self.cold_ms,
--- a/crates/node/src/member/member_update.rs
+++ b/crates/node/src/member/member_update.rs
@@ -11,11 +11,13 @@
 pub struct MemberUpdate {
     /// Revision of the store up to which the update goes.
     pub revision: u64,
-    /// Whether the update lists all members; those it doesn't list are missing.
+    /// Whether the update lists all members; the announcements of other members are
+    /// missing.
     pub whole: bool,
     /// Announcements with the revisions at which they were written.
     pub written: Vec<(MemberRecord, u64)>,
-    /// Members whose announcement is missing, with the revision at which it disappeared.
+    /// Members whose announcement lapsed or was deleted, with the revision at which that
+    /// happened.
     pub lapsed: Vec<(SocketAddr, u64)>,
 }
 
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -14,12 +14,12 @@
 const FAILURE_WEIGHT: f64 = 0.1;
 /// Run time that is assumed while no member has reported one.
 const UNKNOWN_RUN_TIME: Duration = Duration::from_millis(100);
-/// Weight of one report in the ratio of a member's run times.
+/// Weight of one load report in a member's mean run-time ratio.
 const RUN_RATIO_WEIGHT: f64 = 0.2;
 /// Time constant of the decay of a reported load, in mean run times: after it, the report
 /// weighs about one third. By then the member's requests have been replaced by others.
 const LOAD_DECAY_RUNS: f64 = 2.0;
-/// Shortest time constant of that decay in seconds.
+/// Shortest time constant of the decay of a reported load, in seconds.
 const LOAD_DECAY_MIN_S: f64 = 0.1;
 /// Factor on the run time of a member that is still slow after its start.
 const COLD_FACTOR: f64 = 2.0;
@@ -32,7 +32,7 @@
 /// Longest pause of long responses after a refusal because of a full link. A full link
 /// transfers two or three long responses in that time.
 const LINK_REFUSAL_PAUSE_MAX: Duration = Duration::from_millis(300);
-/// Pause of long responses from another data centre after such a refusal.
+/// Pause of long responses from another data centre after a refusal because of a full link.
 ///
 /// It applies while a member in this data centre can be asked.
 const REMOTE_LINK_REFUSAL_PAUSE: Duration = Duration::from_secs(5);
@@ -52,19 +52,20 @@
     /// Revision of the last change of the announcement.
     pub(super) revision: Revision,
     cold_until: Duration,
-    /// Number of this node's requests at the member.
+    /// Number of this node's requests in flight at the member.
     outstanding: u32,
     load: Option<ObservedLoad>,
     /// Run times in seconds that the member reported, by route hash.
     runs: SmallVec<[(u64, f64); 4]>,
-    /// Ratio of the member's run times to the mean ones of all members.
+    /// Mean ratio of the member's run times to those of all members on the same routes.
     run_time_ratio: MovingMean,
+    /// Share of the responses that were failures.
     failures: MovingMean,
     ejected_until: Duration,
     ejection_time: Duration,
     refused_until: Duration,
     link_refused_until: Duration,
-    /// End of the longer pause for a member in another data centre.
+    /// End of the pause of long responses if the member is in another data centre.
     ///
     /// It applies while a member in this data centre can be asked.
     remote_link_refused_until: Duration,
@@ -116,7 +117,7 @@
 
     /// Applies a new announcement.
     ///
-    /// If it is of another start, what was observed of the earlier one is discarded.
+    /// If the announcement is of another start, all observations of the earlier one are discarded.
     pub(super) fn announce(&mut self, now: Duration, record: MemberRecord) {
         self.lapsed_at = None;
         if record.start.order(&self.record.start) == StartOrder::Same {
@@ -166,7 +167,7 @@
         self.record.state == MemberState::Ready
     }
 
-    /// Whether the member is neither ejected nor pausing after a refusal.
+    /// Whether the member is neither ejected nor left alone after a refusal.
     pub(super) fn is_available(&self, now: Duration) -> bool {
         !self.is_ejected(now) && now >= self.refused_until
     }
--- a/crates/node/src/member/moving_mean.rs
+++ b/crates/node/src/member/moving_mean.rs
@@ -1,6 +1,6 @@
 //! Exponentially weighted means.
 
-/// Exponentially weighted moving mean, which starts at the first value.
+/// Exponentially weighted moving mean; its first value becomes the mean.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MovingMean {
     mean: Option<f64>,
--- a/crates/node/src/member/pick_cost.rs
+++ b/crates/node/src/member/pick_cost.rs
@@ -6,19 +6,20 @@
 
 use super::{MemberKey, MemberView, PickQuery, service_pool::ServiceAverages};
 
-/// Cost in seconds of waiting of a kilobyte from another data centre. Traffic between data
+/// Cost of a kilobyte from another data centre, in seconds of waiting. Traffic between data
 /// centres is charged by the byte.
 const REMOTE_KB_COST_S: f64 = 0.003;
-/// Assumed length of a response of unknown length.
+/// Response size that is assumed while the route's mean size is unknown.
 const UNKNOWN_RESPONSE_BYTES: u64 = 5_000;
 /// Bytes per megabit.
 const BYTES_PER_MBIT: f64 = 125_000.0;
 /// Largest relative noise that is added to a cost. Without it, nodes with the same
 /// information would all pick the same member.
 const NOISE_SHARE: f64 = 0.15;
-/// Number of members that are sampled and compared. A node seldom hears of any one member,
-/// so the best of all would be the same few members for every node. Sampling by throughput
-/// gives each member its share, and comparing a few avoids the worst.
+/// Largest number of members that are sampled and compared. A node seldom learns the load
+/// of any one member, so the best of all would be the same few members for every node.
+/// Sampling by throughput gives each member its share, and comparing a few avoids the
+/// worst.
 const COMPARED_MAX: usize = 3;
 
 /// A member that the request may be sent to.
@@ -30,7 +31,7 @@
     pub(super) now: Duration,
     pub(super) query: &'a PickQuery<'a>,
     pub(super) averages: ServiceAverages,
-    /// Whether a near member can provide the expected long response.
+    /// Whether a long response is expected and a member in this data centre can provide it.
     pub(super) has_near_member: bool,
 }
 
@@ -46,7 +47,7 @@
         !unconfirmed && fits && member.is_available(self.now)
     }
 
-    /// Picks a member from `fresh` or `probed`.
+    /// Picks a member from `fresh`, which weren't probed, or `probed`.
     ///
     /// Available members of this data centre in `fresh` that are likely to respond in time
     /// go first. All of `probed` are compared, since their load is known. Members of `fresh`
@@ -165,7 +166,7 @@
         self.query.response_bytes as f64 / rate
     }
 
-    /// Returns the cost of traffic from the member, in seconds of waiting.
+    /// Returns the cost of traffic between data centres, in seconds of waiting.
     fn distance_cost_s(self, member: &MemberView) -> f64 {
         if member.is_near() {
             return 0.0;
--- a/crates/node/src/member/pick_query.rs
+++ b/crates/node/src/member/pick_query.rs
@@ -12,7 +12,7 @@
     pub service: &'a str,
     /// Hash of the route, by which run times are recorded.
     pub route_hash: u64,
-    /// Target response time of the route.
+    /// Target latency of the route.
     pub target: Duration,
     /// Members already tried for this request.
     pub tried: &'a [MemberKey],
--- a/crates/node/src/member/service_pool.rs
+++ b/crates/node/src/member/service_pool.rs
@@ -4,15 +4,15 @@
 
 use super::{LoadReport, MemberKey, MovingMean};
 
-/// Weight of one report in the means of a service. It spans about fifty reports, which
-/// come in within a second at the users' request rates.
+/// Weight of one report or response in the means of a service. The mean spans about fifty
+/// reports, which arrive within a second at the users' request rates.
 const LOAD_WEIGHT: f64 = 0.02;
 
 /// The members of one service, with their mean load and failure rate.
 #[derive(Debug, Default)]
 pub(super) struct ServicePool {
     pub(super) keys: Vec<MemberKey>,
-    /// Requests per slot, running or queued.
+    /// Mean requests per slot, running or queued.
     held: MovingMean,
     /// Share of the responses that were failures.
     failed: MovingMean,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -33,16 +33,17 @@
 /// Idle timeout of listeners for other nodes, the platform and operators. It exceeds
 /// that of the connections which nodes keep to each other, so the client closes first.
 const INTERNAL_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Most bytes of a head on these listeners.
+/// Largest head in bytes on listeners for other nodes, the platform and operators.
 const INTERNAL_HEAD_MAX_BYTES: usize = 64 * 1024;
 /// Idle timeout of callers' connections before the first configuration.
 const INITIAL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time between cleanups of idle connections and vanished members.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Part of the shutdown timeout that is kept free before the process is killed.
+/// End of the shutdown timeout in which the node doesn't wait for open requests anymore, so
+/// that it ends before the process is killed.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
 /// Longest wait for connections to end once the listeners are closing. By then each
-/// sends its last response or is idle. Callers that don't read keep theirs open.
+/// connection sends its last response or is idle. Callers that don't read keep theirs open.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time between checks for open connections.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -147,8 +148,9 @@
 
 /// Stops a node: finishes open requests and returns when the process may end.
 ///
-/// Callers are served until readiness checks have taken the node out of use. Other
-/// nodes' requests are refused, and those nodes retry elsewhere.
+/// Callers are served for [`CALLER_DRAIN_TIME`], in which readiness checks take the node
+/// out of use. Other nodes' requests are served for the leaving grace time, then refused,
+/// and those nodes retry elsewhere.
 pub async fn stop_node(core: &Rc<NodeCore>) {
     let begun = Instant::now();
     info!(core.log.logger(), "stopping"; "open" => core.open_requests.get());
--- a/crates/node/src/node_core/connection_guard.rs
+++ b/crates/node/src/node_core/connection_guard.rs
@@ -4,7 +4,7 @@
 
 use super::NodeCore;
 
-/// Counts a connection or a listener as open until dropped.
+/// Counts a connection or a listener as open until the guard is dropped.
 #[derive(Debug)]
 pub struct ConnectionGuard(pub(super) Rc<NodeCore>);
 
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -17,7 +17,7 @@
 const ACK_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl NodeCore {
-    /// Handles a heartbeat of the backend server.
+    /// Handles a heartbeat of the backend server and returns its effect.
     ///
     /// A heartbeat is accepted only for a service named in the settings or the configuration
     /// in force. Another process may post heartbeats to this address. If such a heartbeat were
@@ -96,13 +96,13 @@
         self.caller_service.borrow().clone()
     }
 
-    /// Sets the service that runs on this machine now.
+    /// Sets the service that is named to backend servers as the sender of requests.
     pub fn set_caller_service(&self, service: &str) {
         *self.caller_service.borrow_mut() = service_value(service);
     }
 }
 
-/// Returns a service name as a header value, empty if it can't be one.
+/// Returns a service name as a header value; empty if a header can't hold the name.
 pub(super) fn service_value(service: &str) -> HeaderValue {
     HeaderValue::from_str(service).unwrap_or(HeaderValue::from_static(""))
 }
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -1,4 +1,4 @@
-//! State that all parts of a node share, and the recording of events.
+//! State that all parts of a node share, and the recording of their events.
 
 mod connection_guard;
 mod crash_records;
@@ -45,9 +45,9 @@
 ///
 /// Most backend servers have this many.
 const ASSUMED_SLOTS: u32 = 8;
-/// Share of the leaving time in which a backend server still gets requests.
+/// Share of the leaving time in which a leaving backend server still gets requests.
 ///
-/// The rest is for requests that have already reached this node.
+/// The rest of the time is for requests that have already reached this node.
 const LEAVING_GRACE_SHARE: f64 = 0.4;
 
 /// Time after the stop signal in which callers are still served.
@@ -79,13 +79,13 @@
     pub link: Rc<LinkScheduler>,
     /// Open connections to other nodes.
     pub peer_connections: ConnectionPool,
-    /// Budget that limits retries.
+    /// Budget that limits the retries of this node's requests.
     pub retries: RefCell<RetryBudget>,
-    /// Event log.
+    /// Log of this node, with a rate limit on lines about single requests.
     pub log: EventLog,
     /// Prometheus metrics of this node.
     pub metrics: NodeMetrics,
-    /// Wakes the announcer after the inbound proxy's state changed.
+    /// Wakes the announcer when the announcement in the store may have to change.
     pub announcement_changed: Notify,
     /// Announcement of this node that an earlier process left in the store.
     pub earlier_record: RefCell<Option<MemberRecord>>,
@@ -125,7 +125,7 @@
     pub connections: Cell<u32>,
     /// Whether listeners and connections are being closed.
     pub closing: watch::Sender<bool>,
-    /// First arrival times of refused requests that callers may resend.
+    /// First arrival times of requests without a response, which callers may resend.
     pub resends: RefCell<ResendTracker>,
     /// Estimates from a request's deadline how long ago its caller first sent it.
     pub deadlines: RefCell<DeadlineTracker>,
@@ -299,7 +299,10 @@
             .is_some_and(|since| now >= since + CALLER_DRAIN_TIME)
     }
 
-    /// Starts the shutdown: stops the inbound proxy and wakes the announcer.
+    /// Starts the shutdown.
+    ///
+    /// The inbound proxy will refuse other nodes' requests after its grace time, and the announcer
+    /// is woken to announce the leaving.
     pub fn begin_shutdown(&self) {
         self.stopping_since.set(Some(self.clock.now()));
         self.inbound.stop();
--- a/crates/node/src/node_core/open_request_guard.rs
+++ b/crates/node/src/node_core/open_request_guard.rs
@@ -11,9 +11,10 @@
     request_origin::RequestOrigin,
 };
 
-/// Counts a request as open until dropped.
+/// Counts a request as open until the guard is dropped.
 ///
-/// For requests from other nodes it also counts on the link what is sent in response.
+/// For requests from other nodes, the guard also counts the response head and a short body
+/// as link traffic. Long bodies are counted by their reservation.
 #[derive(Debug)]
 pub struct OpenRequestGuard {
     core: Rc<NodeCore>,
--- a/crates/node/src/node_core/request_outcomes.rs
+++ b/crates/node/src/node_core/request_outcomes.rs
@@ -47,7 +47,7 @@
             "cause" => "its runs fail when these are turned away");
     }
 
-    /// Records a request that was answered by a backend server.
+    /// Records a request that got the response of a backend server from the member `at`.
     pub fn record_served(
         &self,
         request: &OutboundRequest,
@@ -61,7 +61,8 @@
                 .borrow_mut()
                 .observe(request.route.route_hash, bytes);
         }
-        // The local inbound proxy records the requests that it answered itself.
+        // The local inbound proxy records the requests that the local backend server
+        // completed.
         let is_remote = at.is_some_and(|at| at.peer_addr != self.settings.peer_addr);
         if is_remote && response.status().is_success() {
             self.crashes
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Records a request that this node answered itself, after `tries` tries.
+    /// Records a request that got a reply of this node itself after `tries` tries.
     pub fn record_failed(
         &self,
         request: &OutboundRequest,
@@ -129,7 +130,10 @@
         }
     }
 
-    /// Records a request that was refused before a route was found for it.
+    /// Records a request that was rejected before it was sent to any member.
+    ///
+    /// It has no route, a bad, late or too large body, or crashes backend servers, or the
+    /// node has no configuration yet or is stopping.
     pub fn record_rejected(&self, id: Option<&HeaderValue>, reply: &LocalReply) {
         let result = if reply.status.is_client_error() {
             RequestResult::CallerFault
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -1,4 +1,4 @@
-//! The node's contact with the store, and whether this node watches it.
+//! Whether this node reaches the store, and whether it watches it.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,7 +21,7 @@
 const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl NodeCore {
-    /// Records that the store answered a call.
+    /// Records that the store responded to a call.
     pub fn store_answered(&self) {
         let now = self.clock.now();
         if self.relay_selector.borrow_mut().store_answered(now) {
@@ -47,7 +47,7 @@
         self.store_lost.notify_one();
     }
 
-    /// Tells the nodes that use this relay that it has lost the store.
+    /// Tells the nodes that use this node as their relay that it has lost the store.
     ///
     /// A single failed call isn't enough for that, as connections may be reset and responses
     /// lost while the store is available.
--- a/crates/node/src/node_metrics.rs
+++ b/crates/node/src/node_metrics.rs
@@ -31,22 +31,23 @@
     Slow,
     /// The request got no good response.
     Failed,
-    /// The request itself was at fault: its response has a 4xx status and no route.
+    /// The request was rejected with a 4xx status before any try: it has no route, or its
+    /// body is malformed, late or too large.
     CallerFault,
 }
 
-/// Answered request, as the counters take it.
+/// Request that got its final response, with the labels under which it is counted.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestCount<'a> {
-    /// Service of the route; empty when the request matched none.
+    /// Service of the route; empty when the request was rejected before any try.
     pub service: &'a str,
-    /// Kind of the route's requests; none when the request matched no route.
+    /// Kind of the route's requests; none when the request was rejected before any try.
     pub kind: Option<RequestKind>,
-    /// Reason of a response that this node made itself; `Ok` otherwise.
+    /// Reason of a reply of this node itself; `Ok` for a backend server's response.
     pub code: ResultCode,
     /// Outcome for the service's objectives.
     pub result: RequestResult,
-    /// Time until the response's head.
+    /// Time from the request's arrival to the response's head.
     pub took: Duration,
 }
 
@@ -151,7 +152,7 @@
         self.members.record(count as u64, &[]);
     }
 
-    /// Sets one of the figures of the inbound proxy's queue.
+    /// Sets the number of running or waiting requests at the inbound proxy.
     pub fn queue(&self, figure: &'static str, value: u32) {
         let labels = [KeyValue::new("figure", figure)];
         self.queue.record(value.into(), &labels);
--- a/crates/node/src/node_settings.rs
+++ b/crates/node/src/node_settings.rs
@@ -26,11 +26,11 @@
     pub instance: String,
     /// Data centre of the instance.
     pub data_centre: String,
-    /// Service of the local backend server.
+    /// Name of the service that the local backend server provides.
     pub service: String,
     /// Address of the local backend server.
     pub endpoint: SocketAddr,
-    /// Whether the whole fleet starts for the first time, so nobody is announced yet.
+    /// Whether the whole fleet starts for the first time, so that no node is announced yet.
     pub first_start: bool,
     /// Address at which other nodes reach this one.
     pub peer_addr: SocketAddr,
@@ -47,6 +47,6 @@
     pub shutdown_timeout: Duration,
     /// Bandwidth of the instance's network link, in megabits per second.
     pub link_mbps: f64,
-    /// Limits on retries.
+    /// Limits on the retries of all nodes together.
     pub retries: RetryLimits,
 }
--- a/crates/node/src/outbound/caller_input.rs
+++ b/crates/node/src/outbound/caller_input.rs
@@ -10,7 +10,7 @@
 use super::LocalReply;
 use crate::config::MeshConfig;
 
-/// Returns the host of a request in lower case, without its port.
+/// Returns the host of a request in lower case, without its port; none if it names no host.
 pub(super) fn host_of(head: &Parts) -> Option<String> {
     let named = head
         .headers
@@ -23,8 +23,8 @@
 
 /// Reads the whole body of a request.
 ///
-/// Fails if the body exceeds the configured limit, can't be read, or isn't complete at
-/// `ends_at`.
+/// If the body exceeds the configured limit, can't be read, or isn't complete at `ends_at`,
+/// the error is the reply to the caller.
 pub(super) async fn read_body(
     body: Incoming,
     config: &MeshConfig,
--- a/crates/node/src/outbound/deadline_tracker.rs
+++ b/crates/node/src/outbound/deadline_tracker.rs
@@ -1,13 +1,13 @@
-//! Detects callers' later attempts by their remaining time.
+//! Detects requests that callers send again by their remaining time.
 
 use std::{collections::HashMap, time::Duration};
 
 use smallvec::SmallVec;
 
-/// Number of deadlines that are counted for each route. With this number, a deadline that
+/// Largest number of deadlines that are counted for each route. With this number, a deadline that
 /// one in five of a route's requests has is certain to be found.
 const DEADLINES_MAX: usize = 5;
-/// Least share of a route's requests for a deadline of first attempts.
+/// Smallest share of a route's requests that a deadline of first attempts has.
 const FIRST_ATTEMPT_SHARE_MIN: f64 = 0.1;
 /// Largest difference between deadlines that count as the same. A request takes a
 /// millisecond to reach the node, and a few more on a busy machine.
@@ -16,7 +16,7 @@
 /// few seconds at the users' request rates.
 const HALVE_AFTER_REQUESTS: f64 = 256.0;
 
-/// A deadline and the decaying number of requests that had it.
+/// A deadline, as the time that the caller waits, and the decaying number of requests with it.
 #[derive(Debug, Clone, Copy)]
 struct SeenDeadline {
     deadline: Duration,
@@ -43,10 +43,10 @@
 }
 
 impl DeadlineTracker {
-    /// Records the deadline of a request and returns the time since its first attempt.
+    /// Records the time left for a request, and returns the time since its first attempt.
     ///
-    /// The request is one of the route with `route_hash`. The result is zero if the request
-    /// looks like a first attempt.
+    /// `deadline` is the time for which the caller still waits. The request is one of the route
+    /// with `route_hash`. The result is zero if the request looks like a first attempt.
     ///
     /// # Examples
     ///
--- a/crates/node/src/outbound/failed_try.rs
+++ b/crates/node/src/outbound/failed_try.rs
@@ -1,4 +1,4 @@
-//! Handling of tries that ended without a response of the backend server.
+//! Recording of tries that ended without a response of the backend server.
 
 use super::{
     TryFailure,
@@ -11,7 +11,8 @@
 };
 
 impl TryFlow<'_> {
-    /// Records why a try failed, in its request's record and the fleet view.
+    /// Records why a try failed in the request's record, the fleet view, the log and
+    /// metrics.
     pub(super) fn record_failure(
         self,
         tries: &mut TryRecord<'_>,
@@ -62,7 +63,7 @@
     }
 }
 
-/// Returns the outcome that a refusal is for the member.
+/// Returns what a refusal says about the member.
 ///
 /// The result is none if the refusal concerns only the request.
 const fn outcome_of(refusal: InboundRefusal) -> Option<TryOutcome> {
--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -30,7 +30,7 @@
         self.key
     }
 
-    /// Holds the connection on which the response arrives.
+    /// Keeps the connection on which the response arrives until the guard is dropped.
     pub fn hold(&mut self, sender: PooledConnection) {
         self.sender = Some(sender);
     }
--- a/crates/node/src/outbound/local_reply.rs
+++ b/crates/node/src/outbound/local_reply.rs
@@ -19,7 +19,7 @@
 }
 
 impl LocalReply {
-    /// Creates a 503 reply: the request hasn't run and won't, and the caller may retry.
+    /// Creates a 503 reply: the request won't run, and the caller may retry.
     pub const fn not_run(code: ResultCode, retry_after: Duration) -> Self {
         Self {
             code,
@@ -46,7 +46,10 @@
         }
     }
 
-    /// Creates a reply with `status` to a request that is itself at fault.
+    /// Creates a reply to a request that is invalid and would be rejected again.
+    ///
+    /// The request has no route, or its body is malformed, late or too large. The reply
+    /// advises no retry.
     pub const fn rejected(code: ResultCode, status: StatusCode) -> Self {
         Self {
             code,
--- a/crates/node/src/outbound/mod.rs
+++ b/crates/node/src/outbound/mod.rs
@@ -5,8 +5,9 @@
 //! without I/O: routing in [`config`](crate::config), load balancing in
 //! [`member`](crate::member), and the retry budget in [`retry`](crate::retry).
 //!
-//! A *try* sends the request to one member. An *attempt* is one request of the caller, which
-//! may make several; a route's `attempts` limit the tries that reach a backend server.
+//! A *try* sends the request to one member. An *attempt* is one request of the caller,
+//! which may make several. Despite its name, a route's `attempts` limits the tries that
+//! reach a backend server for one attempt.
 
 mod caller_input;
 mod deadline_tracker;
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -24,10 +24,10 @@
 
 /// Time after the node's start within which its first configuration is expected.
 const FIRST_CONFIG_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Number of open requests above which none waits for the first configuration.
+/// Number of open requests above which no request waits for the first configuration.
 const WAITING_REQUESTS_MAX: u32 = 128;
-/// Least `Retry-After` before the first configuration. If there is none soon after the
-/// start, the store is unavailable.
+/// Smallest `Retry-After` before the first configuration. If no configuration arrives soon
+/// after the start, the store is unavailable.
 const RETRY_NOT_READY_MIN: Duration = Duration::from_millis(500);
 /// `Retry-After` while the node stops. A restarted process is back within about a second.
 const RETRY_STOPPING: Duration = Duration::from_millis(250);
@@ -47,7 +47,7 @@
         Self { core }
     }
 
-    /// Handles a request and returns the response for the caller.
+    /// Serves a request and returns the response for the caller.
     ///
     /// The response carries the caller's request identifier.
     pub async fn handle(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
@@ -74,7 +74,7 @@
         response
     }
 
-    /// Reads and routes a request.
+    /// Reads and routes a request; the error is the reply to a request that is rejected.
     async fn receive(
         &self,
         incoming: Request<Incoming>,
@@ -133,7 +133,7 @@
         })
     }
 
-    /// Returns the configuration in force, after waiting for the first one if need be.
+    /// Returns the configuration in force; waits for the first one while there is none.
     ///
     /// After a power cut, callers send their second attempt before any node has read its
     /// configuration, and most of them make no third one.
@@ -189,8 +189,8 @@
             .unwrap_or(arrived)
     }
 
-    /// Remembers a request without a response of a backend server. Its caller may send it
-    /// again.
+    /// Remembers a request that got no response of a backend server, as its caller may send
+    /// it again.
     fn record_refused(&self, request: &OutboundRequest) {
         let Some(caller_deadline) = request.caller_deadline else {
             return;
--- a/crates/node/src/outbound/outbound_request.rs
+++ b/crates/node/src/outbound/outbound_request.rs
@@ -11,7 +11,7 @@
 /// A caller's request after it was read and routed.
 #[derive(Debug, Clone)]
 pub struct OutboundRequest {
-    /// Identifier of the caller's attempt, for the log; empty if the caller sent none.
+    /// Value of the caller's request-id header, for the log; empty if it sent none.
     pub id: Rc<str>,
     /// HTTP method.
     pub method: Method,
@@ -19,11 +19,11 @@
     pub uri: Uri,
     /// Headers to send to the backend server.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
     /// Hash of the request, by which a repeated one is recognised.
     pub fingerprint: u64,
-    /// Route of the request.
+    /// Route that the host and path of the request matched.
     pub route: Rc<RouteRule>,
     /// Service that was selected by the route's weights.
     pub service: Rc<str>,
@@ -37,8 +37,8 @@
     pub first_attempt_at: Instant,
     /// When the caller stops waiting; none if it doesn't say.
     pub caller_deadline: Option<Instant>,
-    /// When the target response time of the route is over, counted from the first attempt.
+    /// When the route's target latency is over, counted from the first attempt.
     pub target_deadline: Instant,
-    /// When the caller gets a final response at the latest.
+    /// Latest time at which the caller gets a final response, shortly before its deadline.
     pub ends_at: Instant,
 }
--- a/crates/node/src/outbound/resend_tracker.rs
+++ b/crates/node/src/outbound/resend_tracker.rs
@@ -1,18 +1,18 @@
-//! Recognises requests that were refused before.
+//! Recognises requests that got no response of a backend server and are sent again.
 
 use std::{
     collections::{HashMap, VecDeque},
     time::Duration,
 };
 
-/// Number of refused requests that are remembered. It covers three seconds of a node that
-/// refuses all requests of its callers at ten times today's rate.
+/// Largest number of requests that are remembered. It covers three seconds of a node that refuses
+/// all requests of its callers at 340 requests a second, ten times the usual rate.
 const REFUSED_MAX: usize = 1_024;
 /// Largest difference between the deadlines of two attempts of one caller. A request takes up
 /// to ten milliseconds to reach the node, and some more on a busy machine.
 const CALLER_DEADLINE_TOLERANCE: Duration = Duration::from_millis(25);
 
-/// A refused request that may be sent again.
+/// A request that got no response of a backend server and may be sent again.
 #[derive(Debug, Clone, Copy)]
 struct RefusedRequest {
     first_attempt_at: Duration,
@@ -20,17 +20,17 @@
     caller_deadline: Duration,
 }
 
-/// Remembers refused requests, to find the first attempt when they are sent again.
+/// Remembers requests without a response of a backend server, to recognise later attempts.
 ///
-/// Callers that were refused send the request again with their remaining time, after pauses
-/// of different lengths. If such a request counted as new, long responses on full links
-/// would go to callers that have waited long and get them late, in place of others that
-/// could have been in time. A request with the same fingerprint and the same caller deadline
-/// is taken for one of the same caller. It is remembered until that deadline.
+/// Such requests were refused, timed out or lost their response. Their callers send them again with
+/// their remaining time, after pauses of different lengths. If such a request counted as new, long
+/// responses on full links would go to callers that have waited long and get them late, in place of
+/// others that could have been in time. A request with the same fingerprint and the same caller
+/// deadline is taken for one of the same caller. It is remembered until that deadline.
 #[derive(Debug, Default)]
 pub struct ResendTracker {
     refused: HashMap<u64, RefusedRequest>,
-    /// Fingerprints and caller deadlines in the order of refusal.
+    /// Fingerprints and caller deadlines in the order in which they were recorded.
     order: VecDeque<(u64, Duration)>,
 }
 
@@ -55,10 +55,10 @@
         self.order.push_back((fingerprint, caller_deadline));
     }
 
-    /// Returns the time of the first attempt of a request that was refused here before.
+    /// Returns the time of the first attempt of a request that is remembered here.
     ///
-    /// The result is none if no refused request has this fingerprint and about the same
-    /// caller deadline.
+    /// The result is none if no remembered request has this fingerprint and about the same caller
+    /// deadline.
     ///
     /// # Examples
     ///
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -98,15 +98,14 @@
         None
     }
 
-    /// Sends the request to a member, and hedges it if that one is silent.
+    /// Sends the request to a member, and hedges it if that member is silent.
     ///
     /// Returns the try that responded or ended last, with its result.
     ///
-    /// When a member freezes,
-    /// loses power or its connection stalls, no response arrives and no error either. A
-    /// member that sends this node nothing for the silence timeout is ejected, and an
-    /// idempotent request is sent to another member as well. The first try
-    /// continues until the second has a response, as it may be the only one to get one.
+    /// When a member freezes, loses power or its connection stalls, neither a response nor an error
+    /// arrives. A member that sends this node nothing for the silence timeout is ejected, and an
+    /// idempotent request is sent to another member as well. The first try continues until the
+    /// second has a response, as it may be the only one to get one.
     async fn send_with_hedge(
         self,
         next: NextTry,
@@ -181,8 +180,8 @@
 
     /// Whether a silent try may be hedged with a second one.
     ///
-    /// The request must be idempotent, another member available, and the retry budget not
-    /// used up.
+    /// The request must be idempotent, another member available, and neither the route's `attempts`
+    /// nor the retry budget used up.
     fn may_hedge(self, tries: &TryRecord<'_>) -> bool {
         let now = self.core.clock.now();
         let fleet = self.core.fleet.borrow();
@@ -210,7 +209,7 @@
         tries.arrivals < self.request.route.attempts && tries.tried.len() < TRIES_MAX
     }
 
-    /// Whether the retry budget allows a further try of a request that may have run.
+    /// Whether the retry budget allows another try of a request that may have run.
     fn budget_allows_rerun(self, nodes: usize) -> bool {
         let retry_query = RetryQuery {
             service: &self.request.service,
@@ -270,9 +269,9 @@
         Some(next)
     }
 
-    /// Withdraws a further arrival at a backend server from the retry budget.
+    /// Withdraws another arrival at a backend server from the retry budget.
     ///
-    /// Returns false if the route's attempts or the budget are used up.
+    /// Returns false if the route's `attempts` or the budget are used up.
     fn may_arrive_again(self, tries: &TryRecord<'_>) -> bool {
         if tries.arrivals >= self.request.route.attempts {
             return false;
--- a/crates/node/src/outbound/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -14,16 +14,16 @@
     result_code::ResultCode,
 };
 
-/// Number of members tried for one request, with those whose inbound proxy refused. If a
-/// third one is full, so is the service.
+/// Largest number of members tried for one request, including those that refused it. If a third one
+/// is full, so is the service.
 pub(super) const TRIES_MAX: usize = 3;
-/// Number of members probed for a free slot before the request waits in a queue. Each probe
+/// Largest number of members probed for a free slot before the request waits in a queue. Each probe
 /// costs both nodes a call.
 pub(super) const PROBES_MAX: usize = 1;
 /// `Retry-After` when no backend server takes requests. A backend server restarts, or is
 /// announced again, within one or two seconds.
 const RETRY_NO_BACKEND: Duration = Duration::from_millis(250);
-/// Least `Retry-After`.
+/// Smallest `Retry-After` of a reply to a request whose tries were refused or timed out.
 pub(super) const RETRY_AFTER_MIN: Duration = Duration::from_millis(30);
 
 /// State of the tries of one request so far.
@@ -45,11 +45,12 @@
     pub(super) in_flight: u32,
     /// Whether a try that has ended may have run.
     pub(super) ran: bool,
-    /// Last refusal.
+    /// Most recent refusal, by a member or because all links are full; probes that found no free
+    /// slot don't count.
     pub(super) refusal: Option<InboundRefusal>,
     /// Cause of the last failure of a try that may have run, for the log.
     pub(super) failure_cause: Option<String>,
-    /// Whether the request crashes backend servers, or may do so. No other may be tried then.
+    /// Whether the request crashes backend servers, or may do so. No other member is tried then.
     pub(super) crashes_servers: bool,
     /// A backend server's failure response, which is used if no other try succeeds.
     pub(super) fallback_response: Option<Box<Response<ResponseBody>>>,
@@ -97,7 +98,7 @@
         self.probed.push(key);
     }
 
-    /// Whether the last refusal was because of a lack of capacity.
+    /// Whether the most recent refusal was for a lack of capacity.
     pub(super) fn is_full(&self) -> bool {
         self.refusal.is_some_and(|refusal| refusal.reason.is_full())
     }
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -49,11 +49,12 @@
 /// Sends a request to the node's own inbound proxy or to that of another node.
 #[derive(Debug, Clone, Copy)]
 pub struct TrySender<'a> {
-    /// State of the node.
+    /// State of the node that sends the request.
     pub core: &'a Rc<NodeCore>,
     /// Request to send.
     pub request: &'a OutboundRequest,
-    /// Whether the request may wait in the queue. Otherwise it probes for a free slot.
+    /// Whether the request may wait in the member's queue; otherwise it probes for a free
+    /// slot.
     pub may_wait: bool,
 }
 
@@ -62,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// Why the try ended without a response of the backend server.
+    /// Returns why the try ended without a response of the backend server.
     pub async fn send(self, key: MemberKey, record: &MemberRecord) -> TryResult {
         let guard = InFlightGuard::new(self.core, key);
         if record.peer_addr == self.core.settings.peer_addr {
@@ -203,7 +204,7 @@
     }
 }
 
-/// Returns only the path and query, as they stand in a request line.
+/// Returns only the path and query, as in a request line; `/` if there are none.
 pub(super) fn path_only(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
--- a/crates/node/src/response_body.rs
+++ b/crates/node/src/response_body.rs
@@ -98,7 +98,7 @@
         Self::from_source(BodySource::Whole(Some(bytes.into())))
     }
 
-    /// Creates a body that forwards an incoming one.
+    /// Creates a body that forwards an incoming body as it arrives.
     pub fn stream(incoming: Incoming) -> Self {
         let unsent = Bytes::new();
         Self::from_source(BodySource::Stream { incoming, unsent })
--- a/crates/node/src/retry/retry_budget.rs
+++ b/crates/node/src/retry/retry_budget.rs
@@ -6,16 +6,16 @@
     time::Duration,
 };
 
-/// Share of the allowance that retries may use. The rest covers requests at the edges of a
-/// window, which the common limit may count differently from this node, and the calls that
-/// are repeated when a request runs again.
+/// Share of a service's allowance that retries of its requests may use. The rest covers requests at
+/// the edges of a window, which a check of [`RetryLimits`] over all nodes may count differently
+/// from this node, and nested calls that are repeated when a request of another service runs again.
 const RETRY_SHARE: f64 = 0.55;
-/// Share of the allowance for requests that have run, or may have. Each of them repeats its
-/// calls, which count as retries at the called service. With two calls per run, they use up
-/// what `RETRY_SHARE` leaves there.
+/// Share of a service's allowance for retries of requests that have run, or may have. Each of them
+/// repeats its nested calls, which count as retries at the called service. With two calls per run,
+/// that is half of an allowance of the same size; `RETRY_SHARE` leaves 0.45.
 const RERUN_SHARE: f64 = 0.25;
-/// Width of a bucket. It is a tenth of a usual window, so at most a tenth of the requests in
-/// a window are counted for too long.
+/// Width of a bucket: a tenth of a usual window. Retries are counted for up to this time too long,
+/// and requests for up to this time too short, so the budget errs on the low side.
 const BUCKET_WIDTH: Duration = Duration::from_secs(1);
 
 /// Limit on the retries of all nodes together.
@@ -23,16 +23,16 @@
 pub struct RetryLimits {
     /// Allowed retries per request.
     pub ratio: f64,
-    /// Allowed retries in addition, for all nodes together.
+    /// Additional retries allowed per service and window, for all nodes together.
     pub slack: f64,
     /// Sliding window over which requests and retries are counted.
     pub window: Duration,
 }
 
-/// A further try for which the budget is asked.
+/// Another try of a request, for which the budget is asked.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryQuery<'a> {
-    /// Name of the service that would get the try.
+    /// Name of the service to which the request would be sent.
     pub service: &'a str,
     /// Number of nodes that share the slack.
     pub nodes: usize,
@@ -46,10 +46,10 @@
     buckets: VecDeque<WindowBucket>,
 }
 
-/// Counts of one bucket's time.
+/// Requests, retries and reruns of one interval of `BUCKET_WIDTH`, or a sum of several.
 #[derive(Debug, Clone, Copy, Default)]
 struct WindowBucket {
-    /// Index of the bucket, counted from time zero.
+    /// Index of the interval, counted in `BUCKET_WIDTH` from the start of the clock.
     number: u64,
     requests: u32,
     retries: u32,
@@ -59,11 +59,11 @@
 
 /// One node's share of the retries that all nodes together may make.
 ///
-/// When a whole service is full, every first try fails on every node, and unlimited second
-/// tries would double the load just when it is too high. A node may use the ratio on its own
-/// requests, and its part of the slack, which is divided by the number of nodes it knows.
-/// The shares of all nodes add up to less than the common limit, however the requests are
-/// spread over them. When nodes come or go, only the parts of the slack change.
+/// When a whole service is full, every first try fails on every node, and unlimited second tries
+/// would double the load just when it is too high. A node may use the ratio of its own requests,
+/// and its part of the slack, which is divided by the number of nodes it knows. The budgets of all
+/// nodes add up to less than the limit on all of them, however the requests are spread over the
+/// nodes. When nodes come or go, only the parts of the slack change.
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
@@ -104,7 +104,7 @@
         entry.bucket(now, window).requests += 1;
     }
 
-    /// Takes a further try out of the budget, and returns whether it had one.
+    /// Withdraws another try from the budget, and returns whether it was granted.
     pub fn withdraw(&mut self, now: Duration, retry_query: RetryQuery<'_>) -> bool {
         let window = self.limits.window;
         let granted = self.has_room(now, retry_query);
@@ -117,7 +117,7 @@
         granted
     }
 
-    /// Whether [`RetryBudget::withdraw`] would grant a further try.
+    /// Whether [`RetryBudget::withdraw`] would grant another try.
     pub fn has_room(&self, now: Duration, retry_query: RetryQuery<'_>) -> bool {
         let counts = match self.services.get(retry_query.service) {
             Some(entry) => entry.counts(now, self.limits.window),
@@ -157,7 +157,8 @@
 
     /// Returns the sum of all buckets in the window.
     ///
-    /// Of the oldest bucket, which may lie partly outside the window, only the retries count.
+    /// Of the oldest bucket, which may lie partly outside the window, only the retries and reruns
+    /// count, so that the budget errs on the low side.
     fn counts(&self, now: Duration, window: Duration) -> WindowBucket {
         let oldest = oldest_bucket(now, window);
         let recent = self.buckets.iter().filter(|bucket| bucket.number >= oldest);
--- a/crates/node/src/store/store_item.rs
+++ b/crates/node/src/store/store_item.rs
@@ -75,7 +75,7 @@
     pub number: u64,
 }
 
-/// Key of the store with its value.
+/// Key and value, with the revision of the last change and the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreItem {
     /// Key.
--- a/crates/node/src/transport/connection_pool.rs
+++ b/crates/node/src/transport/connection_pool.rs
@@ -30,7 +30,7 @@
     pub idle_timeout: Duration,
 }
 
-/// Connection that is in use, to be put back into the pool.
+/// Connection that is in use, and may be put back into the pool.
 #[derive(Debug)]
 pub struct PooledConnection {
     addr: SocketAddr,
--- a/crates/node/src/transport/peer_call.rs
+++ b/crates/node/src/transport/peer_call.rs
@@ -13,11 +13,11 @@
 /// Call from one node to another that carries no caller's request.
 #[derive(Debug, Clone)]
 pub struct PeerCall<P> {
-    /// HTTP method.
+    /// HTTP method of the call.
     pub method: Method,
     /// Path and query of the call.
     pub path: P,
-    /// Request body.
+    /// Request body; empty for none.
     pub body: Bytes,
     /// Longest time until the whole response has arrived.
     pub timeout: Duration,
--- a/crates/node/src/transport/peer_request_header.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -1,4 +1,4 @@
-//! Header with which a node forwards a request to another.
+//! Header of a request that a node forwards to another node.
 
 use std::{
     net::{AddrParseError, SocketAddr},
@@ -14,11 +14,11 @@
 /// Routing data of a request that one node forwards to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerRequestHeader {
-    /// Priority rank of the route.
+    /// Priority rank of the route; 0 is the most urgent.
     pub rank: u8,
-    /// Hash of the route.
+    /// Hash of the route's name.
     pub route_hash: u64,
-    /// Whether a request that already runs at a backend server made this one.
+    /// Whether the request is a nested call of a run that has begun.
     pub is_nested: bool,
     /// Whether the request may run more than once without harm.
     pub idempotent: bool,
