--- a/crates/node/src/admin/admin_handler.rs
+++ b/crates/node/src/admin/admin_handler.rs
@@ -46,9 +46,9 @@
     fn metrics(&self) -> Response<ResponseBody> {
         let load = self.core.inbound.load(0);
         let metrics = &self.core.metrics;
-        metrics.members(self.core.fleet.borrow().len());
-        metrics.queue("running", load.running);
-        metrics.queue("waiting", load.waiting);
+        metrics.set_members(self.core.fleet.borrow().len());
+        metrics.set_queue("running", load.running);
+        metrics.set_queue("waiting", load.waiting);
         match metrics.text() {
             Ok(text) => text_response(StatusCode::OK, "text/plain; version=0.0.4", text),
             Err(cause) => self.internal_error("metrics", &cause),
--- a/crates/node/src/crash/broken_runs.rs
+++ b/crates/node/src/crash/broken_runs.rs
@@ -112,7 +112,7 @@
     /// A backend server that is restarted within milliseconds listens again before the probe
     /// comes, possibly under its old identifier. Runs that broke shortly before count as
     /// crashes, unless the earlier start answered a probe after they broke.
-    pub fn replaced(&self, now: Duration, ended: &EndpointStart, instance: &str) {
+    pub fn record_replacement(&self, now: Duration, ended: &EndpointStart, instance: &str) {
         let mut recent = self.recent.borrow_mut();
         let counts_as_crash = |run: &RecentRun| {
             let window = match run.cause {
@@ -187,7 +187,7 @@
         self.late_batch_notified.notify_waiters();
     }
 
-    /// Waits until other nodes were notified of the crashes found by [`Self::replaced`].
+    /// Waits until other nodes were notified of the crashes found by [`Self::record_replacement`].
     pub async fn until_peers_notified(&self) {
         while self.late_batches_open.get() > 0 || !self.late_crashes.borrow().is_empty() {
             self.late_batch_notified.notified().await;
--- a/crates/node/src/crash/completion_credit.rs
+++ b/crates/node/src/crash/completion_credit.rs
@@ -2,7 +2,7 @@
 
 /// Number of entries of the table, enough for the few thousand most frequent requests of
 /// one node. Each takes 16 bytes, 64 KB in all.
-const ENTRIES: usize = 4_096;
+const CREDIT_ENTRIES: usize = 4_096;
 /// Completions that offset one crash, and the most credit that one request may hold. A
 /// request that turns bad after a change of data is therefore refused after only one
 /// crash more than an unknown one.
@@ -26,7 +26,7 @@
 impl CompletionCredit {
     pub(super) fn new() -> Self {
         Self {
-            entries: vec![CreditEntry::default(); ENTRIES],
+            entries: vec![CreditEntry::default(); CREDIT_ENTRIES],
         }
     }
 
@@ -56,6 +56,6 @@
     }
 
     fn entry_of(&mut self, fingerprint: u64) -> &mut CreditEntry {
-        &mut self.entries[fingerprint as usize % ENTRIES]
+        &mut self.entries[fingerprint as usize % CREDIT_ENTRIES]
     }
 }
--- a/crates/node/src/crash/poison_registry.rs
+++ b/crates/node/src/crash/poison_registry.rs
@@ -77,7 +77,7 @@
         crash.push(record.fingerprint);
         let suspect = self.suspects.entry(record.fingerprint);
         let suspect = suspect.or_insert(SuspectRecord::new(now));
-        suspect.crashed(now);
+        suspect.record_crash(now);
         if self.credit.spend(record.fingerprint) {
             suspect.forgive_one();
         }
--- a/crates/node/src/crash/suspect_record.rs
+++ b/crates/node/src/crash/suspect_record.rs
@@ -23,7 +23,7 @@
     }
 
     /// Adds a crash.
-    pub(super) fn crashed(&mut self, now: Duration) {
+    pub(super) fn record_crash(&mut self, now: Duration) {
         self.crashes += 1;
         self.latest = now;
     }
--- a/crates/node/src/delegation/delegated_call_queue.rs
+++ b/crates/node/src/delegation/delegated_call_queue.rs
@@ -46,7 +46,7 @@
         Some(outcome)
     }
 
-    fn take(&self) -> Option<WaitingCall> {
+    fn take_next(&self) -> Option<WaitingCall> {
         self.waiting.borrow_mut().pop_front()
     }
 }
@@ -57,7 +57,7 @@
         while let Some(WaitingCall {
             call,
             outcome_sender,
-        }) = core.delegated_calls.take()
+        }) = core.delegated_calls.take_next()
         {
             let outcome = run(&core, &*store, &call).await;
             // The node that sent the call may have given up meanwhile.
@@ -68,19 +68,19 @@
 }
 
 async fn run(core: &NodeCore, store: &impl MetaStore, call: &DelegatedCall) -> DelegatedOutcome {
-    if !core.store_access.borrow().is_open() {
+    if !core.store_access.borrow().allows_calls() {
         return DelegatedOutcome::Failed;
     }
     core.metrics.record_store_call("errand");
     match call.run(store).await {
         Ok(outcome) => {
-            core.store_answered();
+            core.record_store_response();
             outcome
         }
         Err(cause) => {
             let age = core.relay_selector.borrow().store_age(core.clock.now());
             if age > RECENT_RESPONSE_AGE_MAX {
-                core.store_failed("errand", &cause);
+                core.record_store_failure("errand", &cause);
             } else {
                 warn!(core.log.logger(), "delegated call failed"; "cause" => %cause);
             }
--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -60,7 +60,7 @@
 
     /// Returns whether the node now calls the store itself.
     pub fn is_direct(&self) -> bool {
-        self.core.store_access.borrow().is_open()
+        self.core.store_access.borrow().allows_calls()
     }
 
     /// Acquires a lease.
@@ -146,7 +146,7 @@
 
     fn record_result<T>(&self, result: Result<T, StoreError>) -> Result<T, StoreError> {
         if result.is_ok() {
-            self.core.store_answered();
+            self.core.record_store_response();
         }
         result
     }
--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -68,7 +68,7 @@
                     () = sleep_until(renew_at) => {}
                 }
             }
-            Err(failure) if is_direct => core.store_failed("announcement", &failure),
+            Err(failure) if is_direct => core.record_store_failure("announcement", &failure),
             Err(failure) => {
                 info!(core.log.logger(), "announcement not updated";
                     "cause" => %failure, "again_ms" => pause.as_millis() as u64);
@@ -109,7 +109,7 @@
         if Instant::now() >= *renew_at {
             *renew_at = Instant::now() + RENEW_INTERVAL;
         }
-        if self.stands_for(&desired) {
+        if self.covers(&desired) {
             return Ok(());
         }
         self.write(core, delegating_store, key.as_str(), desired, lease)
@@ -144,7 +144,7 @@
         renewed?;
         core.earlier_lease.set(None);
         let fleet = core.fleet.borrow();
-        let member = fleet.at(core.settings.peer_addr);
+        let member = fleet.member_at(core.settings.peer_addr);
         let present = member.filter(|member| !member.has_lapsed());
         self.record = present.map(|member| member.record.clone());
         self.lease = Some(lease);
@@ -240,7 +240,7 @@
     /// Notifies the tasks that wait for the announcement, if the store holds the desired one.
     fn notify_if_stored(&self, core: &NodeCore) {
         let stored = match desired(core) {
-            Some(desired) => self.stands_for(&desired),
+            Some(desired) => self.covers(&desired),
             None => self.record.is_none(),
         };
         if stored {
@@ -250,15 +250,15 @@
     }
 
     /// Returns whether the stored announcement tells other nodes the same as `desired`.
-    fn stands_for(&self, desired: &MemberRecord) -> bool {
+    fn covers(&self, desired: &MemberRecord) -> bool {
         let record = self.record.as_ref();
-        record.is_some_and(|record| record.stands_for(desired))
+        record.is_some_and(|record| record.covers(desired))
     }
 
     /// Applies what the watch has delivered about the node's own key.
     fn apply_watched(&mut self, core: &NodeCore) {
         let fleet = core.fleet.borrow();
-        let Some(member) = fleet.at(core.settings.peer_addr) else {
+        let Some(member) = fleet.member_at(core.settings.peer_addr) else {
             return;
         };
         if member.revision() <= self.seen_revision {
--- a/crates/node/src/discovery/apply_updates.rs
+++ b/crates/node/src/discovery/apply_updates.rs
@@ -63,7 +63,7 @@
             .map(|(record, _)| record.peer_addr)
             .collect();
         let mut fleet = core.fleet.borrow_mut();
-        fleet.listed(now, revision, |peer_addr| present.contains(peer_addr));
+        fleet.apply_list(now, revision, |peer_addr| present.contains(peer_addr));
         if !present.contains(&core.settings.peer_addr) {
             core.announcement_changed.notify_one();
         }
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -43,12 +43,12 @@
         };
         match step {
             Ok(revision) => {
-                core.store_answered();
+                core.record_store_response();
                 after = Some(revision);
                 sleep(GATHER_TIME).await;
             }
             Err(StoreError::HistoryGone) => after = None,
-            Err(failure) => core.store_failed("configuration", &failure),
+            Err(failure) => core.record_store_failure("configuration", &failure),
         }
     }
 }
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -43,8 +43,8 @@
         if !core.knows_local_members() {
             core.until_store_back().await;
             match list_local_members(&core, &*store).await {
-                Ok(()) => core.local_members_listed(),
-                Err(failure) => core.store_failed("members", &failure),
+                Ok(()) => core.record_local_members_listed(),
+                Err(failure) => core.record_store_failure("members", &failure),
             }
             continue;
         }
@@ -62,7 +62,7 @@
         };
         match step {
             Ok(()) => {
-                core.store_answered();
+                core.record_store_response();
                 core.update_arrived.notify_waiters();
                 sleep(if settling {
                     FIRST_START_LIST_INTERVAL
@@ -71,7 +71,7 @@
                 })
                 .await;
             }
-            Err(failure) => core.store_failed("members", &failure),
+            Err(failure) => core.record_store_failure("members", &failure),
         }
     }
 }
@@ -86,7 +86,7 @@
     let key = own_key(core);
     let own = list.items.iter().find(|item| item.key == key.as_str());
     core.earlier_lease.set(own.and_then(|item| item.lease));
-    core.store_answered();
+    core.record_store_response();
     if !present.contains(&core.settings.peer_addr) {
         core.announcement_changed.notify_one();
     }
@@ -101,7 +101,7 @@
     let present: HashSet<SocketAddr> = apply_items(core, &list.items).into_iter().collect();
     let now = core.clock.now();
     let mut fleet = core.fleet.borrow_mut();
-    fleet.listed(now, list.revision, |peer_addr| present.contains(peer_addr));
+    fleet.apply_list(now, list.revision, |peer_addr| present.contains(peer_addr));
     drop(fleet);
     if !present.contains(&core.settings.peer_addr) {
         core.announcement_changed.notify_one();
@@ -182,7 +182,9 @@
     };
     let known = {
         let fleet = core.fleet.borrow();
-        fleet.at(peer_addr).map(|member| key_of(&member.record))
+        fleet
+            .member_at(peer_addr)
+            .map(|member| key_of(&member.record))
     };
     if known.is_none_or(|known| known.as_str() == key) {
         apply_lapse(core, peer_addr, revision);
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -45,7 +45,7 @@
     let started = Instant::now();
     let share: f64 = rand::rng().random();
     loop {
-        if core.store_access.borrow().is_open() {
+        if core.store_access.borrow().allows_calls() {
             return false;
         }
         let pause = core
--- a/crates/node/src/distribution/relay_selector.rs
+++ b/crates/node/src/distribution/relay_selector.rs
@@ -75,7 +75,7 @@
     }
 
     /// Records that the store responded to this node, and returns whether it was lost before.
-    pub fn store_answered(&mut self, now: Duration) -> bool {
+    pub fn record_store_response(&mut self, now: Duration) -> bool {
         self.store_answered_at = now;
         std::mem::take(&mut self.store_lost)
     }
@@ -160,7 +160,7 @@
     ///
     /// While the store is unavailable to all nodes, a cut-off node may be selected, too: the
     /// first of them probes the store, and tells the others when it is available again.
-    pub fn choose(&self, now: Duration, relay_candidates: &[&MemberRecord]) -> UpdateSource {
+    pub fn select(&self, now: Duration, relay_candidates: &[&MemberRecord]) -> UpdateSource {
         let cut_off = self.is_cut_off(now);
         let skips_cut_off = !self.is_store_unavailable(now);
         let is_excluded = |exclusions: &HashMap<SocketAddr, Duration>, peer_addr| {
--- a/crates/node/src/distribution/store_access.rs
+++ b/crates/node/src/distribution/store_access.rs
@@ -50,7 +50,7 @@
 
 impl StoreAccess {
     /// Returns whether the store may be called.
-    pub const fn is_open(&self) -> bool {
+    pub const fn allows_calls(&self) -> bool {
         !self.suspended
     }
 
@@ -104,7 +104,7 @@
     ///
     /// let mut access = StoreAccess::default();
     /// assert!(access.record_failure());
-    /// assert!(!access.is_open());
+    /// assert!(!access.allows_calls());
     /// assert!(access.probe_pause(StoreProbeDuty::Own, 1.0) <= Duration::from_millis(100));
     /// assert!(!access.record_failure());
     /// let by_relay = access.probe_pause(StoreProbeDuty::ByRelay, 0.0);
--- a/crates/node/src/event_log.rs
+++ b/crates/node/src/event_log.rs
@@ -16,7 +16,7 @@
 const QUEUE_LINES_MAX: usize = 512;
 /// Largest number of lines a second about single requests. Further ones are only counted:
 /// an overloaded node refuses many requests for the same reason.
-const REQUEST_LINES_PER_SECOND: u32 = 200;
+const REQUEST_LINES_PER_SECOND_MAX: u32 = 200;
 /// Largest size of one write in bytes. Writes of up to this size to a pipe that several
 /// processes share are atomic; longer ones may be interleaved with lines of other
 /// processes.
@@ -201,7 +201,7 @@
             limiter.lines.set(0);
             self.write_withheld();
         }
-        if limiter.lines.get() < REQUEST_LINES_PER_SECOND {
+        if limiter.lines.get() < REQUEST_LINES_PER_SECOND_MAX {
             limiter.lines.set(limiter.lines.get() + 1);
             return Some(&self.logger);
         }
--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -103,7 +103,7 @@
     latest: Duration,
     requested_at: Duration,
     /// Wait that was expected on arrival if no later request overtook this one.
-    planned: Duration,
+    planned_wait: Duration,
 }
 
 impl AdmissionQueue {
@@ -201,8 +201,8 @@
         if let Some(longest) = self.longest_wait(run_time).filter(|_| !request.is_nested) {
             latest = latest.min(now + longest);
         }
-        let planned = self.wait_before(key);
-        let start = now + self.statistics.expected_wait(route, late, planned);
+        let planned_wait = self.wait_before(key);
+        let start = now + self.statistics.expected_wait(route, late, planned_wait);
         if start > latest {
             return self.refuse(route, late, start.saturating_sub(latest));
         }
@@ -211,7 +211,7 @@
             late,
             latest,
             requested_at: now,
-            planned,
+            planned_wait,
         };
         self.waiting.insert(key, queued);
         AdmissionDecision::Wait { key, latest }
@@ -279,7 +279,7 @@
 
     fn record_wait(&mut self, queued: QueuedRequest, waited: Duration) {
         self.statistics
-            .record_wait(queued.route, queued.late, queued.planned, waited);
+            .record_wait(queued.route, queued.late, queued.planned_wait, waited);
     }
 
     /// Returns the planned wait of a request at the position of `key`, if none overtakes it.
--- a/crates/node/src/inbound/endpoint_breaker.rs
+++ b/crates/node/src/inbound/endpoint_breaker.rs
@@ -24,7 +24,7 @@
     open_until: Duration,
     open_time: Duration,
     /// Whether a trial is in progress.
-    trial: bool,
+    trial_in_progress: bool,
 }
 
 impl EndpointBreaker {
@@ -63,7 +63,7 @@
         }
         // A trial that ends without a result, for example because its caller leaves, is followed
         // by another after the same open time.
-        self.trial = true;
+        self.trial_in_progress = true;
         self.open_until = now + self.open_time;
         Ok(())
     }
@@ -84,7 +84,7 @@
         if self.consecutive_breaks == BREAKS_MAX {
             self.open_time = OPEN_TIME_FIRST;
             self.open_until = now + self.open_time;
-        } else if std::mem::take(&mut self.trial) {
+        } else if std::mem::take(&mut self.trial_in_progress) {
             self.open_time = (self.open_time * 2).min(OPEN_TIME_MAX);
             self.open_until = now + self.open_time;
         }
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -61,7 +61,9 @@
         self.check_response(&response, id.as_ref())?;
         if response.status().is_server_error() {
             let now = self.inner.clock.now();
-            self.nested_call_detector.borrow_mut().run_failed(now);
+            self.nested_call_detector
+                .borrow_mut()
+                .record_failed_run(now);
         }
         deliver(response, slot, sender).await
     }
@@ -95,7 +97,7 @@
             if let Some(actual) = header_text(headers, &self.headers.instance) {
                 let now = self.inner.clock.now();
                 if let Some(ended) = self.tracker.borrow_mut().record_instance(actual) {
-                    self.broken.replaced(now, &ended, actual);
+                    self.broken.record_replacement(now, &ended, actual);
                 }
             }
             return refused(RefusalReason::OtherInstance, RETRY_OTHER_NODE_AFTER);
--- a/crates/node/src/inbound/link_admission.rs
+++ b/crates/node/src/inbound/link_admission.rs
@@ -40,8 +40,8 @@
                 .queue
                 .borrow()
                 .mean_run_time_of(request.route_hash),
-            target_deadline: clock.at(request.target_deadline),
-            ends_at: clock.at(request.ends_at),
+            target_deadline: clock.time_of(request.target_deadline),
+            ends_at: clock.time_of(request.ends_at),
         };
         match link.reserve(clock, self.request_id_of(request), reservation_request) {
             Ok(reservation) => Ok(Some(reservation)),
@@ -65,8 +65,8 @@
         let reservation_request = ReservationRequest {
             bytes,
             ready_in: Duration::ZERO,
-            target_deadline: clock.at(response.target_deadline),
-            ends_at: clock.at(response.ends_at),
+            target_deadline: clock.time_of(response.target_deadline),
+            ends_at: clock.time_of(response.ends_at),
         };
         Some(link.reserve_unchecked(clock, response.id, reservation_request))
     }
--- a/crates/node/src/inbound/nested_call_detector.rs
+++ b/crates/node/src/inbound/nested_call_detector.rs
@@ -26,7 +26,7 @@
 struct RejectedRequest {
     at: Duration,
     route_hash: u64,
-    followed: bool,
+    followed_by_failure: bool,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -58,28 +58,28 @@
 impl NestedCallDetector {
     /// Records that a request from this machine got no response of a backend server. Returns a
     /// route that has been found to carry nested calls since the last call of this method.
-    pub fn request_failed(&mut self, now: Duration, route_hash: u64) -> Option<u64> {
+    pub fn record_failed_request(&mut self, now: Duration, route_hash: u64) -> Option<u64> {
         self.evaluate_pending(now);
         if self.pending.len() < PENDING_MAX {
             self.pending.push_back(RejectedRequest {
                 at: now,
                 route_hash,
-                followed: false,
+                followed_by_failure: false,
             });
         }
         self.newly_detected.take()
     }
 
     /// Records that a run of the backend server failed.
-    pub fn run_failed(&mut self, now: Duration) {
+    pub fn record_failed_run(&mut self, now: Duration) {
         self.evaluate_pending(now);
         let last = self
             .pending
             .iter_mut()
             .rev()
-            .find(|rejected| !rejected.followed);
+            .find(|rejected| !rejected.followed_by_failure);
         if let Some(rejected) = last {
-            rejected.followed = true;
+            rejected.followed_by_failure = true;
         }
     }
 
@@ -93,8 +93,8 @@
     ///
     /// let mut detector = NestedCallDetector::default();
     /// for second in 1..5 {
-    ///     detector.request_failed(Duration::from_secs(second), 7);
-    ///     detector.run_failed(Duration::from_millis(second * 1_000 + 1));
+    ///     detector.record_failed_request(Duration::from_secs(second), 7);
+    ///     detector.record_failed_run(Duration::from_millis(second * 1_000 + 1));
     /// }
     /// assert!(detector.is_nested_call(7));
     /// assert!(!detector.is_nested_call(8));
@@ -112,12 +112,14 @@
                 break;
             }
             self.pending.pop_front();
-            let known = self.shares.entry(rejected.route_hash).or_default();
-            let before = known.is_nested_call();
-            let followed = f64::from(u8::from(rejected.followed));
-            known.share.observe(followed, SHARE_WEIGHT);
-            known.rejections = known.rejections.saturating_add(1);
-            if known.is_nested_call() && !before {
+            let failure_share = self.shares.entry(rejected.route_hash).or_default();
+            let before = failure_share.is_nested_call();
+            let followed_by_failure = f64::from(u8::from(rejected.followed_by_failure));
+            failure_share
+                .share
+                .observe(followed_by_failure, SHARE_WEIGHT);
+            failure_share.rejections = failure_share.rejections.saturating_add(1);
+            if failure_share.is_nested_call() && !before {
                 self.newly_detected = Some(rejected.route_hash);
             }
         }
--- a/crates/node/src/inbound/route_statistics.rs
+++ b/crates/node/src/inbound/route_statistics.rs
@@ -93,14 +93,14 @@
         &mut self,
         route: RankedRoute,
         late: bool,
-        planned: Duration,
+        planned_wait: Duration,
         waited: Duration,
     ) {
-        let planned = planned.as_secs_f64();
-        if planned <= 0.0 {
+        let planned_wait = planned_wait.as_secs_f64();
+        if planned_wait <= 0.0 {
             return;
         }
-        let wait_ratio = waited.as_secs_f64() / planned;
+        let wait_ratio = waited.as_secs_f64() / planned_wait;
         let wait_ratio = wait_ratio.clamp(*WAIT_RATIO_BOUNDS.start(), *WAIT_RATIO_BOUNDS.end());
         self.wait_ratio_mut(route, late)
             .observe(wait_ratio, WAIT_RATIO_WEIGHT);
@@ -119,9 +119,9 @@
         &mut self,
         route: RankedRoute,
         late: bool,
-        planned: Duration,
+        planned_wait: Duration,
     ) -> Duration {
-        planned.mul_f64(self.wait_ratio_mut(route, late).get().unwrap_or(1.0))
+        planned_wait.mul_f64(self.wait_ratio_mut(route, late).get().unwrap_or(1.0))
     }
 
     fn wait_ratio_mut(&mut self, route: RankedRoute, late: bool) -> &mut MovingMean {
--- a/crates/node/src/inbound/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -48,8 +48,8 @@
             route_hash,
             is_nested: request.is_nested,
             may_wait: request.may_wait,
-            target_deadline: self.inner.clock.at(request.target_deadline),
-            ends_at: self.inner.clock.at(request.ends_at),
+            target_deadline: self.inner.clock.time_of(request.target_deadline),
+            ends_at: self.inner.clock.time_of(request.ends_at),
         };
         let now = self.inner.clock.now();
         let decision = self.inner.queue.borrow_mut().admit(now, admission_request);
@@ -69,7 +69,7 @@
             route_hash,
             settled: false,
         };
-        let latest = self.inner.clock.instant(latest);
+        let latest = self.inner.clock.instant_of(latest);
         if timeout_at(latest, granted).await.is_ok() {
             place.settled = true;
             return Ok(RunSlot::new(Rc::clone(&self.inner), route_hash));
--- a/crates/node/src/link/link_reservation.rs
+++ b/crates/node/src/link/link_reservation.rs
@@ -39,8 +39,8 @@
     }
 
     /// Records that the response is ready, and its size in bytes if the head gives one.
-    pub fn response_ready(&mut self, bytes: Option<u64>) {
-        self.transfer.response_ready(self.clock.now(), bytes);
+    pub fn record_response_ready(&mut self, bytes: Option<u64>) {
+        self.transfer.record_response_ready(self.clock.now(), bytes);
         if let Some(bytes) = bytes {
             self.scheduler
                 .schedule()
--- a/crates/node/src/link/transfer_record.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records that the response is ready, and its size in bytes if the head gives one.
-    pub fn response_ready(&mut self, now: Duration, bytes: Option<u64>) {
+    pub fn record_response_ready(&mut self, now: Duration, bytes: Option<u64>) {
         self.response_ready_at = Some(now);
         self.bytes = bytes;
     }
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -27,7 +27,7 @@
 /// node that asks for changes from before these drops gets the whole list.
 const DROPS_MAX: usize = 256;
 /// Weight of one load report in the mean run time of its route over all members.
-const RUN_WEIGHT: f64 = 0.02;
+const RUN_TIME_WEIGHT: f64 = 0.02;
 
 /// Outcome of sending a request to a member once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -157,7 +157,7 @@
     /// Members for which `present` returns false are marked as missing. Members that came
     /// and went before the list were never seen here, so a node that asks for the changes
     /// since an earlier revision gets the whole list.
-    pub fn listed(
+    pub fn apply_list(
         &mut self,
         now: Duration,
         revision: Revision,
@@ -274,7 +274,7 @@
     }
 
     /// Returns the member at `peer_addr`, if one is known.
-    pub fn at(&self, peer_addr: SocketAddr) -> Option<&MemberView> {
+    pub fn member_at(&self, peer_addr: SocketAddr) -> Option<&MemberView> {
         self.get(self.key_of(peer_addr)?)
     }
 
@@ -294,9 +294,9 @@
     }
 
     /// Counts a request as outstanding at `key`.
-    pub fn request_sent(&mut self, key: MemberKey) {
+    pub fn record_request_sent(&mut self, key: MemberKey) {
         if let Some(member) = self.get_mut(key) {
-            member.request_sent();
+            member.record_request_sent();
         }
     }
 
@@ -313,7 +313,7 @@
         let run = report.route_run_time.as_secs_f64();
         let mean = self.route_run_times.entry(route_hash).or_default();
         if run > 0.0 {
-            mean.observe(run, RUN_WEIGHT);
+            mean.observe(run, RUN_TIME_WEIGHT);
         }
         let mean_run_s = mean.get();
         let Some((member, pool)) = self.get_with_pool(key) else {
@@ -346,10 +346,10 @@
 
     /// Counts a request at `key` as no longer outstanding.
     ///
-    /// Each call of [`FleetView::request_sent`] needs one call of this method.
-    pub fn request_ended(&mut self, key: MemberKey) {
+    /// Each call of [`FleetView::record_request_sent`] needs one call of this method.
+    pub fn record_request_ended(&mut self, key: MemberKey) {
         if let Some(member) = self.get_mut(key) {
-            member.request_ended();
+            member.record_request_ended();
         }
     }
 
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -12,7 +12,7 @@
 
 /// Mean requests per slot of a service from which on its members aren't probed. At 1.0, all
 /// slots are in use and the queues are empty on average.
-const PROBE_HELD_MAX: f64 = 1.0;
+const PROBE_REQUESTS_PER_SLOT_MAX: f64 = 1.0;
 /// Silence timeout as a multiple of the expected response time.
 const SILENCE_RUNS: f64 = 3.0;
 /// Shortest silence timeout. A machine that has used up its CPU quota stands still for a
@@ -112,7 +112,7 @@
         let Some(pool) = self.services.get(query.service) else {
             return false;
         };
-        if pool.mean_held_per_slot() >= PROBE_HELD_MAX {
+        if pool.mean_requests_per_slot() >= PROBE_REQUESTS_PER_SLOT_MAX {
             return false;
         }
         let other = self.candidates(pool, query).nth(query.probed.len() + 1);
@@ -186,7 +186,7 @@
             return SILENCE_TIMEOUT_MIN;
         };
         let cost = self.cost(now, pool, query);
-        if cost.averages.run.is_none() {
+        if cost.averages.route_run_time.is_none() {
             return SILENCE_TIMEOUT_MIN.max(query.target);
         }
         let expected = self.get(key).map_or(0.0, |member| cost.expected_s(member));
@@ -210,8 +210,8 @@
             .get(&query.route_hash)
             .and_then(MovingMean::get);
         let averages = ServiceAverages {
-            run: run.map(Duration::from_secs_f64),
-            held: pool.mean_held_per_slot(),
+            route_run_time: run.map(Duration::from_secs_f64),
+            requests_per_slot: pool.mean_requests_per_slot(),
         };
         PickCost {
             now,
--- a/crates/node/src/member/member_record.rs
+++ b/crates/node/src/member/member_record.rs
@@ -52,7 +52,7 @@
     ///
     /// The two may differ in `cold_ms` and `sequence`: other nodes have no use for a new
     /// value of these alone.
-    pub fn stands_for(&self, other: &Self) -> bool {
+    pub fn covers(&self, other: &Self) -> bool {
         let other = Self {
             cold_ms: self.cold_ms,
             sequence: self.sequence,
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -202,7 +202,10 @@
     /// Returns the expected run time of `route_hash` at the member in seconds.
     pub(super) fn run_s(&self, now: Duration, route_hash: u64, averages: ServiceAverages) -> f64 {
         let reported = self.runs.iter().find(|(known, _)| *known == route_hash);
-        let mean = averages.run.unwrap_or(UNKNOWN_RUN_TIME).as_secs_f64();
+        let mean = averages
+            .route_run_time
+            .unwrap_or(UNKNOWN_RUN_TIME)
+            .as_secs_f64();
         let run = reported.map_or_else(
             || mean * self.run_time_ratio.get().unwrap_or(1.0),
             |(_, run)| *run,
@@ -227,7 +230,7 @@
             .map(|load| load.report.mean_run_time.as_secs_f64());
         let mean_run_s = reported.filter(|&run_s| run_s > 0.0).unwrap_or(run_s);
         let slots = f64::from(self.record.slots.max(1));
-        let held = self.held(now, averages.held);
+        let held = self.held(now, averages.requests_per_slot);
         let queued = (held + 1.0 - slots).max(0.0) / slots;
         MemberEstimate {
             run_s,
@@ -272,11 +275,11 @@
         (reported * weight + mean * (1.0 - weight) + since).max(own)
     }
 
-    pub(super) fn request_sent(&mut self) {
+    pub(super) fn record_request_sent(&mut self) {
         self.outstanding += 1;
     }
 
-    pub(super) fn request_ended(&mut self) {
+    pub(super) fn record_request_ended(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
--- a/crates/node/src/member/service_pool.rs
+++ b/crates/node/src/member/service_pool.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns the mean number of requests per slot, running or queued.
-    pub(super) fn mean_held_per_slot(&self) -> f64 {
+    pub(super) fn mean_requests_per_slot(&self) -> f64 {
         self.held.get().unwrap_or(0.0)
     }
 }
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct ServiceAverages {
     /// Mean run time of the route; none if no member has reported one yet.
-    pub(super) run: Option<Duration>,
+    pub(super) route_run_time: Option<Duration>,
     /// Mean number of requests per slot of the service, running or queued.
-    pub(super) held: f64,
+    pub(super) requests_per_slot: f64,
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -113,11 +113,11 @@
         let handler = PeerHandler::new(Rc::clone(core));
         let core = Rc::clone(core);
         move |request| {
-            let (handler, open) = (
+            let (handler, guard) = (
                 handler.clone(),
                 core.open_request_guard(RequestOrigin::Node),
             );
-            async move { track_response(handler.handle(request).await, open) }
+            async move { track_response(handler.handle(request).await, guard) }
         }
     });
     let readiness = platform.clone();
@@ -175,21 +175,21 @@
 /// Counts a response as open until its end, and its head as link traffic.
 fn track_response(
     response: Response<ResponseBody>,
-    open: OpenRequestGuard,
+    guard: OpenRequestGuard,
 ) -> Response<ResponseBody> {
-    open.sent_head(response.headers());
-    response.map(|body| body.with_open_request_guard(open))
+    guard.record_head(response.headers());
+    response.map(|body| body.with_open_request_guard(guard))
 }
 
 fn serve_callers(core: &Rc<NodeCore>, listener: TcpListener) {
     let proxy = OutboundProxy::new(Rc::clone(core));
     let (counted, limited) = (Rc::clone(core), Rc::clone(core));
     let handler = move |request| {
-        let (proxy, open) = (
+        let (proxy, guard) = (
             proxy.clone(),
             counted.open_request_guard(RequestOrigin::Caller),
         );
-        async move { track_response(proxy.handle(request).await, open) }
+        async move { track_response(proxy.handle(request).await, guard) }
     };
     let limits = move || match &*limited.config.borrow() {
         Some(config) => ConnectionLimits {
--- a/crates/node/src/node_clock.rs
+++ b/crates/node/src/node_clock.rs
@@ -28,12 +28,12 @@
     }
 
     /// Returns the time from the clock's start to `instant`, or zero if it was earlier.
-    pub fn at(&self, instant: Instant) -> Duration {
+    pub fn time_of(&self, instant: Instant) -> Duration {
         instant.saturating_duration_since(self.start)
     }
 
     /// Returns the instant that is `time` after the clock's start.
-    pub fn instant(&self, time: Duration) -> Instant {
+    pub fn instant_of(&self, time: Duration) -> Instant {
         self.start + time
     }
 
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -36,7 +36,7 @@
             self.inbound.close_idle_connections();
             if let Some(ended) = previous {
                 let broken = self.inbound.broken_runs();
-                broken.replaced(now, &ended, start.instance());
+                broken.record_replacement(now, &ended, start.instance());
             }
         }
         if matches!(outcome, ReportOutcome::Adopted | ReportOutcome::Changed) {
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -247,7 +247,7 @@
             "before" => before.0,
             "routes" => config.route_count(),
             "source" => source);
-        self.metrics.config_version(config.version.0);
+        self.metrics.set_config_version(config.version.0);
         self.history.borrow_mut().push(Rc::clone(&config.input));
         *self.config.borrow_mut() = Some(Rc::new(config));
         self.update_arrived.notify_waiters();
--- a/crates/node/src/node_core/open_request_guard.rs
+++ b/crates/node/src/node_core/open_request_guard.rs
@@ -29,21 +29,21 @@
     /// Counts the bytes of the response head.
     ///
     /// The head is sent with the first bytes of the body.
-    pub fn sent_head(&self, headers: &HeaderMap) {
+    pub fn record_head(&self, headers: &HeaderMap) {
         let traffic = if headers.contains_key(&PEER_REFUSAL_HEADER) {
             LinkTraffic::Refusal
         } else {
             LinkTraffic::Overhead
         };
-        self.sent(traffic, head_bytes(headers));
+        self.record_sent(traffic, head_bytes(headers));
     }
 
     /// Counts bytes sent from the body of a short response.
-    pub fn sent_short_body(&self, bytes: u64) {
-        self.sent(LinkTraffic::Short, bytes);
+    pub fn record_short_body(&self, bytes: u64) {
+        self.record_sent(LinkTraffic::Short, bytes);
     }
 
-    fn sent(&self, traffic: LinkTraffic, bytes: u64) {
+    fn record_sent(&self, traffic: LinkTraffic, bytes: u64) {
         if self.origin == RequestOrigin::Caller {
             return;
         }
--- a/crates/node/src/node_core/request_outcomes.rs
+++ b/crates/node/src/node_core/request_outcomes.rs
@@ -24,7 +24,7 @@
         result: RequestResult,
         took: Duration,
     ) {
-        self.metrics.request(RequestCount {
+        self.metrics.record_request(RequestCount {
             service: &request.service,
             kind: Some(request.route.kind),
             code,
@@ -140,7 +140,7 @@
         } else {
             RequestResult::Failed
         };
-        self.metrics.request(RequestCount {
+        self.metrics.record_request(RequestCount {
             service: "",
             kind: None,
             code: reply.code,
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -22,9 +22,9 @@
 
 impl NodeCore {
     /// Records that the store responded to a call.
-    pub fn store_answered(&self) {
+    pub fn record_store_response(&self) {
         let now = self.clock.now();
-        if self.relay_selector.borrow_mut().store_answered(now) {
+        if self.relay_selector.borrow_mut().record_store_response(now) {
             // Nodes that use this one as their relay wait for this update.
             self.update_arrived.notify_waiters();
         }
@@ -34,7 +34,7 @@
     }
 
     /// Records that the store call `call` failed, and wakes the probe of the store.
-    pub fn store_failed(&self, call: &'static str, cause: &StoreError) {
+    pub fn record_store_failure(&self, call: &'static str, cause: &StoreError) {
         let age = self.relay_selector.borrow().store_age(self.clock.now());
         if self.store_access.borrow_mut().record_failure() {
             warn!(self.log.logger(), "store lost";
@@ -70,7 +70,7 @@
     ///
     /// If this node had suspended its store calls, it resumes them.
     pub fn record_store_reached(&self, peer_addr: SocketAddr) {
-        if self.store_access.borrow().is_open() {
+        if self.store_access.borrow().allows_calls() {
             return;
         }
         info!(self.log.logger(), "store reached by another node"; "from" => %peer_addr);
@@ -83,7 +83,7 @@
     ///
     /// Returns at once if store calls aren't suspended.
     pub async fn until_store_back(&self) {
-        while !self.store_access.borrow().is_open() {
+        while !self.store_access.borrow().allows_calls() {
             self.store_back.notified().await;
         }
     }
@@ -117,7 +117,7 @@
     }
 
     /// Records that the members of this data centre have been listed.
-    pub fn local_members_listed(&self) {
+    pub fn record_local_members_listed(&self) {
         self.local_members_listed_at.set(Some(self.clock.now()));
         self.watch_duty_changed.notify_waiters();
     }
@@ -150,7 +150,7 @@
         }
         self.relay_selector
             .borrow()
-            .choose(now, &fleet.relay_candidates())
+            .select(now, &fleet.relay_candidates())
     }
 
     /// Returns whether this node watches the store.
--- a/crates/node/src/node_metrics.rs
+++ b/crates/node/src/node_metrics.rs
@@ -114,7 +114,7 @@
     }
 
     /// Counts a request that got its final response.
-    pub fn request(&self, count: RequestCount<'_>) {
+    pub fn record_request(&self, count: RequestCount<'_>) {
         let service = KeyValue::new("service", count.service.to_owned());
         let kind = KeyValue::new("kind", count.kind.map_or("none", Into::into));
         let code: &'static str = count.code.into();
@@ -143,17 +143,17 @@
     }
 
     /// Sets the version of the configuration in force.
-    pub fn config_version(&self, version: u64) {
+    pub fn set_config_version(&self, version: u64) {
         self.config_version.record(version, &[]);
     }
 
     /// Sets the number of known members.
-    pub fn members(&self, count: usize) {
+    pub fn set_members(&self, count: usize) {
         self.members.record(count as u64, &[]);
     }
 
     /// Sets the number of running or waiting requests at the inbound proxy.
-    pub fn queue(&self, figure: &'static str, value: u32) {
+    pub fn set_queue(&self, figure: &'static str, value: u32) {
         let labels = [KeyValue::new("figure", figure)];
         self.queue.record(value.into(), &labels);
     }
--- a/crates/node/src/outbound/failed_try.rs
+++ b/crates/node/src/outbound/failed_try.rs
@@ -50,7 +50,7 @@
                         .record_diagnosis(self.request.fingerprint, diagnosis);
                 }
                 self.core.record_broken_try(self.request, record, &reason);
-                tries.ran = true;
+                tries.earlier_try_may_have_run = true;
                 tries.failure_cause = Some(reason);
             }
         }
--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -17,7 +17,7 @@
 impl InFlightGuard {
     /// Counts a request as outstanding at `key`.
     pub fn new(core: &Rc<NodeCore>, key: MemberKey) -> Self {
-        core.fleet.borrow_mut().request_sent(key);
+        core.fleet.borrow_mut().record_request_sent(key);
         Self {
             core: Rc::clone(core),
             key,
@@ -45,6 +45,6 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.core.fleet.borrow_mut().request_ended(self.key);
+        self.core.fleet.borrow_mut().record_request_ended(self.key);
     }
 }
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -178,8 +178,10 @@
         };
         let clock = self.core.clock;
         let resends = self.core.resends.borrow();
-        if let Some(first) = resends.first_attempt_at(fingerprint, clock.at(arrived + deadline)) {
-            return clock.instant(first);
+        if let Some(first) =
+            resends.first_attempt_at(fingerprint, clock.time_of(arrived + deadline))
+        {
+            return clock.instant_of(first);
         }
         let mut deadlines = self.core.deadlines.borrow_mut();
         let time_since_first_attempt =
@@ -191,17 +193,17 @@
 
     /// Remembers a request that got no response of a backend server, as its caller may send
     /// it again.
-    fn record_refused(&self, request: &OutboundRequest) {
+    fn record_failed_attempt(&self, request: &OutboundRequest) {
         let Some(caller_deadline) = request.caller_deadline else {
             return;
         };
         let clock = self.core.clock;
         let (first_attempt_at, caller_deadline) = (
-            clock.at(request.first_attempt_at),
-            clock.at(caller_deadline),
+            clock.time_of(request.first_attempt_at),
+            clock.time_of(caller_deadline),
         );
         let mut resends = self.core.resends.borrow_mut();
-        resends.refused(request.fingerprint, first_attempt_at, caller_deadline);
+        resends.record_failed_attempt(request.fingerprint, first_attempt_at, caller_deadline);
     }
 
     async fn serve(&self, request: &OutboundRequest) -> Response<ResponseBody> {
@@ -238,12 +240,12 @@
                 let mut nested_call_detector =
                     self.core.inbound.nested_call_detector().borrow_mut();
                 let newly_detected =
-                    nested_call_detector.request_failed(now, request.route.route_hash);
+                    nested_call_detector.record_failed_request(now, request.route.route_hash);
                 drop(nested_call_detector);
                 if let Some(route_hash) = newly_detected {
                     self.core.record_nested_calls(route_hash);
                 }
-                self.record_refused(request);
+                self.record_failed_attempt(request);
                 let cause = tries.failure_cause.as_deref();
                 self.core
                     .record_failed(request, &reply, tries.count(), cause);
--- a/crates/node/src/outbound/resend_tracker.rs
+++ b/crates/node/src/outbound/resend_tracker.rs
@@ -7,14 +7,14 @@
 
 /// Largest number of requests that are remembered. It covers three seconds of a node that refuses
 /// all requests of its callers at 340 requests a second, ten times the usual rate.
-const REFUSED_MAX: usize = 1_024;
+const FAILED_ATTEMPTS_MAX: usize = 1_024;
 /// Largest difference between the deadlines of two attempts of one caller. A request takes up
 /// to ten milliseconds to reach the node, and some more on a busy machine.
 const CALLER_DEADLINE_TOLERANCE: Duration = Duration::from_millis(25);
 
 /// A request that got no response of a backend server and may be sent again.
 #[derive(Debug, Clone, Copy)]
-struct RefusedRequest {
+struct FailedAttempt {
     first_attempt_at: Duration,
     /// When the caller stops waiting.
     caller_deadline: Duration,
@@ -29,7 +29,7 @@
 /// deadline is taken for one of the same caller. It is remembered until that deadline.
 #[derive(Debug, Default)]
 pub struct ResendTracker {
-    refused: HashMap<u64, RefusedRequest>,
+    failed_attempts: HashMap<u64, FailedAttempt>,
     /// Fingerprints and caller deadlines in the order in which they were recorded.
     order: VecDeque<(u64, Duration)>,
 }
@@ -38,20 +38,20 @@
     /// Records that the request with `fingerprint` got no response of a backend server.
     ///
     /// The oldest request is forgotten if too many are remembered.
-    pub fn refused(
+    pub fn record_failed_attempt(
         &mut self,
         fingerprint: u64,
         first_attempt_at: Duration,
         caller_deadline: Duration,
     ) {
-        while self.order.len() >= REFUSED_MAX {
+        while self.order.len() >= FAILED_ATTEMPTS_MAX {
             self.forget_oldest();
         }
-        let request = RefusedRequest {
+        let request = FailedAttempt {
             first_attempt_at,
             caller_deadline,
         };
-        self.refused.insert(fingerprint, request);
+        self.failed_attempts.insert(fingerprint, request);
         self.order.push_back((fingerprint, caller_deadline));
     }
 
@@ -68,7 +68,7 @@
     ///
     /// let mut tracker = ResendTracker::default();
     /// let (first, end) = (Duration::from_millis(100), Duration::from_millis(1_100));
-    /// tracker.refused(7, first, end);
+    /// tracker.record_failed_attempt(7, first, end);
     /// assert_eq!(tracker.first_attempt_at(7, end + Duration::from_millis(3)), Some(first));
     /// // Another caller sends the same request.
     /// assert_eq!(tracker.first_attempt_at(7, end + Duration::from_millis(400)), None);
@@ -78,7 +78,7 @@
         fingerprint: u64,
         caller_deadline: Duration,
     ) -> Option<Duration> {
-        let request = self.refused.get(&fingerprint)?;
+        let request = self.failed_attempts.get(&fingerprint)?;
         let same = request.caller_deadline.abs_diff(caller_deadline) <= CALLER_DEADLINE_TOLERANCE;
         same.then_some(request.first_attempt_at)
     }
@@ -94,9 +94,13 @@
         let Some((fingerprint, end)) = self.order.pop_front() else {
             return;
         };
-        let is_latest = |request: &RefusedRequest| request.caller_deadline == end;
-        if self.refused.get(&fingerprint).is_some_and(is_latest) {
-            self.refused.remove(&fingerprint);
+        let is_latest = |request: &FailedAttempt| request.caller_deadline == end;
+        if self
+            .failed_attempts
+            .get(&fingerprint)
+            .is_some_and(is_latest)
+        {
+            self.failed_attempts.remove(&fingerprint);
         }
     }
 }
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -92,7 +92,7 @@
         if !(failed && whole && self.may_retry(tries, key)) {
             return Some(response);
         }
-        tries.ran = true;
+        tries.earlier_try_may_have_run = true;
         tries.failure_cause = Some(format!("status {}", response.status().as_u16()));
         tries.fallback_response = Some(response);
         None
@@ -217,7 +217,7 @@
             may_rerun: true,
         };
         let now = self.core.clock.now();
-        self.core.retries.borrow().has_room(now, retry_query)
+        self.core.retries.borrow().would_grant(now, retry_query)
     }
 
     /// Picks the next member, or returns none when the request is to be given up.
--- a/crates/node/src/outbound/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -44,7 +44,7 @@
     /// that the request didn't run.
     pub(super) in_flight: u32,
     /// Whether a try that has ended may have run.
-    pub(super) ran: bool,
+    pub(super) earlier_try_may_have_run: bool,
     /// Most recent refusal, by a member or because all links are full; probes that found no free
     /// slot don't count.
     pub(super) refusal: Option<InboundRefusal>,
@@ -67,7 +67,7 @@
             probed: SmallVec::new(),
             arrivals: 0,
             in_flight: 0,
-            ran: false,
+            earlier_try_may_have_run: false,
             refusal: None,
             failure_cause: None,
             crashes_servers: false,
@@ -105,7 +105,7 @@
 
     /// Whether the request has run, or may have.
     pub(super) fn may_have_run(&self) -> bool {
-        self.ran || self.in_flight > 0
+        self.earlier_try_may_have_run || self.in_flight > 0
     }
 }
 
--- a/crates/node/src/response_body.rs
+++ b/crates/node/src/response_body.rs
@@ -32,8 +32,8 @@
 pub struct ResponseBody {
     source: BodySource,
     slot: Option<RunSlot>,
-    guard: Option<InFlightGuard>,
-    open: Option<OpenRequestGuard>,
+    in_flight_guard: Option<InFlightGuard>,
+    open_request_guard: Option<OpenRequestGuard>,
     reservation: Option<LinkReservation>,
 }
 
@@ -114,7 +114,7 @@
     /// Holds the guard of a request in flight until the end of the body.
     #[must_use]
     pub fn with_in_flight_guard(mut self, guard: InFlightGuard) -> Self {
-        self.guard = Some(guard);
+        self.in_flight_guard = Some(guard);
         self
     }
 
@@ -124,15 +124,15 @@
         self.reservation = reservation;
         let bytes = self.size_hint().exact();
         if let Some(reservation) = &mut self.reservation {
-            reservation.response_ready(bytes);
+            reservation.record_response_ready(bytes);
         }
         self
     }
 
     /// Counts the request as open until the end of the body.
     #[must_use]
-    pub fn with_open_request_guard(mut self, open: OpenRequestGuard) -> Self {
-        self.open = Some(open);
+    pub fn with_open_request_guard(mut self, guard: OpenRequestGuard) -> Self {
+        self.open_request_guard = Some(guard);
         self
     }
 
@@ -140,17 +140,17 @@
         Self {
             source,
             slot: None,
-            guard: None,
-            open: None,
+            in_flight_guard: None,
+            open_request_guard: None,
             reservation: None,
         }
     }
 
     /// Counts sent bytes, under the reservation if the body has one.
     fn record_sent(&mut self, bytes: usize) {
-        match (&mut self.reservation, &self.open) {
+        match (&mut self.reservation, &self.open_request_guard) {
             (Some(reservation), _) => reservation.record_sent(bytes as u64),
-            (None, Some(open)) => open.sent_short_body(bytes as u64),
+            (None, Some(guard)) => guard.record_short_body(bytes as u64),
             (None, None) => {}
         }
     }
@@ -186,13 +186,13 @@
         if let Some(slot) = self.slot.take() {
             slot.complete();
         }
-        if let Some(guard) = self.guard.take() {
+        if let Some(guard) = self.in_flight_guard.take() {
             guard.complete();
         }
         if let Some(reservation) = self.reservation.take() {
             reservation.complete();
         }
-        self.open = None;
+        self.open_request_guard = None;
     }
 }
 
--- a/crates/node/src/retry/retry_budget.rs
+++ b/crates/node/src/retry/retry_budget.rs
@@ -107,7 +107,7 @@
     /// Withdraws another try from the budget, and returns whether it was granted.
     pub fn withdraw(&mut self, now: Duration, retry_query: RetryQuery<'_>) -> bool {
         let window = self.limits.window;
-        let granted = self.has_room(now, retry_query);
+        let granted = self.would_grant(now, retry_query);
         if granted {
             let entry = self.services.entry(retry_query.service.into()).or_default();
             let bucket = entry.bucket(now, window);
@@ -118,7 +118,7 @@
     }
 
     /// Whether [`RetryBudget::withdraw`] would grant another try.
-    pub fn has_room(&self, now: Duration, retry_query: RetryQuery<'_>) -> bool {
+    pub fn would_grant(&self, now: Duration, retry_query: RetryQuery<'_>) -> bool {
         let counts = match self.services.get(retry_query.service) {
             Some(entry) => entry.counts(now, self.limits.window),
             None => WindowBucket::default(),
--- a/crates/node/src/transport/connection_pool.rs
+++ b/crates/node/src/transport/connection_pool.rs
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// Pool of idle connections by address.
@@ -103,7 +103,7 @@
         let mut idle = self.idle.borrow_mut();
         idle.entry(pooled.addr).or_default().push(IdleConnection {
             sender: pooled.sender,
-            since: Instant::now(),
+            idle_since: Instant::now(),
         });
     }
 
@@ -111,7 +111,7 @@
     pub fn sweep(&self) {
         let longest = self.settings.idle_timeout;
         self.idle.borrow_mut().retain(|_, senders| {
-            senders.retain(|idle| !idle.sender.is_closed() && idle.since.elapsed() < longest);
+            senders.retain(|idle| !idle.sender.is_closed() && idle.idle_since.elapsed() < longest);
             !senders.is_empty()
         });
     }
@@ -135,7 +135,7 @@
         let senders = idle.get_mut(&addr)?;
         senders.retain(|idle| !idle.sender.is_closed());
         let usable =
-            |idle: &IdleConnection| idle.sender.is_ready() && idle.since.elapsed() < longest;
+            |idle: &IdleConnection| idle.sender.is_ready() && idle.idle_since.elapsed() < longest;
         let index = senders.iter().rposition(usable)?;
         Some(senders.remove(index).sender)
     }
--- a/crates/node/tests/all/calls.rs
+++ b/crates/node/tests/all/calls.rs
@@ -17,10 +17,10 @@
     let mut detector = NestedCallDetector::default();
     for step in 1..60 {
         let now = step * 33_000;
-        detector.request_failed(micros(now), CALL);
-        detector.run_failed(micros(now + 800));
+        detector.record_failed_request(micros(now), CALL);
+        detector.record_failed_run(micros(now + 800));
         // The callers' refusals slowly change their time relative to the failed runs.
-        detector.request_failed(micros(now + 5_000 + step * 400), LOOKUP);
+        detector.record_failed_request(micros(now + 5_000 + step * 400), LOOKUP);
     }
     assert!(detector.is_nested_call(CALL));
     assert!(!detector.is_nested_call(LOOKUP));
@@ -34,10 +34,10 @@
     for step in 1..600 {
         let now = step * 7_000;
         if step % 5 == 0 {
-            detector.request_failed(micros(now), LOOKUP);
+            detector.record_failed_request(micros(now), LOOKUP);
         }
         if step % 3 == 0 {
-            detector.run_failed(micros(now + 4_500));
+            detector.record_failed_run(micros(now + 4_500));
         }
     }
     assert!(!detector.is_nested_call(LOOKUP));
--- a/crates/node/tests/all/deadlines.rs
+++ b/crates/node/tests/all/deadlines.rs
@@ -57,12 +57,12 @@
 fn a_caller_that_comes_again_counts_from_its_first_attempt() {
     let mut tracker = ResendTracker::default();
     let end = millis(3_700);
-    tracker.refused(HASH, millis(100), end);
+    tracker.record_failed_attempt(HASH, millis(100), end);
     let known = tracker
         .first_attempt_at(HASH, end + millis(8))
         .expect("it is known");
     assert_eq!(known, millis(100));
-    tracker.refused(HASH, known, end + millis(8));
+    tracker.record_failed_attempt(HASH, known, end + millis(8));
     assert_eq!(
         tracker.first_attempt_at(HASH, millis(3_695)),
         Some(millis(100))
@@ -74,8 +74,8 @@
 #[test]
 fn callers_that_stopped_waiting_are_forgotten() {
     let mut tracker = ResendTracker::default();
-    tracker.refused(HASH, millis(0), millis(1_000));
-    tracker.refused(HASH, millis(500), millis(1_500));
+    tracker.record_failed_attempt(HASH, millis(0), millis(1_000));
+    tracker.record_failed_attempt(HASH, millis(500), millis(1_500));
     tracker.sweep(millis(1_100));
     assert_eq!(
         tracker.first_attempt_at(HASH, millis(1_500)),
@@ -93,7 +93,7 @@
     let mut tracker = ResendTracker::default();
     let end = millis(60_000);
     for fingerprint in 0..REFUSED {
-        tracker.refused(fingerprint, millis(fingerprint), end);
+        tracker.record_failed_attempt(fingerprint, millis(fingerprint), end);
     }
     let known =
         (0..REFUSED).filter(|&fingerprint| tracker.first_attempt_at(fingerprint, end).is_some());
--- a/crates/node/tests/all/eras.rs
+++ b/crates/node/tests/all/eras.rs
@@ -31,9 +31,9 @@
     fleet.announce(NOW, record(MemberState::Leaving), revision(2, 5));
     assert!(!fleet.announce(NOW, record(MemberState::Ready), revision(1, 900)));
     assert!(!fleet.lapse(NOW, support::record(4).peer_addr, revision(1, 901)));
-    fleet.listed(NOW, revision(1, 902), |_| false);
+    fleet.apply_list(NOW, revision(1, 902), |_| false);
     let member = fleet
-        .at(support::record(4).peer_addr)
+        .member_at(support::record(4).peer_addr)
         .expect("announced member");
     assert_eq!(member.record.state, MemberState::Leaving);
     assert!(!member.has_lapsed());
@@ -45,9 +45,9 @@
 fn updates_of_a_later_era_are_applied_at_lower_numbers() {
     let mut fleet = FleetView::new("hofdi");
     fleet.announce(NOW, record(MemberState::Ready), revision(1, 900));
-    fleet.listed(NOW, revision(1, 900), |_| true);
+    fleet.apply_list(NOW, revision(1, 900), |_| true);
     assert!(fleet.announce(NOW, record(MemberState::Leaving), revision(2, 3)));
-    fleet.listed(NOW, revision(2, 3), |_| true);
+    fleet.apply_list(NOW, revision(2, 3), |_| true);
     assert_eq!(fleet.revision(), revision(2, 3));
     let updates = fleet.update_since(revision(1, 900));
     assert!(updates.whole);
@@ -82,7 +82,7 @@
         }
         let last = updates.iter().map(|&(era, number, _)| (era, number)).max();
         let (era, number) = last.expect("at least one update");
-        let known = fleet.at(support::record(4).peer_addr).expect("announced member");
+        let known = fleet.member_at(support::record(4).peer_addr).expect("announced member");
         prop_assert_eq!(known.revision(), revision(era, number));
         let latest = updates.iter().rfind(|update| (update.0, update.1) == (era, number));
         let leaving = latest.expect("an update with the last revision").2;
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -368,7 +368,7 @@
 #[test]
 fn updates_from_before_a_new_list_are_whole() {
     let mut fleet = view(3, 0);
-    fleet.listed(at(0), Revision(70), |_| true);
+    fleet.apply_list(at(0), Revision(70), |_| true);
     let updates = fleet.update_since(Revision(50));
     assert!(
         updates.whole,
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -253,7 +253,7 @@
                     run.request.key,
                     TryOutcome::Answered { failed: false },
                 );
-                view.request_ended(run.request.key);
+                view.record_request_ended(run.request.key);
                 for key in granted {
                     let (request, _) = self.receivers[receiver]
                         .waiting
@@ -280,7 +280,7 @@
                 .waiting
                 .remove(&key)
                 .expect("the request was waiting");
-            self.senders[request.sender].request_ended(request.key);
+            self.senders[request.sender].record_request_ended(request.key);
             self.result.refused += 1;
         }
     }
@@ -335,7 +335,7 @@
                 tried.push(key);
                 continue;
             }
-            self.senders[sender].request_sent(key);
+            self.senders[sender].record_request_sent(key);
             match self.offer(now, request, may_wait) {
                 AdmissionDecision::Run => return self.begin(now, request),
                 AdmissionDecision::Wait { key, latest } => {
@@ -352,7 +352,7 @@
                     tried.push(key);
                 }
             }
-            self.senders[sender].request_ended(key);
+            self.senders[sender].record_request_ended(key);
             self.observe(now, request);
         }
         self.result.refused += 1;
--- a/crates/node/tests/all/guide.rs
+++ b/crates/node/tests/all/guide.rs
@@ -18,8 +18,8 @@
     let order: Vec<&MemberRecord> = records.iter().collect();
     let choice = |own| {
         let mut selector = RelaySelector::new(peer_addr(own));
-        selector.store_answered(at(0));
-        selector.choose(at(100), &order)
+        selector.record_store_response(at(0));
+        selector.select(at(100), &order)
     };
     assert_eq!(choice(1), UpdateSource::Store);
     for own in 2..6 {
@@ -36,17 +36,17 @@
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut selector = RelaySelector::new(peer_addr(3));
-    selector.store_answered(at(0));
+    selector.record_store_response(at(0));
     selector.record_relay_failure(at(0), peer_addr(1));
     assert_eq!(
-        selector.choose(at(10), &order),
+        selector.select(at(10), &order),
         UpdateSource::Node(peer_addr(2))
     );
     selector.record_relay_failure(at(10), peer_addr(2));
-    assert_eq!(selector.choose(at(20), &order), UpdateSource::Store);
-    selector.store_answered(at(5_000));
+    assert_eq!(selector.select(at(20), &order), UpdateSource::Store);
+    selector.record_store_response(at(5_000));
     assert_eq!(
-        selector.choose(at(6_000), &order),
+        selector.select(at(6_000), &order),
         UpdateSource::Node(peer_addr(1))
     );
 }
@@ -59,21 +59,21 @@
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut selector = RelaySelector::new(peer_addr(3));
-    selector.store_answered(at(10_000));
+    selector.record_store_response(at(10_000));
     assert!(!selector.record_reachability(at(10_100), peer_addr(1), reachability(6_000, false)));
     assert_eq!(
-        selector.choose(at(10_100), &order),
+        selector.select(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
     );
     let mut cut_off_selector = RelaySelector::new(peer_addr(3));
-    cut_off_selector.store_answered(at(1_000));
+    cut_off_selector.record_store_response(at(1_000));
     assert!(!cut_off_selector.record_reachability(
         at(10_100),
         peer_addr(1),
         reachability(6_000, false)
     ));
     assert_eq!(
-        cut_off_selector.choose(at(10_100), &order),
+        cut_off_selector.select(at(10_100), &order),
         UpdateSource::Node(peer_addr(1))
     );
 }
@@ -86,13 +86,13 @@
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut selector = RelaySelector::new(peer_addr(1));
-    selector.store_answered(at(0));
-    assert_eq!(selector.choose(at(3_000), &order), UpdateSource::Store);
+    selector.record_store_response(at(0));
+    assert_eq!(selector.select(at(3_000), &order), UpdateSource::Store);
     assert_eq!(
-        selector.choose(at(4_000), &order),
+        selector.select(at(4_000), &order),
         UpdateSource::Node(peer_addr(2))
     );
-    assert_eq!(selector.choose(at(4_000), &order[..1]), UpdateSource::Store);
+    assert_eq!(selector.select(at(4_000), &order[..1]), UpdateSource::Store);
 }
 
 #[test]
@@ -109,22 +109,22 @@
     let records: Vec<MemberRecord> = (1..5).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut selector = RelaySelector::new(peer_addr(3));
-    selector.store_answered(at(10_000));
+    selector.record_store_response(at(10_000));
     assert!(!selector.record_reachability(at(10_100), peer_addr(1), reachability(200, true)));
     assert_eq!(
-        selector.choose(at(10_100), &order),
+        selector.select(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
     );
     let mut relay = RelaySelector::new(peer_addr(1));
-    relay.store_answered(at(10_000));
+    relay.record_store_response(at(10_000));
     assert!(relay.record_store_lost());
     assert!(!relay.record_store_lost());
     assert_eq!(
-        relay.choose(at(10_100), &order),
+        relay.select(at(10_100), &order),
         UpdateSource::Node(peer_addr(2))
     );
-    relay.store_answered(at(10_200));
-    assert_eq!(relay.choose(at(10_200), &order), UpdateSource::Store);
+    relay.record_store_response(at(10_200));
+    assert_eq!(relay.select(at(10_200), &order), UpdateSource::Store);
 }
 
 /// Guards against changing from relay to relay while the store is unavailable to all.
@@ -133,16 +133,16 @@
     let records: Vec<MemberRecord> = (1..6).map(record).collect();
     let order: Vec<&MemberRecord> = records.iter().collect();
     let mut selector = RelaySelector::new(peer_addr(5));
-    selector.store_answered(at(10_000));
+    selector.record_store_response(at(10_000));
     assert!(!selector.record_reachability(at(10_100), peer_addr(1), reachability(200, true)));
     assert!(selector.record_reachability(at(10_200), peer_addr(2), reachability(200, true)));
     assert_eq!(
-        selector.choose(at(10_300), &order),
+        selector.select(at(10_300), &order),
         UpdateSource::Node(peer_addr(3))
     );
     selector.record_store_lost();
     assert_eq!(
-        selector.choose(at(10_300), &order),
+        selector.select(at(10_300), &order),
         UpdateSource::Node(peer_addr(1))
     );
 }
--- a/crates/node/tests/all/link_load.rs
+++ b/crates/node/tests/all/link_load.rs
@@ -196,8 +196,11 @@
             LinkDecision::Refused { retry_after } => {
                 self.result.refused += 1;
                 self.send_head(now);
-                self.resends
-                    .refused(caller.fingerprint, first_attempt_at, caller.end);
+                self.resends.record_failed_attempt(
+                    caller.fingerprint,
+                    first_attempt_at,
+                    caller.end,
+                );
                 caller.attempts += 1;
                 caller.next_attempt_at = now + retry_after.max(RETRY_PAUSE);
                 if caller.attempts < ATTEMPTS && caller.next_attempt_at < caller.end {
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -28,7 +28,7 @@
     fn new(number: u8, rng: &mut impl Rng) -> Self {
         let mut relay_selector = RelaySelector::new(peer_addr(number));
         let answer_age = RENEWAL_INTERVAL.mul_f64(rng.random());
-        relay_selector.store_answered(at(10_000).saturating_sub(answer_age));
+        relay_selector.record_store_response(at(10_000).saturating_sub(answer_age));
         Self {
             relay_selector,
             access: StoreAccess::default(),
@@ -45,7 +45,7 @@
     }
 
     fn step(&mut self, now: Duration, duty: StoreProbeDuty, rng: &mut impl Rng) {
-        if self.access.is_open() {
+        if self.access.allows_calls() {
             if now >= self.renewal_at || duty == StoreProbeDuty::Own {
                 self.fail(now, rng);
             }
@@ -68,7 +68,7 @@
     let mut now = at(10_000);
     while now < at(10_000) + OUTAGE_TIME {
         for own in 0..fleet.len() {
-            let source = fleet[own].relay_selector.choose(now, &order);
+            let source = fleet[own].relay_selector.select(now, &order);
             if let UpdateSource::Node(peer_addr) = source {
                 let position = order
                     .iter()
