--- a/crates/ctl/tests/all/support/memory_store.rs
+++ b/crates/ctl/tests/all/support/memory_store.rs
@@ -227,7 +227,7 @@
         }
     }
 
-    async fn grant(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
+    async fn grant_lease(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
         Ok(LeaseGrant {
             lease: LeaseId {
                 era: StoreEra(0),
@@ -237,7 +237,7 @@
         })
     }
 
-    async fn renew(&self, _lease: LeaseId) -> Result<(), StoreError> {
+    async fn renew_lease(&self, _lease: LeaseId) -> Result<(), StoreError> {
         Ok(())
     }
 }
--- a/crates/node/src/crash/crash_broadcast.rs
+++ b/crates/node/src/crash/crash_broadcast.rs
@@ -141,7 +141,7 @@
         reason: error.to_string(),
     })?;
     core.metrics.record_store_call("tell-crash");
-    let grant = store.grant(CRASH_LEASE_TIME).await?;
+    let grant = store.grant_lease(CRASH_LEASE_TIME).await?;
     let key = format!("{CRASH_PREFIX}{}-{:x}", first.start, first.fingerprint);
     let write = StoreWrite::leased(&key, &value, Revision(0), grant.lease);
     match store.commit(&[write]).await {
--- a/crates/node/src/delegation/delegated_call.rs
+++ b/crates/node/src/delegation/delegated_call.rs
@@ -134,7 +134,7 @@
     pub async fn run(&self, store: &impl MetaStore) -> Result<DelegatedOutcome, StoreError> {
         let result = match self {
             Self::Grant { ttl_ms } => {
-                let grant = store.grant(Duration::from_millis(*ttl_ms)).await;
+                let grant = store.grant_lease(Duration::from_millis(*ttl_ms)).await;
                 grant.map(|grant| DelegatedOutcome::Granted {
                     lease: grant.lease.number,
                     era: grant.lease.era,
@@ -142,7 +142,7 @@
                 })
             }
             Self::Renew { lease, era } => {
-                let renewed = store.renew(lease_id(*era, *lease)).await;
+                let renewed = store.renew_lease(lease_id(*era, *lease)).await;
                 renewed.map(|()| DelegatedOutcome::Renewed)
             }
             Self::Write {
--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -69,10 +69,10 @@
     ///
     /// Fails when the store refuses the call, or when neither this node nor another one can
     /// make it.
-    pub async fn grant(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
         if self.is_direct() {
             self.core.metrics.record_store_call("grant");
-            let grant = self.store.grant(ttl).await;
+            let grant = self.store.grant_lease(ttl).await;
             return self.record_result(grant);
         }
         let ttl_ms = ttl.as_millis() as u64;
@@ -92,12 +92,12 @@
     ///
     /// # Errors
     ///
-    /// Fails as [`MetaStore::renew`], or with [`StoreError::NoAnswer`] when no other node
+    /// Fails as [`MetaStore::renew_lease`], or with [`StoreError::NoAnswer`] when no other node
     /// could make the call.
-    pub async fn renew(&self, lease: LeaseId) -> Result<(), StoreError> {
+    pub async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         if self.is_direct() {
             self.core.metrics.record_store_call("renew");
-            let renewed = self.store.renew(lease).await;
+            let renewed = self.store.renew_lease(lease).await;
             return self.record_result(renewed);
         }
         let delegated_call = DelegatedCall::Renew {
--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -97,8 +97,8 @@
         };
         let lease = match self.lease {
             Some(lease) if Instant::now() < *renew_at => lease,
-            Some(lease) => match delegating_store.renew(lease).await {
-                Err(StoreError::NoLease) => self.grant(delegating_store).await?,
+            Some(lease) => match delegating_store.renew_lease(lease).await {
+                Err(StoreError::NoLease) => self.grant_lease(delegating_store).await?,
                 renewed => {
                     renewed?;
                     lease
@@ -134,12 +134,12 @@
         delegating_store: &DelegatingStore<impl MetaStore>,
     ) -> Result<LeaseId, StoreError> {
         let Some(lease) = core.earlier_lease.get() else {
-            return self.grant(delegating_store).await;
+            return self.grant_lease(delegating_store).await;
         };
-        let renewed = delegating_store.renew(lease).await;
+        let renewed = delegating_store.renew_lease(lease).await;
         if let Err(StoreError::NoLease) = renewed {
             core.earlier_lease.set(None);
-            return self.grant(delegating_store).await;
+            return self.grant_lease(delegating_store).await;
         }
         renewed?;
         core.earlier_lease.set(None);
@@ -151,13 +151,13 @@
         Ok(lease)
     }
 
-    async fn grant(
+    async fn grant_lease(
         &mut self,
         delegating_store: &DelegatingStore<impl MetaStore>,
     ) -> Result<LeaseId, StoreError> {
         self.lease = None;
         self.record = None;
-        let grant = delegating_store.grant(LEASE_TIME).await?;
+        let grant = delegating_store.grant_lease(LEASE_TIME).await?;
         self.lease = Some(grant.lease);
         Ok(grant.lease)
     }
--- a/crates/node/src/store/meta_store.rs
+++ b/crates/node/src/store/meta_store.rs
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Returns an error when the store can't be reached or refuses the call.
-    fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseGrant, StoreError>>;
+    fn grant_lease(&self, ttl: Duration) -> impl Future<Output = Result<LeaseGrant, StoreError>>;
 
     /// Renews a lease for its time to live.
     ///
@@ -72,5 +72,5 @@
     ///
     /// Returns [`StoreError::NoLease`] when the lease has ended, and other errors when
     /// the store can't be reached or refuses the call.
-    fn renew(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
+    fn renew_lease(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
 }
