--- a/crates/node/src/admin/node_status.rs
+++ b/crates/node/src/admin/node_status.rs
@@ -20,11 +20,13 @@
     pub version: u64,
     /// Number of members that the node knows.
     pub members: usize,
-    /// Milliseconds since the store last responded to this node; since the node's start
-    /// before the first response.
+    /// Milliseconds since the store last responded to this node.
+    ///
+    /// Before the first response, they count from the node's start.
     pub store_age_ms: u64,
-    /// Current start of the local backend server, which may be leaving or dead; none while
-    /// none is known.
+    /// Current start of the local backend server; none while none is known.
+    ///
+    /// The start may be leaving or dead.
     pub backend: Option<String>,
     /// Number of requests that run at the local backend server.
     pub running: u32,
--- a/crates/node/src/config/config_delta.rs
+++ b/crates/node/src/config/config_delta.rs
@@ -33,11 +33,13 @@
 impl ConfigDelta {
     /// Returns the delta that turns `from` into `to`.
     pub fn between(from: &ConfigInput, to: &ConfigInput) -> Self {
-        let before: HashMap<&str, &Rc<RouteInput>> = routes_by_name(from);
+        let routes_before: HashMap<&str, &Rc<RouteInput>> = routes_by_name(from);
         let after: HashSet<&str> = to.routes.iter().map(|route| &*route.name).collect();
         let is_unchanged = |route: &Rc<RouteInput>| {
-            let known = before.get(&*route.name);
-            known.is_some_and(|known| Rc::ptr_eq(known, route) || *known == route)
+            let earlier_route = routes_before.get(&*route.name);
+            earlier_route.is_some_and(|earlier_route| {
+                Rc::ptr_eq(earlier_route, route) || *earlier_route == route
+            })
         };
         let routes = to.routes.iter().filter(|route| !is_unchanged(route));
         let removed = from
--- a/crates/node/src/config/mesh_config.rs
+++ b/crates/node/src/config/mesh_config.rs
@@ -44,7 +44,7 @@
     pub version: ConfigVersion,
     /// Limits on callers' requests.
     pub limits: CallerLimits,
-    /// Document from which the configuration was made.
+    /// Document from which the configuration was created.
     pub input: Rc<ConfigInput>,
     /// Routes by the host followed by the prefix.
     ///
@@ -130,8 +130,8 @@
         for route in &input.routes {
             check_services(route, &services)?;
             let key = format!("{}{}", route.host.to_ascii_lowercase(), route.prefix);
-            let known = previous.and_then(|previous| previous.routes.get(&*key));
-            let rule = match known.filter(|rule| rule.input == *route) {
+            let previous_rule = previous.and_then(|previous| previous.routes.get(&*key));
+            let rule = match previous_rule.filter(|rule| rule.input == *route) {
                 Some(rule) => Rc::clone(rule),
                 None => Rc::new(RouteRule::try_from(route)?),
             };
--- a/crates/node/src/crash/broken_runs.rs
+++ b/crates/node/src/crash/broken_runs.rs
@@ -109,15 +109,15 @@
 
     /// Records that `instance` has replaced a start that ended without an announcement.
     ///
-    /// A backend server that is restarted within milliseconds listens again before the probe
-    /// comes, possibly under its old identifier. Runs that broke shortly before count as
-    /// crashes, unless the earlier start answered a probe after they broke.
+    /// A backend server that is restarted within milliseconds listens again before the probe comes,
+    /// possibly under its old identifier. Runs that broke shortly before count as crashes, unless
+    /// the earlier start responded to a probe after they broke.
     pub fn record_replacement(&self, now: Duration, ended: &EndpointStart, instance: &str) {
         let mut recent = self.recent.borrow_mut();
         let counts_as_crash = |run: &RecentRun| {
             let window = match run.cause {
                 BreakCause::AnswerLost if ended.instance() != instance => return false,
-                // The next start may have answered the probe under the same identifier.
+                // The next start may have responded to the probe under the same identifier.
                 BreakCause::AnswerLost => RESTART_TIME,
                 BreakCause::Unclear | BreakCause::Crashed => RECENT_TIME,
             };
--- a/crates/node/src/crash/completion_credit.rs
+++ b/crates/node/src/crash/completion_credit.rs
@@ -1,7 +1,7 @@
 //! Credit that requests earn by recent successful completions.
 
-/// Number of entries of the table, enough for the few thousand most frequent requests of
-/// one node. Each takes 16 bytes, 64 KB in all.
+/// Number of entries of the table. It is enough for the few thousand most frequent requests
+/// of one node. Each entry takes 16 bytes, 64 KB in all.
 const CREDIT_ENTRIES: usize = 4_096;
 /// Completions that offset one crash, and the most credit that one request may hold. A
 /// request that turns bad after a change of data is therefore refused after only one
--- a/crates/node/src/crash/crash_watch.rs
+++ b/crates/node/src/crash/crash_watch.rs
@@ -32,7 +32,7 @@
 /// Diagnoses broken runs and records crashes of the backend server until the node ends.
 ///
 /// A request crashed its backend server, rather than lost its response, if the backend
-/// server doesn't run anymore after its connections broke. The senders of broken runs get
+/// server doesn't run any more after its connections broke. The senders of broken runs get
 /// the diagnosis only once that is known, so that a request that a caller resends at once
 /// meets nodes that know of the crash.
 pub async fn watch_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
--- a/crates/node/src/delegation/delegated_call.rs
+++ b/crates/node/src/delegation/delegated_call.rs
@@ -72,7 +72,7 @@
     },
     /// The lease has ended.
     NoLease,
-    /// The call failed, or wasn't made. A write may have taken effect all the same.
+    /// The call failed, or wasn't made. A write may have taken effect nevertheless.
     Failed,
 }
 
--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -175,13 +175,15 @@
     }
 
     fn delegates(&self) -> Vec<SocketAddr> {
-        let last = self.delegate.get();
+        let last_delegate = self.delegate.get();
         let fleet = self.core.fleet.borrow();
-        let own = self.core.settings.peer_addr;
+        let own_addr = self.core.settings.peer_addr;
         let others = fleet.reachable(self.core.clock.now());
-        let others = others.filter(|peer_addr| *peer_addr != own && Some(*peer_addr) != last);
+        let others =
+            others.filter(|peer_addr| *peer_addr != own_addr && Some(*peer_addr) != last_delegate);
         let sampled = others.sample(&mut rand::rng(), DELEGATES_MAX);
-        last.into_iter()
+        last_delegate
+            .into_iter()
             .chain(sampled)
             .take(DELEGATES_MAX)
             .collect()
--- a/crates/node/src/delegation/mod.rs
+++ b/crates/node/src/delegation/mod.rs
@@ -8,8 +8,8 @@
 //! the same guarantees as a call by that node itself.
 //!
 //! A node that doesn't reach the other nodes either can't delegate, and its announcement
-//! lapses as it should. While no node reaches the store, the nodes that are asked say so at
-//! once, and the pauses between rounds grow.
+//! lapses as it should. While no node reaches the store, the nodes that are asked respond
+//! with a failure at once, and the pauses between rounds grow.
 
 mod delegated_call;
 mod delegated_call_handler;
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -93,9 +93,10 @@
 
 /// Puts a configuration in force; an invalid one leaves the current one in force.
 fn adopt(core: &NodeCore, source: ConfigSource, item: &StoreItem) {
-    let before = core.config.borrow().clone();
+    let current_config = core.config.borrow().clone();
     let input = (source.parse)(&item.value);
-    let checked = input.and_then(|input| MeshConfig::checked(input.into(), before.as_deref()));
+    let checked =
+        input.and_then(|input| MeshConfig::checked(input.into(), current_config.as_deref()));
     match checked {
         Ok(config) => drop(core.adopt_config(config, "store")),
         Err(reason) => error!(core.log.logger(), "configuration refused";
--- a/crates/node/src/discovery/era_watch.rs
+++ b/crates/node/src/discovery/era_watch.rs
@@ -14,15 +14,15 @@
 /// ([`keep_announced`](super::keep_announced), [`watch_members`](super::watch_members)).
 /// Nodes that watch the members list them again, and other nodes get them from these nodes.
 pub async fn watch_eras(core: Rc<NodeCore>) {
-    let mut known = core.eras.latest();
+    let mut latest_era = core.eras.latest();
     loop {
-        let era = core.eras.after(known).await;
+        let era = core.eras.after(latest_era).await;
         // At its start a node learns the current era; that is no change.
         if core.fleet.borrow().revision().number() > 0 {
             warn!(core.log.logger(), "store era changed";
-                "before" => known.0, "era" => era.0);
+                "before" => latest_era.0, "era" => era.0);
         }
-        known = era;
+        latest_era = era;
         core.announcement_changed.notify_one();
         core.inbound.broken_runs().requeue_written(core.clock.now());
     }
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -84,8 +84,8 @@
     let list = store.list(&prefix, ReadConsistency::Linearizable).await?;
     let present: Vec<SocketAddr> = apply_items(core, &list.items);
     let key = own_key(core);
-    let own = list.items.iter().find(|item| item.key == key.as_str());
-    core.earlier_lease.set(own.and_then(|item| item.lease));
+    let own_item = list.items.iter().find(|item| item.key == key.as_str());
+    core.earlier_lease.set(own_item.and_then(|item| item.lease));
     core.record_store_response();
     if !present.contains(&core.settings.peer_addr) {
         core.announcement_changed.notify_one();
@@ -180,13 +180,13 @@
     let Some(peer_addr) = AnnouncementKey::peer_addr_in(key) else {
         return;
     };
-    let known = {
+    let announced_key = {
         let fleet = core.fleet.borrow();
         fleet
             .member_at(peer_addr)
             .map(|member| key_of(&member.record))
     };
-    if known.is_none_or(|known| known.as_str() == key) {
+    if announced_key.is_none_or(|announced_key| announced_key.as_str() == key) {
         apply_lapse(core, peer_addr, revision);
     }
 }
--- a/crates/node/src/distribution/config_history.rs
+++ b/crates/node/src/distribution/config_history.rs
@@ -35,9 +35,9 @@
 
     /// Returns the update for a node that holds `version`.
     ///
-    /// That is a delta if `version` is still in the history, and the whole newest
-    /// configuration otherwise. A node that holds the newest version or a later one needs no
-    /// update, and gets `None`.
+    /// The update is a delta if `version` is still in the history, and the whole newest
+    /// configuration otherwise. A node that holds the newest version or a later one needs
+    /// no update, and gets `None`.
     ///
     /// # Errors
     ///
--- a/crates/node/src/distribution/store_access.rs
+++ b/crates/node/src/distribution/store_access.rs
@@ -29,7 +29,7 @@
     Alone,
     /// The relay, which has lost the store as well.
     ///
-    /// It tells this node when the store is available again.
+    /// The relay tells this node when the store is available again.
     ByRelay,
 }
 
@@ -67,10 +67,10 @@
     ///
     /// Returns whether it is the first failure since the last successful call.
     pub fn record_failure(&mut self) -> bool {
-        let first = self.failures == 0;
+        let is_first = self.failures == 0;
         self.failures = self.failures.saturating_add(1);
         self.suspended = true;
-        first
+        is_first
     }
 
     /// Suspends calls until a probe succeeds, because other nodes have lost the store.
--- a/crates/node/src/header_names.rs
+++ b/crates/node/src/header_names.rs
@@ -4,8 +4,8 @@
 
 /// Names of the platform's headers in requests and responses.
 ///
-/// They differ between platforms, so the platform adapter passes them to the
-/// node at startup.
+/// The names differ between platforms, so the platform adapter passes them to the node at
+/// startup.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
     /// Identifier of a caller's attempt, echoed in the response.
--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -29,7 +29,7 @@
     /// Whether the request is new. A nested call belongs to a run that has begun.
     is_new: bool,
     rank: u8,
-    /// Whether the response can't arrive by its target time anymore.
+    /// Whether the response can't arrive by its target time any more.
     late: bool,
     target_deadline: Duration,
     order: u64,
@@ -192,12 +192,12 @@
             target_deadline: request.target_deadline,
             order: self.order,
         };
-        let end = if request.is_nested || late {
+        let useful_until = if request.is_nested || late {
             request.ends_at
         } else {
             request.target_deadline
         };
-        let mut latest = end.saturating_sub(run_time.mul_f64(RUN_MARGIN));
+        let mut latest = useful_until.saturating_sub(run_time.mul_f64(RUN_MARGIN));
         if let Some(longest) = self.longest_wait(run_time).filter(|_| !request.is_nested) {
             latest = latest.min(now + longest);
         }
--- a/crates/node/src/inbound/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -35,10 +35,10 @@
         return;
     };
     let healthy = core.inbound.healthy_instance(path).await;
-    let same = healthy.as_deref() == Some(record.start.instance());
+    let is_same_start = healthy.as_deref() == Some(record.start.instance());
     info!(core.log.logger(), "backend server asked";
-        "instance" => %record.start, "healthy" => healthy, "opened" => same);
-    if same && core.inbound.tracker().borrow().current().is_none() {
+        "instance" => %record.start, "healthy" => healthy, "opened" => is_same_start);
+    if is_same_start && core.inbound.tracker().borrow().current().is_none() {
         core.report(EndpointReport {
             start: record.start,
             service: record.service,
@@ -53,11 +53,11 @@
 
 async fn first_config(core: &NodeCore) -> Rc<MeshConfig> {
     loop {
-        let heard = core.update_arrived.notified();
+        let next_update = core.update_arrived.notified();
         let config = core.config.borrow().clone();
         if let Some(config) = config {
             return config;
         }
-        let _woken = timeout(CONFIG_CHECK_INTERVAL, heard).await;
+        let _woken = timeout(CONFIG_CHECK_INTERVAL, next_update).await;
     }
 }
--- a/crates/node/src/inbound/endpoint_tracker.rs
+++ b/crates/node/src/inbound/endpoint_tracker.rs
@@ -43,7 +43,7 @@
 
 /// Tracks which start of the local backend server is current.
 ///
-/// It also decides whether a request for that start is admitted.
+/// The tracker also decides whether a request for that start is admitted.
 ///
 /// Heartbeats may be late, out of order, or from a start that has crashed since. If all were
 /// accepted, they would readmit requests to a backend server that is leaving, or name one that is
@@ -64,8 +64,9 @@
             return ReportOutcome::Stale;
         }
         let current = self.current.as_mut();
-        let known = current.map(|current| (report.start.order(&current.report.start), current));
-        match known {
+        let order_and_current =
+            current.map(|current| (report.start.order(&current.report.start), current));
+        match order_and_current {
             Some((StartOrder::Same, current)) => update(current, now, report),
             Some((StartOrder::Earlier, _)) => ReportOutcome::Stale,
             Some((StartOrder::Later | StartOrder::Unknown, _)) | None => {
@@ -100,8 +101,8 @@
     pub fn record_instance(&mut self, instance: &str) -> Option<EndpointStart> {
         self.retired
             .retain(|retired| retired.instance() != instance);
-        let other = |current: &CurrentStart| current.report.start.instance() != instance;
-        if !self.current.as_ref().is_some_and(other) {
+        let is_other_start = |current: &CurrentStart| current.report.start.instance() != instance;
+        if !self.current.as_ref().is_some_and(is_other_start) {
             return None;
         }
         let ended = self.current.take()?;
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -39,8 +39,8 @@
 /// Longest idle time of a connection that is reused for other requests. A request that crosses the
 /// closing of its connection can't be resent, and a new connection costs only a millisecond.
 pub(super) const IDLE_TIMEOUT_NON_IDEMPOTENT: Duration = Duration::from_secs(1);
-/// Time after the end of a request at which the inbound proxy stops waiting for the backend server.
-/// Usually the sender cancels the request first.
+/// Time after the end of a request until which the inbound proxy waits for a response. Usually the
+/// sender cancels the request first.
 const RESPONSE_GRACE_TIME: Duration = Duration::from_millis(100);
 /// Advised retry delay after a refusal that isn't about load. The sender tries another node at
 /// once.
--- a/crates/node/src/inbound/inbound_refusal.rs
+++ b/crates/node/src/inbound/inbound_refusal.rs
@@ -16,8 +16,10 @@
     OtherInstance,
     /// Every slot is taken, and the request may not wait for one.
     Busy,
-    /// The queue is too long for the time that the request has left, or the request's route
-    /// is served more often than others of its rank or above.
+    /// The queue is too long for the time that the request has left.
+    ///
+    /// The reason also stands for a full queue in which the request's route has been served
+    /// more often than others of its rank or above.
     Full,
     /// The response couldn't arrive in time, because the instance's link is reserved too far
     /// ahead.
--- a/crates/node/src/inbound/nested_call_detector.rs
+++ b/crates/node/src/inbound/nested_call_detector.rs
@@ -12,8 +12,8 @@
 /// Weight of one refused request in the failure share of its route. Five or six refusals are enough
 /// to detect nested calls.
 const SHARE_WEIGHT: f64 = 0.2;
-/// Share of a route's refused requests followed by a failed run, from which on its requests count
-/// as nested calls. Some refused requests of callers are followed by a failed run by chance.
+/// Failure share of a route from which on its requests count as nested calls. It is the share of
+/// its refused requests that a failed run follows, which some requests of callers do by chance.
 const NESTED_SHARE_MIN: f64 = 0.5;
 /// Number of refused requests before a route can be taken for nested calls.
 const REJECTIONS_MIN: u32 = 3;
--- a/crates/node/src/inbound/route_statistics.rs
+++ b/crates/node/src/inbound/route_statistics.rs
@@ -149,11 +149,11 @@
 
     /// Returns the mean run time of one route, or of all routes while unknown.
     pub(super) fn mean_run_time_of(&self, route: RankedRoute) -> Duration {
-        let known = self
+        let route_mean = self
             .records
             .get(&route.route_hash)
             .and_then(|record| record.run_time.get());
-        known.map_or_else(|| self.mean_run_time(), Duration::from_secs_f64)
+        route_mean.map_or_else(|| self.mean_run_time(), Duration::from_secs_f64)
     }
 
     /// Whether the served share of a route is clearly above that of a competitor. Competitors are
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -68,7 +68,7 @@
     After(Duration),
     /// Another transfer goes first.
     Later,
-    /// The transfer can't be in time anymore. It continues under this key, behind those that can.
+    /// The transfer can't be in time any more. It continues under this key, behind those that can.
     Postponed(TransferKey),
 }
 
@@ -218,7 +218,7 @@
         LinkTurn::Now
     }
 
-    /// Moves a transfer that can't be in time anymore behind those that can.
+    /// Moves a transfer that can't be in time any more behind those that can.
     ///
     /// Returns its new key, or `None` if it keeps its place.
     fn postponed(&mut self, now: Duration, key: TransferKey) -> Option<TransferKey> {
--- a/crates/node/src/member/endpoint_start.rs
+++ b/crates/node/src/member/endpoint_start.rs
@@ -110,7 +110,8 @@
 
     /// Whether this start has ended if the start `ended` has.
     ///
-    /// This is so for the same start and for an earlier one under the same identifier.
+    /// The end of `ended` implies that of the same start, and of an earlier one under the
+    /// same identifier.
     pub fn ended_with(&self, ended: &Self) -> bool {
         let order = self.order(ended);
         self.instance == ended.instance && matches!(order, StartOrder::Same | StartOrder::Earlier)
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -216,11 +216,14 @@
     /// The update is the whole list if `since` is zero or from before the remembered drops.
     pub fn update_since(&self, since: Revision) -> MemberUpdate {
         let whole = since == Revision(0) || since < self.forgotten;
-        let fresh = |revision: Revision| whole || revision > since;
+        let is_newer = |revision: Revision| whole || revision > since;
         let members = self.members.iter().map(|(_, member)| member);
-        let members = members.filter(|member| fresh(member.revision));
+        let members = members.filter(|member| is_newer(member.revision));
         let (lapsed, written): (Vec<_>, Vec<_>) = members.partition(|member| member.has_lapsed());
-        let dropped = self.dropped.iter().filter(|(_, revision)| fresh(*revision));
+        let dropped = self
+            .dropped
+            .iter()
+            .filter(|(_, revision)| is_newer(*revision));
         let lapsed = lapsed
             .into_iter()
             .map(|member| (member.record.peer_addr, member.revision));
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -15,11 +15,11 @@
 const PROBE_REQUESTS_PER_SLOT_MAX: f64 = 1.0;
 /// Silence timeout as a multiple of the expected response time.
 const SILENCE_RUNS: f64 = 3.0;
-/// Shortest silence timeout. A machine that has used up its CPU quota stands still for a
-/// tenth of a second.
+/// Shortest silence timeout. A machine that has used up its CPU quota is paused for a tenth
+/// of a second.
 const SILENCE_TIMEOUT_MIN: Duration = Duration::from_millis(300);
-/// Largest ratio of a service's mean failure rate to that of a member, for the service to
-/// count as healthier than the member.
+/// Ratio of failure rates up to which a service counts as healthier than a member: the mean
+/// failure rate of the service to that of the member.
 const HEALTHIER_FACTOR: f64 = 0.5;
 
 /// Selection of a member for a request.
@@ -51,8 +51,10 @@
     ) -> Option<MemberKey> {
         let pool = self.services.get(query.service)?;
         let cost = self.cost(now, pool, query);
-        let fresh = |key: &MemberKey| !query.probed.contains(key);
-        let candidates = self.candidates(pool, query).filter(|(key, _)| fresh(key));
+        let is_unprobed = |key: &MemberKey| !query.probed.contains(key);
+        let candidates = self
+            .candidates(pool, query)
+            .filter(|(key, _)| is_unprobed(key));
         cost.pick(candidates.collect(), Vec::new(), rng)
     }
 
@@ -105,7 +107,7 @@
 
     /// Whether the next try should only probe for a free slot.
     ///
-    /// That is so if slots are usually free and another member is left to be asked
+    /// A probe makes sense if slots are usually free and another member is left to be asked
     /// afterwards. In a shortage every probe would be refused, and the extra calls between
     /// nodes would use up the CPU of small instances.
     pub fn may_probe(&self, query: &PickQuery<'_>) -> bool {
@@ -115,8 +117,8 @@
         if pool.mean_requests_per_slot() >= PROBE_REQUESTS_PER_SLOT_MAX {
             return false;
         }
-        let other = self.candidates(pool, query).nth(query.probed.len() + 1);
-        other.is_some()
+        let another_member = self.candidates(pool, query).nth(query.probed.len() + 1);
+        another_member.is_some()
     }
 
     /// Whether a member of the service is available for the request now.
--- a/crates/node/src/member/member_estimate.rs
+++ b/crates/node/src/member/member_estimate.rs
@@ -35,16 +35,16 @@
 
     /// Whether a request is likely to run at once and get its response within `target`.
     ///
-    /// That is so if it costs no more than the last free slot of a backend server that is
-    /// fast enough.
+    /// A request is prompt if it costs no more than the last free slot of a backend server
+    /// that is fast enough.
     pub(super) fn is_prompt(&self, target: Duration) -> bool {
         self.cost_s(target) <= OCCUPANCY_COST * self.run_s
     }
 
     /// Returns the cost, in seconds of waiting.
     ///
-    /// It adds up the queue, the occupancy, the risk of a failure, and the part of the run
-    /// that exceeds half of the target time.
+    /// The cost adds up the queue, the occupancy, the risk of a failure, and the part of
+    /// the run that exceeds half of the target time.
     pub(super) fn cost_s(&self, target: Duration) -> f64 {
         let slow = (self.run_s - target.as_secs_f64() * TARGET_FREE_SHARE).max(0.0);
         slow + OCCUPANCY_COST * self.occupancy * self.run_s
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -167,7 +167,7 @@
         self.record.state == MemberState::Ready
     }
 
-    /// Whether the member is neither ejected nor left alone after a refusal.
+    /// Whether the member is neither ejected nor in the pause after a refusal.
     pub(super) fn is_available(&self, now: Duration) -> bool {
         !self.is_ejected(now) && now >= self.refused_until
     }
@@ -180,11 +180,11 @@
 
     /// Returns the time until long responses may be requested again.
     ///
-    /// It is zero unless the member refused one because the link of its instance was full.
-    /// The wait is longer for a member in another data centre if one in this data centre can
-    /// be asked (`has_near_member`). When links are full in every data centre, remote callers
-    /// would only displace callers in the member's data centre and add traffic between data
-    /// centres, which is charged by the byte.
+    /// The time is zero unless the member refused one because its instance's link was full. The
+    /// wait is longer for a member in another data centre if one in this data centre can be asked
+    /// (`has_near_member`). When links are full in every data centre, remote callers would only
+    /// displace callers in the member's data centre and add traffic between data centres, which is
+    /// charged by the byte.
     pub(super) fn link_wait(&self, now: Duration, has_near_member: bool) -> Duration {
         let until = if has_near_member && !self.is_near() {
             self.remote_link_refused_until.max(self.link_refused_until)
@@ -245,11 +245,11 @@
         let Some(load) = self.load else {
             return 0.0;
         };
-        let left = load
+        let remaining = load
             .report
             .link_backlog
             .saturating_sub(now.saturating_sub(load.at));
-        left.as_secs_f64()
+        remaining.as_secs_f64()
     }
 
     /// Returns the share of the member's recent responses that were failures.
@@ -261,9 +261,9 @@
     ///
     /// The reported number decays towards the mean of the service, `mean_requests_per_slot`.
     fn held(&self, now: Duration, mean_requests_per_slot: f64) -> f64 {
-        let own = f64::from(self.outstanding);
+        let own_requests = f64::from(self.outstanding);
         let Some(load) = self.load else {
-            return own;
+            return own_requests;
         };
         let age = now.saturating_sub(load.at).as_secs_f64();
         let decay_s =
@@ -272,7 +272,7 @@
         let reported = f64::from(load.report.running + load.report.waiting);
         let mean = mean_requests_per_slot * f64::from(self.record.slots);
         let since = f64::from(self.outstanding.saturating_sub(load.outstanding));
-        (reported * weight + mean * (1.0 - weight) + since).max(own)
+        (reported * weight + mean * (1.0 - weight) + since).max(own_requests)
     }
 
     pub(super) fn record_request_sent(&mut self) {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -39,8 +39,8 @@
 const INITIAL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time between cleanups of idle connections and vanished members.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// End of the shutdown timeout in which the node doesn't wait for open requests anymore, so
-/// that it ends before the process is killed.
+/// Part of the shutdown timeout that is left when the node stops waiting for open requests.
+/// The node closes its connections in it, before the process is killed.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
 /// Longest wait for connections to end once the listeners are closing. By then each
 /// connection sends its last response or is idle. Callers that don't read keep theirs open.
--- a/crates/node/src/node_clock.rs
+++ b/crates/node/src/node_clock.rs
@@ -39,7 +39,7 @@
 
     /// Returns the wall-clock time in Unix milliseconds.
     ///
-    /// It may jump, so durations are taken from the monotonic clock.
+    /// The wall clock may jump, so durations are taken from the monotonic clock.
     pub fn unix_ms() -> u64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         now.map_or(0, |now| now.as_millis() as u64)
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -68,11 +68,11 @@
 
     /// Waits until a change of the backend server is written to the store.
     ///
-    /// If the change revealed a crash, the wait includes reporting it to other nodes. If the
-    /// node were killed between acknowledging that the backend server leaves and writing it,
-    /// the next node process wouldn't know of it. The store usually answers in milliseconds,
-    /// and the sender of a report waits one second for the acknowledgment. The wait ends after
-    /// `ACK_TIMEOUT`, so a report is also acknowledged while the store is unavailable.
+    /// If the change revealed a crash, the wait includes reporting it to other nodes. If the node
+    /// were killed between acknowledging that the backend server leaves and writing it, the next
+    /// node process wouldn't know of it. The store usually responds in milliseconds, and the sender
+    /// of a report waits one second for the acknowledgment. The wait ends after `ACK_TIMEOUT`, so a
+    /// report is also acknowledged while the store is unavailable.
     pub async fn until_announced(&self) {
         let wait = async {
             while self.announcement_outdated.get() {
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -238,13 +238,13 @@
     ///
     /// Returns whether it was adopted. `source` says in the log where it came from.
     pub fn adopt_config(&self, config: MeshConfig, source: &'static str) -> bool {
-        let before = self.version();
-        if config.version <= before {
+        let previous_version = self.version();
+        if config.version <= previous_version {
             return false;
         }
         info!(self.log.logger(), "configuration in force";
             "version" => config.version.0,
-            "before" => before.0,
+            "before" => previous_version.0,
             "routes" => config.route_count(),
             "source" => source);
         self.metrics.set_config_version(config.version.0);
@@ -287,11 +287,11 @@
 
     /// Returns whether new requests from callers are refused.
     ///
-    /// That is so from [`CALLER_DRAIN_TIME`] after the stop signal. By then, callers that can
-    /// use another node have left. Callers keep using a node that isn't ready while most nodes
-    /// of their data centre aren't ready, and a request that arrives shortly before the process
-    /// is killed would be cut off. The remaining callers are therefore told at once to retry
-    /// later, and open requests can finish.
+    /// They are refused from [`CALLER_DRAIN_TIME`] after the stop signal. By then, callers that can
+    /// use another node have left. Callers keep using a node that isn't ready while most nodes of
+    /// their data centre aren't ready, and a request that arrives shortly before the process is
+    /// killed would be cut off. The remaining callers are therefore told at once to retry later,
+    /// and open requests can finish.
     pub fn rejects_new_callers(&self) -> bool {
         let now = self.clock.now();
         self.stopping_since
@@ -325,8 +325,8 @@
         self.inbound.sweep();
         self.resends.borrow_mut().sweep(now);
         self.link.report_usage(now);
-        let gone = self.fleet.borrow_mut().sweep(now);
-        for record in gone {
+        let expired_records = self.fleet.borrow_mut().sweep(now);
+        for record in expired_records {
             info!(self.log.logger(), "member gone";
                 "at" => %record.peer_addr,
                 "instance" => %record.start,
--- a/crates/node/src/node_core/request_outcomes.rs
+++ b/crates/node/src/node_core/request_outcomes.rs
@@ -132,8 +132,8 @@
 
     /// Records a request that was rejected before it was sent to any member.
     ///
-    /// It has no route, a bad, late or too large body, or crashes backend servers, or the
-    /// node has no configuration yet or is stopping.
+    /// The request has no route, a bad, late or too large body, or crashes backend servers,
+    /// or the node has no configuration yet or is stopping.
     pub fn record_rejected(&self, id: Option<&HeaderValue>, reply: &LocalReply) {
         let result = if reply.status.is_client_error() {
             RequestResult::CallerFault
--- a/crates/node/src/node_core/store_contact.rs
+++ b/crates/node/src/node_core/store_contact.rs
@@ -155,7 +155,7 @@
 
     /// Returns whether this node watches the store.
     ///
-    /// It does so if it has no relay or is itself the relay of another node.
+    /// A node watches the store if it has no relay or is itself the relay of another node.
     pub fn watches_store(&self) -> bool {
         let is_relay = self
             .relay_selector
--- a/crates/node/src/node_settings.rs
+++ b/crates/node/src/node_settings.rs
@@ -40,8 +40,8 @@
     pub peer_connect_timeout: Duration,
     /// Longest idle time after which a connection to another node is reused.
     pub peer_idle_timeout: Duration,
-    /// Time in which a leaving backend server may still get new requests, counted from
-    /// the acknowledgment of its leaving.
+    /// Time in which a leaving backend server may still get new requests. It counts from
+    /// the acknowledgment of the leaving.
     pub leaving_time: Duration,
     /// Time between the signal to stop and the kill of the process.
     pub shutdown_timeout: Duration,
--- a/crates/node/src/outbound/caller_input.rs
+++ b/crates/node/src/outbound/caller_input.rs
@@ -10,7 +10,7 @@
 use super::LocalReply;
 use crate::config::MeshConfig;
 
-/// Returns the host of a request in lower case, without its port; none if it names no host.
+/// Returns the host that a request names, in lower case and without its port.
 pub(super) fn host_of(head: &Parts) -> Option<String> {
     let named = head
         .headers
--- a/crates/node/src/outbound/deadline_tracker.rs
+++ b/crates/node/src/outbound/deadline_tracker.rs
@@ -16,7 +16,7 @@
 /// few seconds at the users' request rates.
 const HALVE_AFTER_REQUESTS: f64 = 256.0;
 
-/// A deadline, as the time that the caller waits, and the decaying number of requests with it.
+/// A deadline, as a caller's waiting time, and the decaying count of its requests.
 #[derive(Debug, Clone, Copy)]
 struct SeenDeadline {
     deadline: Duration,
@@ -94,13 +94,13 @@
     }
 
     fn time_since_first_attempt(&self, deadline: Duration) -> Duration {
-        let least = self.total * FIRST_ATTEMPT_SHARE_MIN;
-        let usual = self.seen.iter().filter(|seen| seen.count >= least);
-        let from = usual.map(|seen| seen.deadline);
-        let from = from
+        let min_count = self.total * FIRST_ATTEMPT_SHARE_MIN;
+        let usual = self.seen.iter().filter(|seen| seen.count >= min_count);
+        let first_deadline = usual.map(|seen| seen.deadline);
+        let first_deadline = first_deadline
             .filter(|usual| *usual + DEADLINE_TOLERANCE >= deadline)
             .min();
-        from.map_or(Duration::ZERO, |usual| {
+        first_deadline.map_or(Duration::ZERO, |usual| {
             let time_since_first_attempt = usual.saturating_sub(deadline);
             if time_since_first_attempt > DEADLINE_TOLERANCE {
                 time_since_first_attempt
--- a/crates/node/src/outbound/mod.rs
+++ b/crates/node/src/outbound/mod.rs
@@ -1,8 +1,8 @@
 //! Proxy for the requests of callers on this machine.
 //!
 //! [`OutboundProxy`] reads a request, finds its route, sends it to the inbound proxy of a
-//! picked member and decides what to do when that fails. The decisions are made by modules
-//! without I/O: routing in [`config`](crate::config), load balancing in
+//! picked member and decides what to do when that fails. Modules without I/O make the
+//! decisions: routing in [`config`](crate::config), load balancing in
 //! [`member`](crate::member), and the retry budget in [`retry`](crate::retry).
 //!
 //! A *try* sends the request to one member. An *attempt* is one request of the caller,
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -29,7 +29,7 @@
 /// Smallest `Retry-After` before the first configuration. If no configuration arrives soon
 /// after the start, the store is unavailable.
 const RETRY_NOT_READY_MIN: Duration = Duration::from_millis(500);
-/// `Retry-After` while the node stops. A restarted process is back within about a second.
+/// `Retry-After` while the node stops. A restarted process is ready within about a second.
 const RETRY_STOPPING: Duration = Duration::from_millis(250);
 /// Time before the caller's deadline at which it gets a final response. The response takes a
 /// millisecond to reach the caller, and a few more on a busy machine.
@@ -144,12 +144,12 @@
             if let Some(config) = config {
                 return Ok(config);
             }
-            let left = FIRST_CONFIG_TIMEOUT.saturating_sub(self.core.clock.now());
-            if left.is_zero() || self.core.open_requests.get() > WAITING_REQUESTS_MAX {
-                let retry_after = left.max(RETRY_NOT_READY_MIN);
+            let time_left = FIRST_CONFIG_TIMEOUT.saturating_sub(self.core.clock.now());
+            if time_left.is_zero() || self.core.open_requests.get() > WAITING_REQUESTS_MAX {
+                let retry_after = time_left.max(RETRY_NOT_READY_MIN);
                 return Err(LocalReply::not_run(ResultCode::NotReady, retry_after));
             }
-            let _timed_out = timeout(left, updated).await;
+            let _timed_out = timeout(time_left, updated).await;
         }
     }
 
@@ -164,8 +164,8 @@
 
     /// Returns the time of the caller's first attempt, as far as it is known.
     ///
-    /// It is taken from an earlier refusal of the request here or, without one, estimated
-    /// from the remaining time in the request.
+    /// The time is taken from an earlier failed attempt of the request here or, without
+    /// one, estimated from the remaining time in the request.
     fn first_attempt_at(
         &self,
         arrived: Instant,
@@ -191,8 +191,8 @@
             .unwrap_or(arrived)
     }
 
-    /// Remembers a request that got no response of a backend server, as its caller may send
-    /// it again.
+    /// Remembers a request that got no response of a backend server. Its caller may send
+    /// the request again.
     fn record_failed_attempt(&self, request: &OutboundRequest) {
         let Some(caller_deadline) = request.caller_deadline else {
             return;
--- a/crates/node/src/outbound/resend_tracker.rs
+++ b/crates/node/src/outbound/resend_tracker.rs
@@ -79,8 +79,9 @@
         caller_deadline: Duration,
     ) -> Option<Duration> {
         let request = self.failed_attempts.get(&fingerprint)?;
-        let same = request.caller_deadline.abs_diff(caller_deadline) <= CALLER_DEADLINE_TOLERANCE;
-        same.then_some(request.first_attempt_at)
+        let is_same_caller =
+            request.caller_deadline.abs_diff(caller_deadline) <= CALLER_DEADLINE_TOLERANCE;
+        is_same_caller.then_some(request.first_attempt_at)
     }
 
     /// Forgets requests whose callers have stopped waiting.
--- a/crates/node/src/outbound/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -45,8 +45,9 @@
     pub(super) in_flight: u32,
     /// Whether a try that has ended may have run.
     pub(super) earlier_try_may_have_run: bool,
-    /// Most recent refusal, by a member or because all links are full; probes that found no free
-    /// slot don't count.
+    /// Most recent refusal, by a member or because all links are full.
+    ///
+    /// Probes that found no free slot don't count.
     pub(super) refusal: Option<InboundRefusal>,
     /// Cause of the last failure of a try that may have run, for the log.
     pub(super) failure_cause: Option<String>,
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -170,11 +170,11 @@
             version: self.core.version(),
             from: self.core.settings.peer_addr,
         };
-        let left = request.ends_at.saturating_duration_since(now);
+        let remaining = request.ends_at.saturating_duration_since(now);
         let mut headers = request.headers.clone();
         headers.insert(
             &names.deadline_ms,
-            HeaderValue::from(left.as_millis() as u64),
+            HeaderValue::from(remaining.as_millis() as u64),
         );
         set_header(
             &mut headers,
@@ -212,7 +212,7 @@
 
 /// Returns the failure for a broken connection to the other node.
 ///
-/// It has no diagnosis, since it says nothing about the backend server.
+/// The failure has no diagnosis, since it says nothing about the backend server.
 const fn undiagnosed(reason: String) -> TryFailure {
     let diagnosis = None;
     TryFailure::ResponseLost { reason, diagnosis }
--- a/crates/node/src/retry/retry_budget.rs
+++ b/crates/node/src/retry/retry_budget.rs
@@ -123,8 +123,8 @@
             Some(entry) => entry.counts(now, self.limits.window),
             None => WindowBucket::default(),
         };
-        let own = self.limits.ratio * f64::from(counts.requests);
-        let allowance = own + self.limits.slack / retry_query.nodes.max(1) as f64;
+        let own_allowance = self.limits.ratio * f64::from(counts.requests);
+        let allowance = own_allowance + self.limits.slack / retry_query.nodes.max(1) as f64;
         let fits = |used: u32, share: f64| f64::from(used) + 1.0 <= share * allowance;
         let rerun_fits = !retry_query.may_rerun || fits(counts.reruns, RERUN_SHARE);
         rerun_fits && fits(counts.retries, RETRY_SHARE)
--- a/crates/node/src/store/store_era.rs
+++ b/crates/node/src/store/store_era.rs
@@ -7,9 +7,9 @@
 
 /// Number of times that the store was restored from an older copy of its data.
 ///
-/// Writes made after the copy are lost, and the store assigns their revisions and lease
-/// numbers again, so those of different eras can't be compared. 0 means that the store
-/// didn't report its era.
+/// Writes after the copy are lost, and the store assigns their revisions and lease numbers
+/// again, so those of different eras can't be compared. 0 means that the store didn't
+/// report its era.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
--- a/crates/node/src/transport/peer_request_header.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -22,7 +22,7 @@
     pub is_nested: bool,
     /// Whether the request may run more than once without harm.
     pub idempotent: bool,
-    /// Whether the request may queue for a slot; if not, it is refused unless one is free.
+    /// Whether the request may wait for a slot; otherwise it is refused unless one is free.
     pub may_wait: bool,
     /// Time left until the route's target latency has passed.
     pub target_remaining: Duration,
--- a/crates/node/src/transport/socket_tuning.rs
+++ b/crates/node/src/transport/socket_tuning.rs
@@ -15,7 +15,7 @@
 /// second.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Sets the options of a socket that let a connection to a dead peer end within seconds.
+/// Sets the socket options by which a connection to a dead peer ends within seconds.
 ///
 /// When a peer loses power or the network between is cut, no reset arrives, and the
 /// connection looks healthy for minutes. So the kernel probes a silent peer and gives up on
--- a/crates/node/tests/all/guide.rs
+++ b/crates/node/tests/all/guide.rs
@@ -51,7 +51,7 @@
     );
 }
 
-/// Guards against using a relay that the store answered longer ago than this node.
+/// Guards against using a relay to which the store last responded earlier than to this node.
 ///
 /// A node that is cut off as well must keep using the relay.
 #[test]
