--- a/crates/node/src/config/mesh_config.rs
+++ b/crates/node/src/config/mesh_config.rs
@@ -15,9 +15,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Largest size of a request's head in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Largest size of a request's body in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Longest time for receiving a request's head.
     pub head_timeout: Duration,
     /// Longest time for which a connection may stay idle.
@@ -29,8 +29,8 @@
 
     fn try_from(input: &LimitsInput) -> Result<Self, ConfigError> {
         Ok(Self {
-            head_bytes: input.head_bytes as usize,
-            body_bytes: input.body_bytes as usize,
+            max_head_bytes: input.head_bytes as usize,
+            max_body_bytes: input.body_bytes as usize,
             head_timeout: checked_time(input.head_s, "head limit")?,
             idle_timeout: checked_time(input.idle_s, "idle limit")?,
         })
--- a/crates/node/src/config/route_rule.rs
+++ b/crates/node/src/config/route_rule.rs
@@ -25,7 +25,7 @@
     /// Time after which the caller gets a final response.
     pub timeout: Duration,
     /// Target latency; a later response counts as slow.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// Priority rank; 0 is the most urgent.
     pub rank: u8,
     /// Largest number of backend servers that one attempt of a caller may reach.
@@ -63,7 +63,7 @@
             route_hash: xxh3_64(input.name.as_bytes()),
             kind: input.kind,
             timeout: checked_time(input.timeout_s, &input.name)?,
-            target: checked_time(input.target_s, &input.name)?,
+            target_latency: checked_time(input.target_s, &input.name)?,
             rank: input.rank,
             attempts: input.attempts,
             shares,
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -176,8 +176,8 @@
     /// Returns the time after which a member that hasn't responded counts as silent.
     ///
     /// While no member has reported the run time of the route, as after a start, that is at
-    /// least the target time. With an assumed run time, every slower member would count as
-    /// silent, and each request would go to two members when all are slow after a start.
+    /// least the target latency. With an assumed run time, every slower member would count
+    /// as silent, and each request would go to two members when all are slow after a start.
     pub fn silence_timeout(
         &self,
         now: Duration,
@@ -189,7 +189,7 @@
         };
         let cost = self.cost(now, pool, query);
         if cost.averages.route_run_time.is_none() {
-            return SILENCE_TIMEOUT_MIN.max(query.target);
+            return SILENCE_TIMEOUT_MIN.max(query.target_latency);
         }
         let expected = self.get(key).map_or(0.0, |member| cost.expected_s(member));
         SILENCE_TIMEOUT_MIN.max(Duration::from_secs_f64(expected * SILENCE_RUNS))
--- a/crates/node/src/member/pick_cost.rs
+++ b/crates/node/src/member/pick_cost.rs
@@ -115,7 +115,7 @@
         let key = self.cheapest(compared.clone(), rng)?;
         let (_, member) = compared.into_iter().find(|(other, _)| *other == key)?;
         let estimate = member.estimate(self.now, self.query.route_hash, self.averages);
-        estimate.is_prompt(self.query.target).then_some(key)
+        estimate.is_prompt(self.query.target_latency).then_some(key)
     }
 
     /// Returns the member with the lowest cost, or none of an empty list.
@@ -147,7 +147,7 @@
     /// Returns the cost of the request without that of the distance, in seconds of waiting.
     fn cost_s(self, member: &MemberView) -> f64 {
         let estimate = member.estimate(self.now, self.query.route_hash, self.averages);
-        let cost = estimate.cost_s(self.query.target);
+        let cost = estimate.cost_s(self.query.target_latency);
         if !self.uses_link(member) {
             return cost;
         }
--- a/crates/node/src/member/pick_query.rs
+++ b/crates/node/src/member/pick_query.rs
@@ -13,7 +13,7 @@
     /// Hash of the route, by which run times are recorded.
     pub route_hash: u64,
     /// Target latency of the route.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// Members already tried for this request.
     pub tried: &'a [MemberKey],
     /// Members that were probed for this request and had no free slot.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -194,7 +194,7 @@
     let limits = move || match &*limited.config.borrow() {
         Some(config) => ConnectionLimits {
             idle_timeout: config.limits.idle_timeout,
-            max_head_bytes: config.limits.head_bytes,
+            max_head_bytes: config.limits.max_head_bytes,
         },
         None => ConnectionLimits {
             idle_timeout: INITIAL_IDLE_TIMEOUT,
--- a/crates/node/src/node_core/request_outcomes.rs
+++ b/crates/node/src/node_core/request_outcomes.rs
@@ -72,7 +72,7 @@
         let took = request.arrived.elapsed();
         let result = match response.status() {
             status if status.is_server_error() => RequestResult::Failed,
-            _ if took <= request.route.target => RequestResult::Good,
+            _ if took <= request.route.target_latency => RequestResult::Good,
             _ => RequestResult::Slow,
         };
         self.count(request, ResultCode::Ok, result, took);
@@ -87,7 +87,7 @@
                 "at" => at.map(|at| at.peer_addr.to_string()),
                 "instance" => at.map(|at| at.start.to_string()),
                 "tries" => tries,
-                "target_ms" => request.route.target.as_millis() as u64,
+                "target_ms" => request.route.target_latency.as_millis() as u64,
                 "took_ms" => took.as_millis() as u64);
         }
     }
--- a/crates/node/src/outbound/caller_input.rs
+++ b/crates/node/src/outbound/caller_input.rs
@@ -33,7 +33,7 @@
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let limited = Limited::new(body, config.limits.body_bytes);
+    let limited = Limited::new(body, config.limits.max_body_bytes);
     match timeout_at(ends_at, limited.collect()).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -107,7 +107,7 @@
         let service = route.shares.draw();
         let caller_deadline = deadline.map(|deadline| arrived + deadline);
         let first_attempt_at = self.first_attempt_at(arrived, &route, fingerprint, deadline);
-        let target_deadline = first_attempt_at + route.target;
+        let target_deadline = first_attempt_at + route.target_latency;
         let is_nested = self
             .core
             .inbound
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -292,7 +292,7 @@
         PickQuery {
             service: &self.request.service,
             route_hash: self.request.route.route_hash,
-            target: self.request.route.target,
+            target_latency: self.request.route.target_latency,
             tried: &tries.tried,
             probed: &tries.probed,
             response_bytes: self.core.response_bytes(self.request.route.route_hash),
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -158,7 +158,7 @@
 
     fn peer_request(self, record: &MemberRecord) -> Request<Full<Bytes>> {
         let request = self.request;
-        let names = &self.core.headers;
+        let header_names = &self.core.headers;
         let now = Instant::now();
         let peer_header = PeerRequestHeader {
             rank: request.route.rank,
@@ -173,12 +173,12 @@
         let remaining = request.ends_at.saturating_duration_since(now);
         let mut headers = request.headers.clone();
         headers.insert(
-            &names.deadline_ms,
+            &header_names.deadline_ms,
             HeaderValue::from(remaining.as_millis() as u64),
         );
         set_header(
             &mut headers,
-            &names.expected_instance,
+            &header_names.expected_instance,
             record.start.instance(),
         );
         set_header(&mut headers, &PEER_REQUEST_HEADER, &peer_header.to_string());
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -103,11 +103,12 @@
         peer_header: &PeerRequestHeader,
         now: Instant,
     ) -> InboundRequest {
-        let names = &self.core.headers;
-        let remaining =
-            header_text(&head.headers, &names.deadline_ms).and_then(|text| text.parse().ok());
+        let header_names = &self.core.headers;
+        let remaining = header_text(&head.headers, &header_names.deadline_ms)
+            .and_then(|text| text.parse().ok());
         let remaining = Duration::from_millis(remaining.unwrap_or(0));
-        let instance = header_text(&head.headers, &names.expected_instance).map(ToOwned::to_owned);
+        let instance =
+            header_text(&head.headers, &header_names.expected_instance).map(ToOwned::to_owned);
         let mut headers = head.headers;
         strip_connection_headers(&mut headers);
         let fingerprint = request_fingerprint(&head.method, &head.uri, &headers, &body);
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -41,7 +41,7 @@
 const QUERY: PickQuery<'static> = PickQuery {
     service: "prices",
     route_hash: 7,
-    target: Duration::from_millis(400),
+    target_latency: Duration::from_millis(400),
     tried: &[],
     probed: &[],
     response_bytes: 5_000,
@@ -415,5 +415,5 @@
 fn a_member_of_unknown_pace_is_given_the_target_time() {
     let fleet = view(1, 1);
     let key = fleet.key_of(peer_addr(1)).expect("the member is announced");
-    assert!(fleet.silence_timeout(at(10), key, &QUERY) >= QUERY.target);
+    assert!(fleet.silence_timeout(at(10), key, &QUERY) >= QUERY.target_latency);
 }
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -410,7 +410,7 @@
     PickQuery {
         service: "orders",
         route_hash: ROUTE_HASH,
-        target: TARGET,
+        target_latency: TARGET,
         tried,
         probed,
         response_bytes: 2_000,
--- a/crates/node/tests/all/link_shortage.rs
+++ b/crates/node/tests/all/link_shortage.rs
@@ -25,7 +25,7 @@
 const LONG: PickQuery<'static> = PickQuery {
     service: "prices",
     route_hash: 7,
-    target: TARGET,
+    target_latency: TARGET,
     tried: &[],
     probed: &[],
     response_bytes: FILE_BYTES,
--- a/crates/node/tests/all/starts.rs
+++ b/crates/node/tests/all/starts.rs
@@ -48,7 +48,7 @@
     let query = geranium_node::member::PickQuery {
         service: "prices",
         route_hash: 7,
-        target: Duration::from_millis(400),
+        target_latency: Duration::from_millis(400),
         tried: &[],
         probed: &[],
         response_bytes: 400,
