--- a/crates/node/src/admin/admin_handler.rs
+++ b/crates/node/src/admin/admin_handler.rs
@@ -18,7 +18,6 @@
 pub const METRICS_PATH: &str = "/metrics";
 /// Path of the node's [`NodeStatus`], as JSON.
 pub const STATUS_PATH: &str = "/status";
-
 /// Path of the records of all known members, as JSON.
 pub const MEMBERS_PATH: &str = "/members";
 
@@ -34,8 +33,8 @@
         Self { core }
     }
 
-    /// Returns the page that a request asks for, or a 404 response.
-    pub fn answer(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
+    /// Returns the page at the path of a request, or a 404 response.
+    pub fn handle(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             METRICS_PATH => self.metrics(),
             STATUS_PATH => self.status(),
@@ -47,9 +46,9 @@
     fn metrics(&self) -> Response<ResponseBody> {
         let load = self.core.inbound.load(0);
         let metrics = &self.core.metrics;
-        metrics.members(self.core.fleet.borrow().len());
-        metrics.queue("running", load.running);
-        metrics.queue("waiting", load.waiting);
+        metrics.set_members(self.core.fleet.borrow().len());
+        metrics.set_queue("running", load.running);
+        metrics.set_queue("waiting", load.waiting);
         match metrics.text() {
             Ok(text) => text_response(StatusCode::OK, "text/plain; version=0.0.4", text),
             Err(cause) => self.internal_error("metrics", &cause),
--- a/crates/node/src/config/config_delta.rs
+++ b/crates/node/src/config/config_delta.rs
@@ -33,11 +33,13 @@
 impl ConfigDelta {
     /// Returns the delta that turns `from` into `to`.
     pub fn between(from: &ConfigInput, to: &ConfigInput) -> Self {
-        let before: HashMap<&str, &Rc<RouteInput>> = by_name(from);
+        let routes_before: HashMap<&str, &Rc<RouteInput>> = routes_by_name(from);
         let after: HashSet<&str> = to.routes.iter().map(|route| &*route.name).collect();
         let is_unchanged = |route: &Rc<RouteInput>| {
-            let known = before.get(&*route.name);
-            known.is_some_and(|known| Rc::ptr_eq(known, route) || *known == route)
+            let earlier_route = routes_before.get(&*route.name);
+            earlier_route.is_some_and(|earlier_route| {
+                Rc::ptr_eq(earlier_route, route) || *earlier_route == route
+            })
         };
         let routes = to.routes.iter().filter(|route| !is_unchanged(route));
         let removed = from
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Returns the document that the delta makes out of `from`.
+    /// Returns the document that results from applying the delta to `from`.
     ///
     /// Returns `None` if the delta applies to another version.
     ///
@@ -94,7 +96,7 @@
 }
 
 /// Returns the routes of a document by name.
-fn by_name(input: &ConfigInput) -> HashMap<&str, &Rc<RouteInput>> {
+fn routes_by_name(input: &ConfigInput) -> HashMap<&str, &Rc<RouteInput>> {
     input
         .routes
         .iter()
--- a/crates/node/src/config/config_error.rs
+++ b/crates/node/src/config/config_error.rs
@@ -28,17 +28,17 @@
         /// Prefix as written in the document.
         prefix: String,
     },
-    /// A route allows 0 attempts.
+    /// The `attempts` of a route are 0.
     #[snafu(display("route {route} allows no attempt"))]
     NoAttempts {
         /// Name of the route.
         route: String,
     },
-    /// A time isn't a number above 0 and up to 3600 seconds.
-    #[snafu(display("{location} has a time out of range"))]
+    /// A time isn't above 0 and at most 3600 seconds.
+    #[snafu(display("{field} has a time out of range"))]
     TimeOutOfRange {
-        /// Name of the route or limit that contains the time.
-        location: String,
+        /// Name of the route, or of the limit, whose time is out of range.
+        field: String,
     },
     /// Two routes have the same host and prefix.
     #[snafu(display("route {route} repeats the host and prefix of another"))]
--- a/crates/node/src/config/mesh_config.rs
+++ b/crates/node/src/config/mesh_config.rs
@@ -15,13 +15,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Largest size of a request's head in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Largest size of a request's body in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Longest time for receiving a request's head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time for which a connection may stay idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl TryFrom<&LimitsInput> for CallerLimits {
@@ -29,10 +29,10 @@
 
     fn try_from(input: &LimitsInput) -> Result<Self, ConfigError> {
         Ok(Self {
-            head_bytes: input.head_bytes as usize,
-            body_bytes: input.body_bytes as usize,
-            head_time: checked_time(input.head_s, "head limit")?,
-            idle_time: checked_time(input.idle_s, "idle limit")?,
+            max_head_bytes: input.head_bytes as usize,
+            max_body_bytes: input.body_bytes as usize,
+            head_timeout: checked_time(input.head_s, "head limit")?,
+            idle_timeout: checked_time(input.idle_s, "idle limit")?,
         })
     }
 }
@@ -44,7 +44,7 @@
     pub version: ConfigVersion,
     /// Limits on callers' requests.
     pub limits: CallerLimits,
-    /// Document from which the configuration was made.
+    /// Document from which the configuration was created.
     pub input: Rc<ConfigInput>,
     /// Routes by the host followed by the prefix.
     ///
@@ -130,8 +130,8 @@
         for route in &input.routes {
             check_services(route, &services)?;
             let key = format!("{}{}", route.host.to_ascii_lowercase(), route.prefix);
-            let known = previous.and_then(|previous| previous.routes.get(&*key));
-            let rule = match known.filter(|rule| rule.input == *route) {
+            let previous_rule = previous.and_then(|previous| previous.routes.get(&*key));
+            let rule = match previous_rule.filter(|rule| rule.input == *route) {
                 Some(rule) => Rc::clone(rule),
                 None => Rc::new(RouteRule::try_from(route)?),
             };
@@ -167,7 +167,7 @@
     }
 
     /// Returns whether a route may send requests to `service`.
-    pub fn uses(&self, service: &str) -> bool {
+    pub fn routes_to(&self, service: &str) -> bool {
         self.routes
             .values()
             .any(|route| route.shares.allows(service))
--- a/crates/node/src/config/route_rule.rs
+++ b/crates/node/src/config/route_rule.rs
@@ -9,7 +9,7 @@
 /// Longest time in seconds of a route or limit.
 ///
 /// One hour is far longer than any request, and far from an overflow.
-const MAX_TIME_S: f64 = 3_600.0;
+const TIME_MAX_S: f64 = 3_600.0;
 
 /// A checked route, by which requests are sent to services.
 #[derive(Debug)]
@@ -18,17 +18,17 @@
     pub input: Rc<RouteInput>,
     /// Name of the route.
     pub name: Rc<str>,
-    /// Hash of the name, which identifies the route in the members' load estimates.
+    /// Hash of the name, by which nodes identify the route in headers and statistics.
     pub route_hash: u64,
     /// Kind of the requests, which says whether they may run more than once.
     pub kind: RequestKind,
     /// Time after which the caller gets a final response.
     pub timeout: Duration,
     /// Target latency; a later response counts as slow.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// Priority rank; 0 is the most urgent.
     pub rank: u8,
-    /// Largest number of backend servers that one request may be sent to.
+    /// Largest number of backend servers that one attempt of a caller may reach.
     pub attempts: u32,
     /// Services that requests are sent to.
     pub shares: WeightedRoundRobin,
@@ -63,7 +63,7 @@
             route_hash: xxh3_64(input.name.as_bytes()),
             kind: input.kind,
             timeout: checked_time(input.timeout_s, &input.name)?,
-            target: checked_time(input.target_s, &input.name)?,
+            target_latency: checked_time(input.target_s, &input.name)?,
             rank: input.rank,
             attempts: input.attempts,
             shares,
@@ -73,12 +73,12 @@
 
 /// Converts seconds to a duration.
 ///
-/// Seconds out of range are refused with an error that names their `location`.
-pub(super) fn checked_time(seconds: f64, location: &str) -> Result<Duration, ConfigError> {
-    if seconds > 0.0 && seconds <= MAX_TIME_S {
+/// Seconds out of range are refused with an error that names `field`.
+pub(super) fn checked_time(seconds: f64, field: &str) -> Result<Duration, ConfigError> {
+    if seconds > 0.0 && seconds <= TIME_MAX_S {
         Ok(Duration::from_secs_f64(seconds))
     } else {
-        let location = location.to_owned();
-        Err(ConfigError::TimeOutOfRange { location })
+        let field = field.to_owned();
+        Err(ConfigError::TimeOutOfRange { field })
     }
 }
--- a/crates/node/src/crash/completion_credit.rs
+++ b/crates/node/src/crash/completion_credit.rs
@@ -1,8 +1,8 @@
 //! Credit that requests earn by recent successful completions.
 
-/// Number of entries, enough for the few thousand most frequent requests of one node. Each
-/// takes 16 bytes, 64 KB in all.
-const ENTRIES: usize = 4_096;
+/// Number of entries of the table. It is enough for the few thousand most frequent requests
+/// of one node. Each entry takes 16 bytes, 64 KB in all.
+const CREDIT_ENTRIES: usize = 4_096;
 /// Completions that offset one crash, and the most credit that one request may hold. A
 /// request that turns bad after a change of data is therefore refused after only one
 /// crash more than an unknown one.
@@ -26,12 +26,12 @@
 impl CompletionCredit {
     pub(super) fn new() -> Self {
         Self {
-            entries: vec![CreditEntry::default(); ENTRIES],
+            entries: vec![CreditEntry::default(); CREDIT_ENTRIES],
         }
     }
 
-    /// Records a successful completion.
-    pub(super) fn completed(&mut self, fingerprint: u64) {
+    /// Adds credit for a successful completion of the request.
+    pub(super) fn record_completion(&mut self, fingerprint: u64) {
         let entry = self.entry_of(fingerprint);
         if entry.fingerprint == fingerprint {
             entry.credit = (entry.credit + 1).min(CREDIT_PER_CRASH);
@@ -56,6 +56,6 @@
     }
 
     fn entry_of(&mut self, fingerprint: u64) -> &mut CreditEntry {
-        &mut self.entries[fingerprint as usize % ENTRIES]
+        &mut self.entries[fingerprint as usize % CREDIT_ENTRIES]
     }
 }
--- a/crates/node/src/crash/crash_watch.rs
+++ b/crates/node/src/crash/crash_watch.rs
@@ -31,10 +31,10 @@
 
 /// Diagnoses broken runs and records crashes of the backend server until the node ends.
 ///
-/// A request crashed its backend server, rather than lost its answer, if the backend
-/// server doesn't run any more after its connections broke. The senders of broken runs are
-/// answered only once that is known, so that a request that a caller resends at once meets
-/// nodes that know of the crash.
+/// A request crashed its backend server, rather than lost its response, if the backend
+/// server doesn't run any more after its connections broke. The senders of broken runs get
+/// the diagnosis only once that is known, so that a request that a caller resends at once
+/// meets nodes that know of the crash.
 pub async fn watch_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
         core.inbound.broken_runs().work_added.notified().await;
@@ -71,7 +71,7 @@
     starts
 }
 
-/// Diagnoses broken runs of one start, and answers their senders.
+/// Diagnoses broken runs of one start, and sends the diagnosis to their senders.
 async fn diagnose_runs(
     core: Rc<NodeCore>,
     store: Rc<impl MetaStore>,
@@ -100,7 +100,7 @@
     if cause == BreakCause::Crashed {
         warn!(core.log.logger(), "backend server crashed";
             "instance" => %start, "runs" => records.len(), "evidence" => "probe");
-        record_crashes(Rc::clone(&core), store, records).await;
+        publish_crashes(Rc::clone(&core), store, records).await;
     } else {
         let now = core.clock.now();
         for record in records {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Records crashes that showed when another start replaced the one that crashed.
+/// Records crashes that were detected only when another start replaced the crashed one.
 async fn record_late_crashes(
     core: Rc<NodeCore>,
     store: Rc<impl MetaStore>,
@@ -122,12 +122,12 @@
 ) {
     warn!(core.log.logger(), "backend server crashed";
         "runs" => records.len(), "evidence" => "another start took its place");
-    record_crashes(Rc::clone(&core), store, records).await;
+    publish_crashes(Rc::clone(&core), store, records).await;
     core.inbound.broken_runs().record_late_notified();
 }
 
-/// Records crashes on this node, on its peers and in the store.
-async fn record_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>, records: Vec<CrashRecord>) {
+/// Records crashes on this node, notifies its peers, and starts writing them to the store.
+async fn publish_crashes(core: Rc<NodeCore>, store: Rc<impl MetaStore>, records: Vec<CrashRecord>) {
     let now = core.clock.now();
     for record in &records {
         let mut crashes = core.crashes.borrow_mut();
@@ -139,7 +139,7 @@
 
 /// Probes the backend server's health path to find out whether `start` still runs.
 ///
-/// An answer from the same start shows that it still runs. A refused connection shows that
+/// A response from the same start shows that it still runs. A refused connection shows that
 /// it has ended, unless other runs are still open there: an overloaded server refuses
 /// connections, too.
 async fn probe(core: &NodeCore, start: &EndpointStart) -> BreakCause {
@@ -151,8 +151,8 @@
     let path = path.unwrap_or_else(|| "/".to_owned());
     let until = Instant::now() + PROBE_TIMEOUT;
     loop {
-        let answer = timeout_at(until, core.inbound.check_health(&path)).await;
-        match answer {
+        let probe_result = timeout_at(until, core.inbound.check_health(&path)).await;
+        match probe_result {
             Ok(Ok(health)) => {
                 return match health.instance {
                     Some(instance) if instance == start.instance() => BreakCause::AnswerLost,
--- a/crates/node/src/delegation/delegated_call.rs
+++ b/crates/node/src/delegation/delegated_call.rs
@@ -72,14 +72,14 @@
     },
     /// The lease has ended.
     NoLease,
-    /// The call failed, or wasn't made. A write may have taken effect all the same.
+    /// The call failed, or wasn't made. A write may have taken effect nevertheless.
     Failed,
 }
 
 impl DelegatedCall {
-    /// Makes the delegated call for a write.
+    /// Creates the delegated call for a write.
     ///
-    /// None when the value isn't UTF-8 or has no lease.
+    /// Returns none when the value isn't UTF-8 or has no lease.
     pub fn from_write(write: &StoreWrite<'_>) -> Option<Self> {
         let value = match write.change {
             StoreChange::Put { value, lease } => {
@@ -100,7 +100,8 @@
 
     /// Returns whether a node makes this call for another one.
     ///
-    /// Only announcements and short leases are allowed.
+    /// Allowed are leases of up to 30 s, renewals of any lease, and writes and removals of
+    /// announcements.
     ///
     /// # Examples
     ///
@@ -128,12 +129,12 @@
     ///
     /// # Errors
     ///
-    /// When the store can't be reached or refuses the call. A conflict and an ended lease are
+    /// Fails when the store can't be reached or refuses the call. A conflict and an ended lease are
     /// outcomes.
     pub async fn run(&self, store: &impl MetaStore) -> Result<DelegatedOutcome, StoreError> {
         let result = match self {
             Self::Grant { ttl_ms } => {
-                let grant = store.grant(Duration::from_millis(*ttl_ms)).await;
+                let grant = store.grant_lease(Duration::from_millis(*ttl_ms)).await;
                 grant.map(|grant| DelegatedOutcome::Granted {
                     lease: grant.lease.number,
                     era: grant.lease.era,
@@ -141,7 +142,7 @@
                 })
             }
             Self::Renew { lease, era } => {
-                let renewed = store.renew(lease_id(*era, *lease)).await;
+                let renewed = store.renew_lease(lease_id(*era, *lease)).await;
                 renewed.map(|()| DelegatedOutcome::Renewed)
             }
             Self::Write {
--- a/crates/node/src/delegation/delegated_call_queue.rs
+++ b/crates/node/src/delegation/delegated_call_queue.rs
@@ -11,9 +11,9 @@
 /// Maximum number of delegated calls that wait. Each node that has lost the store sends one
 /// every two seconds, and a call takes milliseconds.
 const WAITING_CALLS_MAX: usize = 64;
-/// Maximum time since the store's last answer that counts as recent. A delegated call that
+/// Maximum age of the store's last response that counts as recent. A delegated call that
 /// fails later than that means that this node has lost the store, too.
-const RECENT_ANSWER_TIME: Duration = Duration::from_millis(500);
+const RECENT_RESPONSE_AGE_MAX: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct WaitingCall {
@@ -31,7 +31,7 @@
 impl DelegatedCallQueue {
     /// Queues a delegated call and returns the receiver of its outcome.
     ///
-    /// None when too many calls wait.
+    /// Returns none when too many calls wait.
     pub fn submit(&self, call: DelegatedCall) -> Option<oneshot::Receiver<DelegatedOutcome>> {
         let mut waiting = self.waiting.borrow_mut();
         if waiting.len() >= WAITING_CALLS_MAX {
@@ -46,7 +46,7 @@
         Some(outcome)
     }
 
-    fn take(&self) -> Option<WaitingCall> {
+    fn take_next(&self) -> Option<WaitingCall> {
         self.waiting.borrow_mut().pop_front()
     }
 }
@@ -57,7 +57,7 @@
         while let Some(WaitingCall {
             call,
             outcome_sender,
-        }) = core.delegated_calls.take()
+        }) = core.delegated_calls.take_next()
         {
             let outcome = run(&core, &*store, &call).await;
             // The node that sent the call may have given up meanwhile.
@@ -68,19 +68,19 @@
 }
 
 async fn run(core: &NodeCore, store: &impl MetaStore, call: &DelegatedCall) -> DelegatedOutcome {
-    if !core.store_access.borrow().is_open() {
+    if !core.store_access.borrow().allows_calls() {
         return DelegatedOutcome::Failed;
     }
     core.metrics.record_store_call("errand");
     match call.run(store).await {
         Ok(outcome) => {
-            core.store_answered();
+            core.record_store_response();
             outcome
         }
         Err(cause) => {
             let age = core.relay_selector.borrow().store_age(core.clock.now());
-            if age > RECENT_ANSWER_TIME {
-                core.store_failed("errand", &cause);
+            if age > RECENT_RESPONSE_AGE_MAX {
+                core.record_store_failure("errand", &cause);
             } else {
                 warn!(core.log.logger(), "delegated call failed"; "cause" => %cause);
             }
--- a/crates/node/src/delegation/delegating_store.rs
+++ b/crates/node/src/delegation/delegating_store.rs
@@ -38,18 +38,18 @@
 
 /// Store access for this node's announcement.
 ///
-/// The node calls the store itself, or has another node make the calls while the store
-/// doesn't answer this one.
+/// The node calls the store itself. While it can't reach the store, it has another node
+/// make the calls.
 #[derive(Debug)]
 pub struct DelegatingStore<S> {
     core: Rc<NodeCore>,
     store: Rc<S>,
-    /// Node that made the last delegated call.
+    /// Node that last made a delegated call for this node; it is asked first.
     delegate: Cell<Option<SocketAddr>>,
 }
 
 impl<S: MetaStore> DelegatingStore<S> {
-    /// Makes the access of a node to `store`.
+    /// Creates the access of a node to `store`.
     pub const fn new(core: Rc<NodeCore>, store: Rc<S>) -> Self {
         Self {
             core,
@@ -60,18 +60,19 @@
 
     /// Returns whether the node now calls the store itself.
     pub fn is_direct(&self) -> bool {
-        self.core.store_access.borrow().is_open()
+        self.core.store_access.borrow().allows_calls()
     }
 
     /// Acquires a lease.
     ///
     /// # Errors
     ///
-    /// When the store can't be reached or refuses the call.
-    pub async fn grant(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
+    /// Fails when the store refuses the call, or when neither this node nor another one can
+    /// make it.
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
         if self.is_direct() {
             self.core.metrics.record_store_call("grant");
-            let grant = self.store.grant(ttl).await;
+            let grant = self.store.grant_lease(ttl).await;
             return self.record_result(grant);
         }
         let ttl_ms = ttl.as_millis() as u64;
@@ -91,11 +92,12 @@
     ///
     /// # Errors
     ///
-    /// As [`MetaStore::renew`].
-    pub async fn renew(&self, lease: LeaseId) -> Result<(), StoreError> {
+    /// Fails as [`MetaStore::renew_lease`], or with [`StoreError::NoAnswer`] when no other node
+    /// could make the call.
+    pub async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         if self.is_direct() {
             self.core.metrics.record_store_call("renew");
-            let renewed = self.store.renew(lease).await;
+            let renewed = self.store.renew_lease(lease).await;
             return self.record_result(renewed);
         }
         let delegated_call = DelegatedCall::Renew {
@@ -112,7 +114,8 @@
     ///
     /// # Errors
     ///
-    /// As [`MetaStore::commit`].
+    /// Fails as [`MetaStore::commit`], or with [`StoreError::NoAnswer`] when no other node
+    /// could make the call.
     pub async fn commit(
         &self,
         write: StoreWrite<'_>,
@@ -143,13 +146,13 @@
 
     fn record_result<T>(&self, result: Result<T, StoreError>) -> Result<T, StoreError> {
         if result.is_ok() {
-            self.core.store_answered();
+            self.core.record_store_response();
         }
         result
     }
 
-    /// Sends a delegated call to a few nodes in turn. The node that made the last one comes
-    /// first.
+    /// Sends a delegated call to a few nodes in turn. The node that made the last delegated
+    /// call comes first.
     async fn send(&self, delegated_call: &DelegatedCall) -> Result<DelegatedOutcome, StoreError> {
         for peer_addr in self.delegates() {
             match self.send_to(peer_addr, delegated_call).await {
@@ -172,13 +175,15 @@
     }
 
     fn delegates(&self) -> Vec<SocketAddr> {
-        let last = self.delegate.get();
+        let last_delegate = self.delegate.get();
         let fleet = self.core.fleet.borrow();
-        let own = self.core.settings.peer_addr;
+        let own_addr = self.core.settings.peer_addr;
         let others = fleet.reachable(self.core.clock.now());
-        let others = others.filter(|peer_addr| *peer_addr != own && Some(*peer_addr) != last);
+        let others =
+            others.filter(|peer_addr| *peer_addr != own_addr && Some(*peer_addr) != last_delegate);
         let sampled = others.sample(&mut rand::rng(), DELEGATES_MAX);
-        last.into_iter()
+        last_delegate
+            .into_iter()
             .chain(sampled)
             .take(DELEGATES_MAX)
             .collect()
@@ -193,11 +198,11 @@
             method: Method::POST,
             path: DELEGATED_CALL_PATH,
             body: serde_json::to_vec(delegated_call)?.into(),
-            time: DELEGATED_CALL_TIMEOUT,
+            timeout: DELEGATED_CALL_TIMEOUT,
         };
-        let idle_time = self.core.settings.peer_idle_timeout;
+        let idle_timeout = self.core.settings.peer_idle_timeout;
         let response_body = call
-            .send(&self.core.peer_connections, peer_addr, idle_time)
+            .send(&self.core.peer_connections, peer_addr, idle_timeout)
             .await?;
         Ok(serde_json::from_slice(&response_body)?)
     }
--- a/crates/node/src/discovery/announcement_key.rs
+++ b/crates/node/src/discovery/announcement_key.rs
@@ -18,7 +18,7 @@
 }
 
 impl AnnouncementKey {
-    /// Makes the key of the node at `peer_addr` in a data centre.
+    /// Creates the key of the node at `peer_addr` in a data centre.
     ///
     /// # Examples
     ///
@@ -42,9 +42,9 @@
     /// names are cut. Two data centres may therefore share a prefix, but each announcement
     /// names its own data centre.
     pub fn prefix(data_centre: &str) -> String {
-        let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
         let name = data_centre.chars().take(DATA_CENTRE_MAX_CHARS);
-        let name: String = name.map(|c| if plain(c) { c } else { '_' }).collect();
+        let name: String = name.map(|c| if is_allowed(c) { c } else { '_' }).collect();
         format!("{MEMBER_PREFIX}{name}/")
     }
 
@@ -55,7 +55,7 @@
 
     /// Returns the address of the node that announces itself under `key`.
     ///
-    /// None when it isn't the key of an announcement.
+    /// Returns none when `key` isn't the key of an announcement.
     pub fn peer_addr_in(key: &str) -> Option<SocketAddr> {
         let (_, peer_addr) = key.strip_prefix(MEMBER_PREFIX)?.rsplit_once('/')?;
         peer_addr.parse().ok()
--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -11,45 +11,44 @@
 use super::own_key;
 use crate::{
     delegation::DelegatingStore,
-    inbound::LocalEndpoint,
+    inbound::CurrentStart,
     member::{MemberRecord, MemberState},
     node_core::NodeCore,
     store::{LeaseId, MetaStore, Revision, StoreEra, StoreError, StoreWrite},
 };
 
-/// Time after which the store removes an announcement that isn't renewed. Nodes that send
+/// Time after which the store removes an announcement whose lease isn't renewed. Nodes that send
 /// requests to a node learn sooner that it is gone; the lease is for those that don't.
 const LEASE_TIME: Duration = Duration::from_secs(6);
 /// Time between renewals of the lease. Two may fail before the lease ends.
-const RENEW_PERIOD: Duration = Duration::from_secs(2);
+const RENEW_INTERVAL: Duration = Duration::from_secs(2);
 
-/// First pause after a round in which no other node reached the store.
+/// First pause after a round of calls in which no other node reached the store.
 const RETRY_PAUSE_MIN: Duration = Duration::from_millis(500);
-/// Longest pause between such rounds. Three fit into the time of a lease. While no node
+/// Longest pause between such rounds of calls. Three fit into the time of a lease. While no node
 /// reaches the store, each round costs every node two requests.
 const RETRY_PAUSE_MAX: Duration = Duration::from_secs(2);
 
-/// What this node knows of its announcement in the store.
+/// This node's knowledge of its announcement in the store.
 #[derive(Debug, Default)]
 struct Announcement {
     lease: Option<LeaseId>,
     /// Revision of the key that the next write replaces; 0 when there is no key.
     revision: Revision,
-    /// Latest revision of the key that was applied here. The store's answer to a write is
-    /// newer than whatever the watch delivered before it.
+    /// Latest revision of the key that was applied here. The store's response to a write is newer
+    /// than whatever the watch delivered before it.
     seen_revision: Revision,
     record: Option<MemberRecord>,
 }
 
 /// Keeps this node's announcement in the store until the node stops.
 ///
-/// The lease may lapse while the store is away, the store may lose the key without notice,
-/// and a write may take effect without an answer or seconds later. The node therefore
-/// watches its own key like any other, and writes again what is missing there. Every write
-/// names the revision that it replaces, so a delayed write finds another revision and
-/// fails.
+/// The lease may end while the store is unavailable, the store may lose the key without notice, and
+/// a write may take effect without a response or seconds later. The node therefore watches its own
+/// key like any other, and writes again what is missing there. Every write names the revision that
+/// it replaces, so a delayed write finds another revision and fails.
 ///
-/// While the store doesn't answer this node, another one makes its calls ([`DelegatingStore`]).
+/// While this node can't reach the store, another node makes its calls ([`DelegatingStore`]).
 pub async fn keep_announced(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     let delegating_store = DelegatingStore::new(Rc::clone(&core), store);
     let mut announcement = Announcement::default();
@@ -69,7 +68,7 @@
                     () = sleep_until(renew_at) => {}
                 }
             }
-            Err(failure) if is_direct => core.store_failed("announcement", &failure),
+            Err(failure) if is_direct => core.record_store_failure("announcement", &failure),
             Err(failure) => {
                 info!(core.log.logger(), "announcement not updated";
                     "cause" => %failure, "again_ms" => pause.as_millis() as u64);
@@ -81,7 +80,7 @@
 }
 
 impl Announcement {
-    /// Makes the calls that are due, if any.
+    /// Makes the store calls that are due, if any.
     async fn step(
         &mut self,
         core: &NodeCore,
@@ -93,13 +92,13 @@
         self.apply_watched(core);
         self.enter_era(core.eras.latest());
         let Some(desired) = desired else {
-            *renew_at = Instant::now() + RENEW_PERIOD;
+            *renew_at = Instant::now() + RENEW_INTERVAL;
             return self.withdraw(core, delegating_store, key.as_str()).await;
         };
         let lease = match self.lease {
             Some(lease) if Instant::now() < *renew_at => lease,
-            Some(lease) => match delegating_store.renew(lease).await {
-                Err(StoreError::NoLease) => self.grant(delegating_store).await?,
+            Some(lease) => match delegating_store.renew_lease(lease).await {
+                Err(StoreError::NoLease) => self.grant_lease(delegating_store).await?,
                 renewed => {
                     renewed?;
                     lease
@@ -108,9 +107,9 @@
             None => self.resume_lease(core, delegating_store).await?,
         };
         if Instant::now() >= *renew_at {
-            *renew_at = Instant::now() + RENEW_PERIOD;
+            *renew_at = Instant::now() + RENEW_INTERVAL;
         }
-        if self.stands_for(&desired) {
+        if self.covers(&desired) {
             return Ok(());
         }
         self.write(core, delegating_store, key.as_str(), desired, lease)
@@ -125,7 +124,7 @@
         }
     }
 
-    /// Renews the lease of this node's earlier process, or asks for a new one.
+    /// Renews the lease of this node's earlier process, or requests a new one.
     ///
     /// Nodes restart more often than their backend servers do, and many at once. A new lease
     /// and a new announcement each cost a call, and every other node gets the change.
@@ -134,31 +133,31 @@
         core: &NodeCore,
         delegating_store: &DelegatingStore<impl MetaStore>,
     ) -> Result<LeaseId, StoreError> {
-        let Some(lease) = core.own_lease.get() else {
-            return self.grant(delegating_store).await;
+        let Some(lease) = core.earlier_lease.get() else {
+            return self.grant_lease(delegating_store).await;
         };
-        let renewed = delegating_store.renew(lease).await;
+        let renewed = delegating_store.renew_lease(lease).await;
         if let Err(StoreError::NoLease) = renewed {
-            core.own_lease.set(None);
-            return self.grant(delegating_store).await;
+            core.earlier_lease.set(None);
+            return self.grant_lease(delegating_store).await;
         }
         renewed?;
-        core.own_lease.set(None);
+        core.earlier_lease.set(None);
         let fleet = core.fleet.borrow();
-        let member = fleet.at(core.settings.peer_addr);
+        let member = fleet.member_at(core.settings.peer_addr);
         let present = member.filter(|member| !member.has_lapsed());
         self.record = present.map(|member| member.record.clone());
         self.lease = Some(lease);
         Ok(lease)
     }
 
-    async fn grant(
+    async fn grant_lease(
         &mut self,
         delegating_store: &DelegatingStore<impl MetaStore>,
     ) -> Result<LeaseId, StoreError> {
         self.lease = None;
         self.record = None;
-        let grant = delegating_store.grant(LEASE_TIME).await?;
+        let grant = delegating_store.grant_lease(LEASE_TIME).await?;
         self.lease = Some(grant.lease);
         Ok(grant.lease)
     }
@@ -238,10 +237,10 @@
         }
     }
 
-    /// Notifies those who wait for the announcement, if the store holds the desired state.
+    /// Notifies the tasks that wait for the announcement, if the store holds the desired one.
     fn notify_if_stored(&self, core: &NodeCore) {
         let stored = match desired(core) {
-            Some(desired) => self.stands_for(&desired),
+            Some(desired) => self.covers(&desired),
             None => self.record.is_none(),
         };
         if stored {
@@ -250,16 +249,16 @@
         }
     }
 
-    /// Returns whether the stored announcement says what other nodes need of `desired`.
-    fn stands_for(&self, desired: &MemberRecord) -> bool {
+    /// Returns whether the stored announcement tells other nodes the same as `desired`.
+    fn covers(&self, desired: &MemberRecord) -> bool {
         let record = self.record.as_ref();
-        record.is_some_and(|record| record.stands_for(desired))
+        record.is_some_and(|record| record.covers(desired))
     }
 
     /// Applies what the watch has delivered about the node's own key.
     fn apply_watched(&mut self, core: &NodeCore) {
         let fleet = core.fleet.borrow();
-        let Some(member) = fleet.at(core.settings.peer_addr) else {
+        let Some(member) = fleet.member_at(core.settings.peer_addr) else {
             return;
         };
         if member.revision() <= self.seen_revision {
@@ -289,7 +288,7 @@
 /// Returns the announcement that the store should hold; none when it should hold none.
 fn desired(core: &NodeCore) -> Option<MemberRecord> {
     let tracker = core.inbound.tracker().borrow();
-    let current: &LocalEndpoint = tracker.current()?;
+    let current: &CurrentStart = tracker.current()?;
     if current.deregistered {
         return None;
     }
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -23,7 +23,7 @@
 /// seconds.
 const GATHER_TIME: Duration = Duration::from_millis(400);
 /// Time between checks whether this node has to watch the store.
-const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Watches the configuration in the store while this node has that duty.
 pub async fn watch_config(core: Rc<NodeCore>, store: Rc<impl MetaStore>, source: ConfigSource) {
@@ -31,7 +31,7 @@
     loop {
         if !core.watches_store() {
             after = None;
-            let _idle = timeout(IDLE_CHECK_PERIOD, core.watch_duty_changed.notified()).await;
+            let _idle = timeout(IDLE_CHECK_INTERVAL, core.watch_duty_changed.notified()).await;
             continue;
         }
         core.until_store_back().await;
@@ -43,12 +43,12 @@
         };
         match step {
             Ok(revision) => {
-                core.store_answered();
+                core.record_store_response();
                 after = Some(revision);
                 sleep(GATHER_TIME).await;
             }
             Err(StoreError::HistoryGone) => after = None,
-            Err(failure) => core.store_failed("configuration", &failure),
+            Err(failure) => core.record_store_failure("configuration", &failure),
         }
     }
 }
@@ -91,11 +91,12 @@
     Ok(batch.revision.max(after))
 }
 
-/// Puts a configuration in force; an invalid one leaves the present one in force.
+/// Puts a configuration in force; an invalid one leaves the current one in force.
 fn adopt(core: &NodeCore, source: ConfigSource, item: &StoreItem) {
-    let before = core.config.borrow().clone();
+    let current_config = core.config.borrow().clone();
     let input = (source.parse)(&item.value);
-    let checked = input.and_then(|input| MeshConfig::checked(input.into(), before.as_deref()));
+    let checked =
+        input.and_then(|input| MeshConfig::checked(input.into(), current_config.as_deref()));
     match checked {
         Ok(config) => drop(core.adopt_config(config, "store")),
         Err(reason) => error!(core.log.logger(), "configuration refused";
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -28,28 +28,28 @@
 /// Pause after a change in which further ones are collected. Each watch costs a call. Until
 /// the change arrives here, the inbound proxies refuse requests that come too late.
 const GATHER_TIME: Duration = Duration::from_millis(250);
-/// Time between listings while a new fleet announces itself. Heartbeats come every second
-/// and a half.
-const SETTLE_LIST_PERIOD: Duration = Duration::from_millis(500);
+/// Time between listings while a fleet starts for the first time and announces itself.
+/// Heartbeats come every second and a half.
+const FIRST_START_LIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between checks whether this node has to watch the store.
-const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Watches the announcements and crashes in the store while this node has that duty.
 ///
-/// First lists the members of its data centre, unless the whole fleet starts for the first
-/// time.
+/// The node first lists the members of its data centre, unless the whole fleet starts for
+/// the first time.
 pub async fn watch_members(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
     loop {
         if !core.knows_local_members() {
             core.until_store_back().await;
             match list_local_members(&core, &*store).await {
-                Ok(()) => core.local_members_listed(),
-                Err(failure) => core.store_failed("members", &failure),
+                Ok(()) => core.record_local_members_listed(),
+                Err(failure) => core.record_store_failure("members", &failure),
             }
             continue;
         }
         if !core.watches_store() {
-            let _idle = timeout(IDLE_CHECK_PERIOD, core.watch_duty_changed.notified()).await;
+            let _idle = timeout(IDLE_CHECK_INTERVAL, core.watch_duty_changed.notified()).await;
             continue;
         }
         core.until_store_back().await;
@@ -62,31 +62,31 @@
         };
         match step {
             Ok(()) => {
-                core.store_answered();
-                core.updates.notify_waiters();
+                core.record_store_response();
+                core.update_arrived.notify_waiters();
                 sleep(if settling {
-                    SETTLE_LIST_PERIOD
+                    FIRST_START_LIST_INTERVAL
                 } else {
                     GATHER_TIME
                 })
                 .await;
             }
-            Err(failure) => core.store_failed("members", &failure),
+            Err(failure) => core.record_store_failure("members", &failure),
         }
     }
 }
 
-/// Reads the announcements of this data centre. One of them is that of the node to ask for
-/// all others.
+/// Reads the announcements of this data centre. One of these nodes becomes the relay, which
+/// sends all others.
 async fn list_local_members(core: &NodeCore, store: &impl MetaStore) -> Result<(), StoreError> {
     core.metrics.record_store_call("list-home");
     let prefix = AnnouncementKey::prefix(&core.settings.data_centre);
     let list = store.list(&prefix, ReadConsistency::Linearizable).await?;
     let present: Vec<SocketAddr> = apply_items(core, &list.items);
     let key = own_key(core);
-    let own = list.items.iter().find(|item| item.key == key.as_str());
-    core.own_lease.set(own.and_then(|item| item.lease));
-    core.store_answered();
+    let own_item = list.items.iter().find(|item| item.key == key.as_str());
+    core.earlier_lease.set(own_item.and_then(|item| item.lease));
+    core.record_store_response();
     if !present.contains(&core.settings.peer_addr) {
         core.announcement_changed.notify_one();
     }
@@ -101,7 +101,7 @@
     let present: HashSet<SocketAddr> = apply_items(core, &list.items).into_iter().collect();
     let now = core.clock.now();
     let mut fleet = core.fleet.borrow_mut();
-    fleet.listed(now, list.revision, |peer_addr| present.contains(peer_addr));
+    fleet.apply_list(now, list.revision, |peer_addr| present.contains(peer_addr));
     drop(fleet);
     if !present.contains(&core.settings.peer_addr) {
         core.announcement_changed.notify_one();
@@ -152,8 +152,8 @@
 ///
 /// Another program may have written the key: fields are missing or have another type, the
 /// value isn't an announcement, or it replaced that of a member. Such an item gives no
-/// address. The member whose announcement it replaced is treated as if that was removed,
-/// and its own node writes it again. The other items are still applied.
+/// address. The announcement that it replaced is treated as removed, and its own node
+/// writes it again. The other items are still applied.
 fn apply_item(core: &NodeCore, item: &StoreItem, member_log: &mut MemberLog) -> Option<SocketAddr> {
     if item.key.starts_with(CRASH_PREFIX) {
         apply_crashes(core, item);
@@ -174,17 +174,19 @@
     None
 }
 
-/// Applies the absence of an announcement at a key. A key under which the node wouldn't
+/// Records that the announcement at a key is missing. A key under which its node wouldn't
 /// announce itself has no effect on a member.
 fn apply_removal(core: &NodeCore, key: &str, revision: Revision) {
     let Some(peer_addr) = AnnouncementKey::peer_addr_in(key) else {
         return;
     };
-    let known = {
+    let announced_key = {
         let fleet = core.fleet.borrow();
-        fleet.at(peer_addr).map(|member| key_of(&member.record))
+        fleet
+            .member_at(peer_addr)
+            .map(|member| key_of(&member.record))
     };
-    if known.is_none_or(|known| known.as_str() == key) {
+    if announced_key.is_none_or(|announced_key| announced_key.as_str() == key) {
         apply_lapse(core, peer_addr, revision);
     }
 }
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -1,4 +1,4 @@
-//! Probes a lost store until it answers again.
+//! Probes an unavailable store until it responds again.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
     store::{MetaStore, ReadConsistency},
 };
 
-/// Probes the store after each failed call until it answers.
+/// Probes the store after each failed call until it responds.
 ///
 /// The task runs until the node ends.
 pub async fn probe_store(core: Rc<NodeCore>, store: Rc<impl MetaStore>) {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Waits until a probe is due; returns false if the store is back.
+/// Waits until a probe is due; returns false if the store may be called again.
 ///
 /// The pause is computed again whenever the node's duty changes, since a node that loses
 /// its relay must probe the store itself soon.
@@ -45,13 +45,13 @@
     let started = Instant::now();
     let share: f64 = rand::rng().random();
     loop {
-        if core.store_access.borrow().is_open() {
+        if core.store_access.borrow().allows_calls() {
             return false;
         }
         let pause = core
             .store_access
             .borrow()
-            .pause(core.store_probe_duty(), share);
+            .probe_pause(core.store_probe_duty(), share);
         let due = started + pause;
         if timeout_at(due, core.watch_duty_changed.notified())
             .await
--- a/crates/node/src/discovery/update_handler.rs
+++ b/crates/node/src/discovery/update_handler.rs
@@ -12,30 +12,30 @@
     response_body::{ResponseBody, empty_response, json_response},
 };
 
-/// Path at which a node answers requests for updates.
+/// Path at which a node handles requests for updates.
 pub const UPDATE_PATH: &str = "/.geranium/follow";
 
-/// Answers requests for updates of the configuration, the members and the crashes.
+/// Handles other nodes' requests for updates of the configuration, members and crashes.
 #[derive(Debug, Clone)]
 pub struct UpdateHandler {
     core: Rc<NodeCore>,
 }
 
 impl UpdateHandler {
-    /// Makes the handler of a node.
+    /// Creates the handler of a node.
     pub const fn new(core: Rc<NodeCore>) -> Self {
         Self { core }
     }
 
-    /// Answers as soon as there is an update, or when the request's wait ends.
+    /// Responds as soon as there is an update, or when the request's wait ends.
     ///
     /// A query that can't be parsed gets status 400.
-    pub async fn answer(&self, uri: &Uri) -> Response<ResponseBody> {
+    pub async fn handle(&self, uri: &Uri) -> Response<ResponseBody> {
         let request = uri.query().unwrap_or_default().parse::<UpdateRequest>();
         let Ok(request) = request else {
             return empty_response(StatusCode::BAD_REQUEST);
         };
-        // A node that waits uses this one as its relay. One that doesn't asks only once.
+        // A node that waits uses this one as its relay; a node that doesn't wait asks only once.
         if !request.wait.is_zero() {
             self.core.record_update_request();
         }
@@ -49,13 +49,13 @@
     async fn wait_for_update(&self, request: UpdateRequest) -> UpdateResponse {
         let until = Instant::now() + request.wait;
         loop {
-            let notified = self.core.updates.notified();
+            let notified = self.core.update_arrived.notified();
             let response = self.update_for(request);
             // At revision 0 a starting node knows only the members of its own data centre.
             let members = &response.members;
             let no_members = members.is_empty() || members.revision == 0;
             let empty = response.config.is_none() && no_members && response.crashes.is_empty();
-            let changed = response.store_lost != request.lost_known;
+            let changed = response.store_lost != request.knows_store_lost;
             if !empty || changed || Instant::now() >= until {
                 return response;
             }
--- a/crates/node/src/distribution/config_history.rs
+++ b/crates/node/src/distribution/config_history.rs
@@ -5,11 +5,11 @@
 use super::{ConfigUpdate, PackedConfig};
 use crate::config::{ConfigDelta, ConfigInput, ConfigVersion};
 
-/// Number of versions kept.
+/// Largest number of versions that the history keeps.
 ///
 /// The configuration changes at most five times a second for some seconds, and other nodes
 /// request updates within one or two seconds.
-const MAX_VERSIONS: usize = 12;
+const VERSIONS_MAX: usize = 12;
 
 /// Recent configurations, from which updates for other nodes are computed.
 ///
@@ -26,7 +26,7 @@
     ///
     /// The oldest version is dropped if there are too many.
     pub fn push(&mut self, input: Rc<ConfigInput>) {
-        if self.versions.len() == MAX_VERSIONS {
+        if self.versions.len() == VERSIONS_MAX {
             self.versions.pop_front();
         }
         self.versions.push_back(input);
@@ -35,9 +35,9 @@
 
     /// Returns the update for a node that holds `version`.
     ///
-    /// That is a delta if `version` is still in the history, and the whole newest
-    /// configuration otherwise. A node that holds the newest version or a later one needs no
-    /// update, and gets `None`.
+    /// The update is a delta if `version` is still in the history, and the whole newest
+    /// configuration otherwise. A node that holds the newest version or a later one needs
+    /// no update, and gets `None`.
     ///
     /// # Errors
     ///
--- a/crates/node/src/distribution/relay_selector.rs
+++ b/crates/node/src/distribution/relay_selector.rs
@@ -11,7 +11,7 @@
 /// Time for which a node that failed as a relay isn't used again.
 const RELAY_EXCLUSION_TIME: Duration = Duration::from_secs(5);
 /// Number of cut-off nodes from which on the store counts as unavailable to all.
-const STORE_DOWN_NODES: usize = 2;
+const CUT_OFF_NODES_MIN: usize = 2;
 /// Time for which a node watches the store after an update request.
 ///
 /// A node repeats its request to its relay every two seconds.
@@ -26,10 +26,10 @@
     Node(SocketAddr),
 }
 
-/// A node's contact with the store, as that node reports it.
+/// How well a node reaches the store, as that node reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreReachability {
-    /// Time since the store last answered the node.
+    /// Time since the store last responded to the node.
     pub age: Duration,
     /// Whether the node has lost the store.
     pub lost: bool,
@@ -53,7 +53,7 @@
     cut_off_until: HashMap<SocketAddr, Duration>,
     /// Until when this node watches the store on behalf of others.
     watch_until: Duration,
-    /// When the store last answered this node.
+    /// When the store last responded to this node.
     store_answered_at: Duration,
     store_lost: bool,
     /// Whether the relay that responded last is cut off from the store.
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Records that the store answered, and returns whether it was lost before.
-    pub fn store_answered(&mut self, now: Duration) -> bool {
+    /// Records that the store responded to this node, and returns whether it was lost before.
+    pub fn record_store_response(&mut self, now: Duration) -> bool {
         self.store_answered_at = now;
         std::mem::take(&mut self.store_lost)
     }
@@ -87,12 +87,12 @@
         !std::mem::replace(&mut self.store_lost, true)
     }
 
-    /// Returns whether this node has lost the store.
+    /// Returns whether this node has lost the store: a probe has failed since its last response.
     pub const fn has_lost_store(&self) -> bool {
         self.store_lost
     }
 
-    /// Returns the time since the store last answered this node.
+    /// Returns the time since the store last responded to this node.
     pub fn store_age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.store_answered_at)
     }
@@ -108,7 +108,7 @@
             .insert(peer_addr, now + RELAY_EXCLUSION_TIME);
     }
 
-    /// Records the contact with the store that the node at `peer_addr` reported.
+    /// Records how well the node at `peer_addr` reaches the store, as it reported.
     ///
     /// A node that is cut off from the store is skipped for a while, unless this node is cut
     /// off as well. Returns whether so many nodes are cut off that this node should probe the
@@ -118,16 +118,16 @@
         &mut self,
         now: Duration,
         peer_addr: SocketAddr,
-        contact: StoreReachability,
+        reachability: StoreReachability,
     ) -> bool {
-        let cut_off = contact.lost || contact.age > CUT_OFF_AGE;
+        let cut_off = reachability.lost || reachability.age > CUT_OFF_AGE;
         self.relay_cut_off = cut_off;
         if !cut_off || self.is_cut_off(now) {
             return false;
         }
         self.cut_off_until
             .insert(peer_addr, now + RELAY_EXCLUSION_TIME);
-        self.cut_off_nodes(now) >= STORE_DOWN_NODES
+        self.cut_off_nodes(now) >= CUT_OFF_NODES_MIN
     }
 
     /// Returns whether the relay that responded last is cut off from the store.
@@ -141,14 +141,14 @@
 
     /// Returns whether another node uses this one as its relay.
     ///
-    /// If so, this node watches the store.
+    /// A node that is used as a relay watches the store.
     pub fn has_recent_update_request(&self, now: Duration) -> bool {
         now < self.watch_until
     }
 
     /// Returns whether the store seems unavailable to all nodes, not only to some.
-    fn is_store_down(&self, now: Duration) -> bool {
-        self.is_cut_off(now) && self.cut_off_nodes(now) >= STORE_DOWN_NODES
+    fn is_store_unavailable(&self, now: Duration) -> bool {
+        self.is_cut_off(now) && self.cut_off_nodes(now) >= CUT_OFF_NODES_MIN
     }
 
     fn cut_off_nodes(&self, now: Duration) -> usize {
@@ -160,9 +160,9 @@
     ///
     /// While the store is unavailable to all nodes, a cut-off node may be selected, too: the
     /// first of them probes the store, and tells the others when it is available again.
-    pub fn choose(&self, now: Duration, relay_candidates: &[&MemberRecord]) -> UpdateSource {
+    pub fn select(&self, now: Duration, relay_candidates: &[&MemberRecord]) -> UpdateSource {
         let cut_off = self.is_cut_off(now);
-        let skips_cut_off = !self.is_store_down(now);
+        let skips_cut_off = !self.is_store_unavailable(now);
         let is_excluded = |exclusions: &HashMap<SocketAddr, Duration>, peer_addr| {
             exclusions.get(peer_addr).is_some_and(|&until| now < until)
         };
--- a/crates/node/src/distribution/store_access.rs
+++ b/crates/node/src/distribution/store_access.rs
@@ -20,7 +20,7 @@
 /// The relay tells this node when the store is available again.
 const PROBE_PAUSE_BY_RELAY: Duration = Duration::from_secs(8);
 
-/// Which node probes a store that this node has lost.
+/// Which node probes the store after this node has lost it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreProbeDuty {
     /// This node, for itself and for the nodes whose relay it is.
@@ -29,32 +29,32 @@
     Alone,
     /// The relay, which has lost the store as well.
     ///
-    /// It tells this node when the store is available again.
+    /// The relay tells this node when the store is available again.
     ByRelay,
 }
 
 /// Decides whether any part of a node may call the store.
 ///
-/// The store may be unavailable, or refuse this node's calls, for seconds, and each call is
-/// billed. After a failed call, no part of the node calls the store until a cheap probe has
-/// been answered. The pauses between probes grow, and are randomized so that the nodes don't
-/// probe at the same moment. A node with a relay probes rarely: otherwise the number of probes
-/// would grow with the size of the fleet times the length of the outage.
+/// The store may be unavailable, or refuse this node's calls, for seconds, and each call is billed.
+/// After a failed call, no part of the node calls the store until a cheap probe has succeeded. The
+/// pauses between probes grow, and are randomized so that the nodes don't probe at the same moment.
+/// A node with a relay probes rarely: otherwise the number of probes would grow with the size of
+/// the fleet times the length of the outage.
 #[derive(Debug, Default)]
 pub struct StoreAccess {
     /// Failed calls and probes since the last successful call.
     failures: u32,
-    /// Whether calls wait until a probe is answered.
+    /// Whether calls wait until a probe succeeds.
     suspended: bool,
 }
 
 impl StoreAccess {
     /// Returns whether the store may be called.
-    pub const fn is_open(&self) -> bool {
+    pub const fn allows_calls(&self) -> bool {
         !self.suspended
     }
 
-    /// Records that a call was answered.
+    /// Records that a call succeeded.
     ///
     /// Returns whether calls or probes had failed before.
     pub fn record_success(&mut self) -> bool {
@@ -67,13 +67,13 @@
     ///
     /// Returns whether it is the first failure since the last successful call.
     pub fn record_failure(&mut self) -> bool {
-        let first = self.failures == 0;
+        let is_first = self.failures == 0;
         self.failures = self.failures.saturating_add(1);
         self.suspended = true;
-        first
+        is_first
     }
 
-    /// Suspends calls until a probe is answered, because other nodes have lost the store.
+    /// Suspends calls until a probe succeeds, because other nodes have lost the store.
     ///
     /// Returns whether calls weren't suspended already.
     pub fn recheck(&mut self) -> bool {
@@ -85,7 +85,7 @@
         true
     }
 
-    /// Records that a probe was answered, and allows calls again.
+    /// Records that a probe succeeded, and allows calls again.
     ///
     /// Calls may still fail, as some faults of the store don't affect reads.
     pub fn record_probe_success(&mut self) {
@@ -104,13 +104,13 @@
     ///
     /// let mut access = StoreAccess::default();
     /// assert!(access.record_failure());
-    /// assert!(!access.is_open());
-    /// assert!(access.pause(StoreProbeDuty::Own, 1.0) <= Duration::from_millis(100));
+    /// assert!(!access.allows_calls());
+    /// assert!(access.probe_pause(StoreProbeDuty::Own, 1.0) <= Duration::from_millis(100));
     /// assert!(!access.record_failure());
-    /// let by_relay = access.pause(StoreProbeDuty::ByRelay, 0.0);
-    /// assert!(by_relay > access.pause(StoreProbeDuty::Own, 1.0));
+    /// let by_relay = access.probe_pause(StoreProbeDuty::ByRelay, 0.0);
+    /// assert!(by_relay > access.probe_pause(StoreProbeDuty::Own, 1.0));
     /// ```
-    pub fn pause(&self, duty: StoreProbeDuty, jitter: f64) -> Duration {
+    pub fn probe_pause(&self, duty: StoreProbeDuty, jitter: f64) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(10);
         let pause = PROBE_PAUSE_FIRST * (1 << doublings);
         let pause = match duty {
--- a/crates/node/src/distribution/update_message.rs
+++ b/crates/node/src/distribution/update_message.rs
@@ -22,10 +22,10 @@
     pub version: ConfigVersion,
     /// Revision up to which the requesting node knows the members; 0 for none.
     pub members: Revision,
-    /// Longest time that the requesting node waits for an update.
+    /// Longest time that the other node may hold the request while it has no update.
     pub wait: Duration,
     /// Whether the requesting node knows already that the other one has lost the store.
-    pub lost_known: bool,
+    pub knows_store_lost: bool,
 }
 
 /// Reason why an update request can't be parsed.
@@ -45,7 +45,7 @@
 impl std::fmt::Display for UpdateRequest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let wait_ms = self.wait.as_millis();
-        let lost = u64::from(self.lost_known);
+        let lost = u64::from(self.knows_store_lost);
         write!(f, "{},{},{wait_ms},{lost}", self.version, self.members)
     }
 }
@@ -71,7 +71,7 @@
             version: ConfigVersion(next()?.parse()?),
             members: Revision(next()?.parse()?),
             wait: Duration::from_millis(next()?.parse()?),
-            lost_known: next()?.parse::<u8>()? != 0,
+            knows_store_lost: next()?.parse::<u8>()? != 0,
         })
     }
 }
@@ -88,7 +88,7 @@
 /// A node's response to an [`UpdateRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UpdateResponse {
-    /// Milliseconds since the store last answered the responding node.
+    /// Milliseconds since the store last responded to the responding node.
     pub store_age_ms: u64,
     /// Whether the responding node has lost the store.
     pub store_lost: bool,
--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -18,10 +18,10 @@
 const EXPIRED_WAIT_FACTOR: f64 = 1.5;
 /// Lower bound of the advised retry delay. A caller that returns sooner only meets the same queue
 /// again.
-const RETRY_MIN: Duration = Duration::from_millis(20);
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(20);
 /// Upper bound of the advised retry delay. A queue that refuses requests turns over within a few
 /// runs, and a caller that stays away longer misses its own target.
-const RETRY_MAX: Duration = Duration::from_millis(300);
+const RETRY_AFTER_MAX: Duration = Duration::from_millis(300);
 
 /// Position of a queued request; the smallest key runs next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,7 +43,7 @@
     /// Hash of the route, by which run times are kept.
     pub route_hash: u64,
     /// Whether the request is a nested call of a run that has begun.
-    pub nested: bool,
+    pub is_nested: bool,
     /// Whether the request may wait; otherwise it runs at once or not at all.
     pub may_wait: bool,
     /// Target time: the response is of full use until then.
@@ -61,14 +61,14 @@
     Busy,
     /// The request waits, and is to be refused if it still does at `latest`.
     Wait {
-        /// Key by which the request is granted a slot or withdrawn.
+        /// Position in the queue, by which the request is granted a slot or withdrawn.
         key: QueueKey,
         /// Latest time at which starting the request is of use.
         latest: Duration,
     },
     /// The response could not arrive in time; the request hasn't run.
     Refuse {
-        /// Time after which room is expected.
+        /// Time after which the queue is expected to accept a request.
         retry_after: Duration,
     },
 }
@@ -102,8 +102,8 @@
     late: bool,
     latest: Duration,
     requested_at: Duration,
-    /// Wait that was expected if no later request overtook this one.
-    planned: Duration,
+    /// Wait that was expected on arrival if no later request overtook this one.
+    planned_wait: Duration,
 }
 
 impl AdmissionQueue {
@@ -124,12 +124,12 @@
         self.grant(now)
     }
 
-    /// Returns the number of running requests.
+    /// Returns the number of requests that hold a slot.
     pub const fn running(&self) -> u32 {
         self.running
     }
 
-    /// Returns the number of queued requests.
+    /// Returns the number of requests that wait for a slot.
     pub fn waiting(&self) -> u32 {
         self.waiting.len() as u32
     }
@@ -159,7 +159,7 @@
     /// let target_deadline = Duration::from_millis(400);
     /// let ends_at = Duration::from_millis(1_000);
     /// let request =
-    ///     AdmissionRequest { rank: 1, route_hash: 7, nested: false, may_wait: true, target_deadline, ends_at };
+    ///     AdmissionRequest { rank: 1, route_hash: 7, is_nested: false, may_wait: true, target_deadline, ends_at };
     /// assert_eq!(queue.admit(Duration::ZERO, request), AdmissionDecision::Run);
     /// assert!(matches!(queue.admit(Duration::ZERO, request), AdmissionDecision::Wait { .. }));
     /// let freed = queue.finish(Duration::from_millis(100), 7, Some(Duration::from_millis(100)));
@@ -175,34 +175,34 @@
         }
         self.statistics.record_request(now, route);
         let run_time = self.statistics.mean_run_time_of(route);
-        let late = !request.nested && now + run_time > request.target_deadline;
+        let late = !request.is_nested && now + run_time > request.target_deadline;
         if self.running < self.slots {
             self.running += 1;
             self.record_decision(route, late, true);
             return AdmissionDecision::Run;
         }
-        if !request.nested && self.statistics.is_ahead(now, route) {
+        if !request.is_nested && self.statistics.is_ahead(now, route) {
             return self.refuse(route, late, self.wait());
         }
         self.order += 1;
         let key = QueueKey {
-            is_new: !request.nested,
+            is_new: !request.is_nested,
             rank: request.rank,
             late,
             target_deadline: request.target_deadline,
             order: self.order,
         };
-        let end = if request.nested || late {
+        let useful_until = if request.is_nested || late {
             request.ends_at
         } else {
             request.target_deadline
         };
-        let mut latest = end.saturating_sub(run_time.mul_f64(RUN_MARGIN));
-        if let Some(longest) = self.longest_wait(run_time).filter(|_| !request.nested) {
+        let mut latest = useful_until.saturating_sub(run_time.mul_f64(RUN_MARGIN));
+        if let Some(longest) = self.longest_wait(run_time).filter(|_| !request.is_nested) {
             latest = latest.min(now + longest);
         }
-        let planned = self.wait_before(key);
-        let start = now + self.statistics.expected_wait(route, late, planned);
+        let planned_wait = self.wait_before(key);
+        let start = now + self.statistics.expected_wait(route, late, planned_wait);
         if start > latest {
             return self.refuse(route, late, start.saturating_sub(latest));
         }
@@ -211,7 +211,7 @@
             late,
             latest,
             requested_at: now,
-            planned,
+            planned_wait,
         };
         self.waiting.insert(key, queued);
         AdmissionDecision::Wait { key, latest }
@@ -238,7 +238,7 @@
     fn refuse(&mut self, route: RankedRoute, late: bool, wait: Duration) -> AdmissionDecision {
         self.record_decision(route, late, false);
         self.statistics.record_refusal(route, late);
-        let retry_after = wait.clamp(RETRY_MIN, RETRY_MAX);
+        let retry_after = wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
         AdmissionDecision::Refuse { retry_after }
     }
 
@@ -279,15 +279,15 @@
 
     fn record_wait(&mut self, queued: QueuedRequest, waited: Duration) {
         self.statistics
-            .record_wait(queued.route, queued.late, queued.planned, waited);
+            .record_wait(queued.route, queued.late, queued.planned_wait, waited);
     }
 
-    /// Returns the expected wait of a request at the position of `key`.
+    /// Returns the planned wait of a request at the position of `key`, if none overtakes it.
     fn wait_before(&self, key: QueueKey) -> Duration {
         self.wait_behind(self.waiting.range(..key).count() as u32)
     }
 
-    /// Returns the expected wait at the end of the queue.
+    /// Returns the planned wait at the end of the queue, if no later request overtakes.
     pub fn wait(&self) -> Duration {
         self.wait_behind(self.waiting())
     }
--- a/crates/node/src/inbound/endpoint_breaker.rs
+++ b/crates/node/src/inbound/endpoint_breaker.rs
@@ -24,11 +24,13 @@
     open_until: Duration,
     open_time: Duration,
     /// Whether a trial is in progress.
-    trial: bool,
+    trial_in_progress: bool,
 }
 
 impl EndpointBreaker {
-    /// Admits a run; once the open time has passed, as a trial.
+    /// Admits a run while the breaker is closed.
+    ///
+    /// While the breaker is open, one run is admitted as a trial at the end of each open time.
     ///
     /// # Errors
     ///
@@ -61,12 +63,12 @@
         }
         // A trial that ends without a result, for example because its caller leaves, is followed
         // by another after the same open time.
-        self.trial = true;
+        self.trial_in_progress = true;
         self.open_until = now + self.open_time;
         Ok(())
     }
 
-    /// Whether the breaker admits nothing but trials.
+    /// Whether the breaker is open and admits only trials.
     pub const fn is_open(&self) -> bool {
         self.consecutive_breaks >= BREAKS_MAX
     }
@@ -82,7 +84,7 @@
         if self.consecutive_breaks == BREAKS_MAX {
             self.open_time = OPEN_TIME_FIRST;
             self.open_until = now + self.open_time;
-        } else if std::mem::take(&mut self.trial) {
+        } else if std::mem::take(&mut self.trial_in_progress) {
             self.open_time = (self.open_time * 2).min(OPEN_TIME_MAX);
             self.open_until = now + self.open_time;
         }
--- a/crates/node/src/inbound/endpoint_confirm.rs
+++ b/crates/node/src/inbound/endpoint_confirm.rs
@@ -17,12 +17,12 @@
 /// When node processes are killed and restarted while their backend servers keep running, inbound
 /// proxies would refuse everything until the next heartbeat. The announcement in the store says
 /// which start was ready, and the health check says whether the backend server is still that start
-/// and isn't leaving. Only both together open the inbound proxy: the announcement may be old, and
-/// health checks may be wrong.
+/// and isn't leaving. The inbound proxy accepts requests only if both agree: the announcement may
+/// be old, and health checks may be wrong.
 pub async fn confirm_endpoint(core: Rc<NodeCore>) {
     loop {
-        core.own_record_received.notified().await;
-        let record = core.own_record.borrow_mut().take();
+        core.earlier_record_received.notified().await;
+        let record = core.earlier_record.borrow_mut().take();
         if let Some(record) = record {
             confirm(&core, record).await;
         }
@@ -35,10 +35,10 @@
         return;
     };
     let healthy = core.inbound.healthy_instance(path).await;
-    let same = healthy.as_deref() == Some(record.start.instance());
+    let is_same_start = healthy.as_deref() == Some(record.start.instance());
     info!(core.log.logger(), "backend server asked";
-        "instance" => %record.start, "healthy" => healthy, "opened" => same);
-    if same && core.inbound.tracker().borrow().current().is_none() {
+        "instance" => %record.start, "healthy" => healthy, "opened" => is_same_start);
+    if is_same_start && core.inbound.tracker().borrow().current().is_none() {
         core.report(EndpointReport {
             start: record.start,
             service: record.service,
@@ -53,11 +53,11 @@
 
 async fn first_config(core: &NodeCore) -> Rc<MeshConfig> {
     loop {
-        let heard = core.updates.notified();
+        let next_update = core.update_arrived.notified();
         let config = core.config.borrow().clone();
         if let Some(config) = config {
             return config;
         }
-        let _woken = timeout(CONFIG_CHECK_INTERVAL, heard).await;
+        let _woken = timeout(CONFIG_CHECK_INTERVAL, next_update).await;
     }
 }
--- a/crates/node/src/inbound/endpoint_health.rs
+++ b/crates/node/src/inbound/endpoint_health.rs
@@ -7,12 +7,13 @@
 use http_body_util::{BodyExt, Full};
 use tokio::time::timeout;
 
-use super::{InboundProxy, inbound_proxy::IDLE_TIME_NON_IDEMPOTENT};
+use super::{InboundProxy, inbound_proxy::IDLE_TIMEOUT_NON_IDEMPOTENT};
 use crate::{header_names::header_text, transport::ExchangeError};
 
 /// Timeout of a health check, which takes a millisecond when a slot is free. The next heartbeat
 /// comes within a second and a half.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+
 /// Response of the backend server to a health check.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HealthCheckResponse {
@@ -44,7 +45,7 @@
         }
         let endpoint_pool = &self.inner.endpoint_pool;
         let exchange =
-            endpoint_pool.exchange(self.settings.endpoint, request, IDLE_TIME_NON_IDEMPOTENT);
+            endpoint_pool.exchange(self.settings.endpoint, request, IDLE_TIMEOUT_NON_IDEMPOTENT);
         let (response, sender) = exchange.await?;
         let health_response = HealthCheckResponse {
             healthy: response.status() == StatusCode::OK,
@@ -57,7 +58,7 @@
         Ok(health_response)
     }
 
-    /// Whether the backend server runs no request of this node.
+    /// Whether no request occupies a slot of the backend server.
     pub fn is_idle(&self) -> bool {
         self.inner.queue.borrow().running() == 0
     }
--- a/crates/node/src/inbound/endpoint_tracker.rs
+++ b/crates/node/src/inbound/endpoint_tracker.rs
@@ -1,4 +1,4 @@
-//! Tracks which start of the local backend server is current and admits requests.
+//! Tracks which start of the local backend server is current and whether it is sent requests.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -24,9 +24,9 @@
     Foreign,
 }
 
-/// The current start of the local backend server.
+/// The current start of the local backend server, as its reports describe it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LocalEndpoint {
+pub struct CurrentStart {
     /// Last report that was accepted.
     pub report: EndpointReport,
     /// Sequence number of the report that last changed the announcement.
@@ -41,29 +41,32 @@
     pub deregistered: bool,
 }
 
-/// Tracks which start of the local backend server is current and admits requests.
+/// Tracks which start of the local backend server is current.
+///
+/// The tracker also decides whether a request for that start is admitted.
 ///
 /// Heartbeats may be late, out of order, or from a start that has crashed since. If all were
 /// accepted, they would readmit requests to a backend server that is leaving, or name one that is
 /// gone. Reports of one start are ordered by their sequence number. Starts are ordered by the time
 /// at which they began, or by their first report where that time is unknown, and ended starts stay
 /// ended. The response of the backend server itself overrides heartbeats: it refuses requests that
-/// expect another start and names its own ([`EndpointTracker::identified_as`]).
+/// expect another start and names its own ([`EndpointTracker::record_instance`]).
 #[derive(Debug, Default)]
 pub struct EndpointTracker {
-    current: Option<LocalEndpoint>,
+    current: Option<CurrentStart>,
     retired: VecDeque<EndpointStart>,
 }
 
 impl EndpointTracker {
-    /// Processes a heartbeat.
+    /// Processes a heartbeat and returns its effect.
     pub fn report(&mut self, now: Duration, report: EndpointReport) -> ReportOutcome {
         if self.is_retired(&report.start) {
             return ReportOutcome::Stale;
         }
         let current = self.current.as_mut();
-        let known = current.map(|current| (report.start.order(&current.report.start), current));
-        match known {
+        let order_and_current =
+            current.map(|current| (report.start.order(&current.report.start), current));
+        match order_and_current {
             Some((StartOrder::Same, current)) => update(current, now, report),
             Some((StartOrder::Earlier, _)) => ReportOutcome::Stale,
             Some((StartOrder::Later | StartOrder::Unknown, _)) | None => {
@@ -95,11 +98,11 @@
 
     /// Processes the instance identifier that the backend server gave in a response. Returns the
     /// previous start if it ended without announcing that it was leaving.
-    pub fn identified_as(&mut self, instance: &str) -> Option<EndpointStart> {
+    pub fn record_instance(&mut self, instance: &str) -> Option<EndpointStart> {
         self.retired
             .retain(|retired| retired.instance() != instance);
-        let other = |current: &LocalEndpoint| current.report.start.instance() != instance;
-        if !self.current.as_ref().is_some_and(other) {
+        let is_other_start = |current: &CurrentStart| current.report.start.instance() != instance;
+        if !self.current.as_ref().is_some_and(is_other_start) {
             return None;
         }
         let ended = self.current.take()?;
@@ -128,8 +131,8 @@
         self.adopt(now, report);
     }
 
-    /// Returns the current start unless it announced that it is leaving. If another start replaced
-    /// it now, its end would be unannounced.
+    /// Returns the current start unless it has announced that it is leaving. If another start
+    /// replaced it now, its end would be unannounced.
     pub fn unannounced_end(&self) -> Option<EndpointStart> {
         let current = self.current.as_ref()?;
         let staying = current.leaving_since.is_none();
@@ -137,11 +140,11 @@
     }
 
     /// Returns the current start of the local backend server, if one is known.
-    pub const fn current(&self) -> Option<&LocalEndpoint> {
+    pub const fn current(&self) -> Option<&CurrentStart> {
         self.current.as_ref()
     }
 
-    /// Checks whether a request that expects `instance` is admitted.
+    /// Admits a request that expects `instance`, and returns the current start.
     ///
     /// A leaving start is admitted for `grace` longer, while its announcement reaches the other
     /// nodes. The grace time counts as over if this process has known the start only as leaving:
@@ -155,7 +158,7 @@
         now: Duration,
         instance: Option<&str>,
         grace: Duration,
-    ) -> Result<&LocalEndpoint, RefusalReason> {
+    ) -> Result<&CurrentStart, RefusalReason> {
         let current = self.current.as_ref().ok_or(RefusalReason::Shut)?;
         if instance.is_some_and(|instance| instance != current.report.start.instance()) {
             return Err(RefusalReason::OtherInstance);
@@ -170,7 +173,7 @@
 
     fn adopt(&mut self, now: Duration, report: EndpointReport) {
         let leaving = report.state == ReportState::Leaving;
-        let next = LocalEndpoint {
+        let next = CurrentStart {
             announced_sequence: report.sequence,
             cold: report.cold,
             report,
@@ -198,7 +201,7 @@
     }
 }
 
-fn update(current: &mut LocalEndpoint, now: Duration, report: EndpointReport) -> ReportOutcome {
+fn update(current: &mut CurrentStart, now: Duration, report: EndpointReport) -> ReportOutcome {
     if report.service != current.report.service {
         // A start serves the same service for its whole lifetime.
         return ReportOutcome::Foreign;
--- a/crates/node/src/inbound/route_statistics.rs
+++ b/crates/node/src/inbound/route_statistics.rs
@@ -88,19 +88,19 @@
         }
     }
 
-    /// Records how long a request waited, relative to the planned wait.
+    /// Records how long a request waited, relative to the planned wait, which it ignores if zero.
     pub(super) fn record_wait(
         &mut self,
         route: RankedRoute,
         late: bool,
-        planned: Duration,
+        planned_wait: Duration,
         waited: Duration,
     ) {
-        let planned = planned.as_secs_f64();
-        if planned <= 0.0 {
+        let planned_wait = planned_wait.as_secs_f64();
+        if planned_wait <= 0.0 {
             return;
         }
-        let wait_ratio = waited.as_secs_f64() / planned;
+        let wait_ratio = waited.as_secs_f64() / planned_wait;
         let wait_ratio = wait_ratio.clamp(*WAIT_RATIO_BOUNDS.start(), *WAIT_RATIO_BOUNDS.end());
         self.wait_ratio_mut(route, late)
             .observe(wait_ratio, WAIT_RATIO_WEIGHT);
@@ -114,14 +114,14 @@
         }
     }
 
-    /// Returns the wait to expect for a planned wait.
+    /// Scales a planned wait by the route's recent ratio of actual to planned waits.
     pub(super) fn expected_wait(
         &mut self,
         route: RankedRoute,
         late: bool,
-        planned: Duration,
+        planned_wait: Duration,
     ) -> Duration {
-        planned.mul_f64(self.wait_ratio_mut(route, late).get().unwrap_or(1.0))
+        planned_wait.mul_f64(self.wait_ratio_mut(route, late).get().unwrap_or(1.0))
     }
 
     fn wait_ratio_mut(&mut self, route: RankedRoute, late: bool) -> &mut MovingMean {
@@ -149,11 +149,11 @@
 
     /// Returns the mean run time of one route, or of all routes while unknown.
     pub(super) fn mean_run_time_of(&self, route: RankedRoute) -> Duration {
-        let known = self
+        let route_mean = self
             .records
             .get(&route.route_hash)
             .and_then(|record| record.run_time.get());
-        known.map_or_else(|| self.mean_run_time(), Duration::from_secs_f64)
+        route_mean.map_or_else(|| self.mean_run_time(), Duration::from_secs_f64)
     }
 
     /// Whether the served share of a route is clearly above that of a competitor. Competitors are
@@ -167,10 +167,10 @@
             return false;
         };
         self.records.iter().any(|(&route_hash, record)| {
-            let rival = route_hash != route.route_hash && record.rank <= route.rank;
+            let is_competitor = route_hash != route.route_hash && record.rank <= route.rank;
             let active = now < record.last_request_at + ACTIVE_TIME;
             let served = record.served_share();
-            rival && active && served.is_some_and(|served| own - served > LEAD_MAX)
+            is_competitor && active && served.is_some_and(|served| own - served > LEAD_MAX)
         })
     }
 }
--- a/crates/node/src/inbound/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::inbound_proxy::InboundState;
-use crate::transport::PooledSender;
+use crate::transport::PooledConnection;
 
 /// A slot of the backend server, held by one request until its response is ready.
 ///
@@ -18,7 +18,7 @@
     inner: Rc<InboundState>,
     route_hash: u64,
     started: Instant,
-    sender: Option<PooledSender>,
+    sender: Option<PooledConnection>,
     released: bool,
 }
 
@@ -33,11 +33,11 @@
         }
     }
 
-    pub(super) fn hold_connection(&mut self, sender: PooledSender) {
+    pub(super) fn hold_connection(&mut self, sender: PooledConnection) {
         self.sender = Some(sender);
     }
 
-    /// Frees the slot once the response is ready; further calls do nothing.
+    /// Frees the slot and records the run time; further calls do nothing.
     pub fn release(&mut self) {
         if !std::mem::replace(&mut self.released, true) {
             self.inner
--- a/crates/node/src/link/link_reservation.rs
+++ b/crates/node/src/link/link_reservation.rs
@@ -22,7 +22,7 @@
 }
 
 impl LinkReservation {
-    /// Wraps a reservation that the schedule made.
+    /// Creates the guard of a reservation that the schedule granted.
     pub(super) fn new(
         scheduler: &Rc<LinkScheduler>,
         clock: NodeClock,
@@ -38,15 +38,17 @@
         }
     }
 
-    /// Records that the response is ready, and its size if the head gives one.
-    pub fn response_ready(&mut self, bytes: Option<u64>) {
-        self.transfer.response_ready(self.clock.now(), bytes);
+    /// Records that the response is ready, and its size in bytes if the head gives one.
+    pub fn record_response_ready(&mut self, bytes: Option<u64>) {
+        self.transfer.record_response_ready(self.clock.now(), bytes);
         if let Some(bytes) = bytes {
-            self.scheduler.schedule().resize(self.key, bytes);
+            self.scheduler
+                .schedule()
+                .set_remaining_bytes(self.key, bytes);
         }
     }
 
-    /// Ends the reservation after the last byte.
+    /// Ends the reservation after the last byte was sent.
     pub fn complete(mut self) {
         self.transfer.is_complete = true;
     }
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -10,13 +10,13 @@
 const PAYLOAD_FRACTION: f64 = 0.94;
 /// Bytes per second in one megabit per second.
 const BYTES_PER_MBIT: f64 = 125_000.0;
-/// Time that long responses may fill the link ahead. A short response waits behind them, and a
+/// Time for which long responses may fill the link ahead. A short response waits behind them, and a
 /// timer may fire some milliseconds late.
 const SEND_AHEAD_TIME: Duration = Duration::from_millis(12);
 /// Time for which one chunk of a long response occupies the link.
 const CHUNK_TIME: Duration = Duration::from_millis(6);
 /// Bounds of a chunk in bytes. Below a packet or two, handing a chunk over costs more than
-/// transmitting it. Above 64 KiB, more is asked for than the library reads at a time.
+/// transmitting it. Above 64 KiB, a chunk exceeds what hyper reads at a time.
 const CHUNK_BYTES: std::ops::RangeInclusive<f64> = 4_096.0..=65_536.0;
 /// Fraction of the time until a response is due that is planned with. The rest is for the path
 /// through the other node to the caller, and for variations of run times and sizes.
@@ -24,19 +24,19 @@
 /// Longest wait for the link of a late response that is ready. Beyond it the response would
 /// displace another that can be in time.
 const LATE_WAIT_MAX: Duration = Duration::from_millis(100);
-/// Lower bound of the advised retry delay.
-const RETRY_MIN: Duration = Duration::from_millis(50);
+/// Lower bound of the advised retry delay after a refused reservation.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
 /// Key of a reserved transfer, ordered by due time, then by order of arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TransferKey {
-    due: Duration,
+    due_at: Duration,
     order: u64,
 }
 
 /// A long response for which the link is requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LinkRequest {
+pub struct ReservationRequest {
     /// Expected size in bytes.
     pub bytes: u64,
     /// Time until the backend server has the response ready.
@@ -128,10 +128,10 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use geranium_node::link::{LinkRequest, LinkSchedule, LinkDecision};
+    /// use geranium_node::link::{ReservationRequest, LinkSchedule, LinkDecision};
     ///
     /// let mut link = LinkSchedule::new(8.0);
-    /// let request = LinkRequest {
+    /// let request = ReservationRequest {
     ///     bytes: 90_000,
     ///     ready_in: Duration::from_millis(100),
     ///     target_deadline: Duration::from_millis(400),
@@ -142,34 +142,35 @@
     /// });
     /// assert_eq!(reserved.count(), 3);
     /// ```
-    pub fn reserve(&mut self, now: Duration, request: LinkRequest) -> LinkDecision {
+    pub fn reserve(&mut self, now: Duration, request: ReservationRequest) -> LinkDecision {
         if let Some(retry_after) = self.refusal(now, request) {
             return LinkDecision::Refused { retry_after };
         }
-        let due = if self.can_be_in_time(now, request) {
+        let due_at = if self.can_be_in_time(now, request) {
             request.target_deadline
         } else {
             request.ends_at
         };
-        LinkDecision::Reserved(self.reserve_unchecked(request.bytes, due, request.ends_at))
+        LinkDecision::Reserved(self.reserve_unchecked(request.bytes, due_at, request.ends_at))
     }
 
-    /// Returns the time until a reservation is possible, or `None` if it is now.
-    pub fn refusal(&self, now: Duration, request: LinkRequest) -> Option<Duration> {
+    /// Returns the time until a reservation is possible, or `None` if it is possible now.
+    pub fn refusal(&self, now: Duration, request: ReservationRequest) -> Option<Duration> {
         let free = self.backlog(now);
-        let sent_at = now + free.max(request.ready_in) + self.transfer_time(request.bytes as f64);
+        let expected_sent_at =
+            now + free.max(request.ready_in) + self.transfer_time(request.bytes as f64);
         let excess = if self.can_be_in_time(now, request) {
-            sent_at.saturating_sub(due_by(now, request.target_deadline))
+            expected_sent_at.saturating_sub(due_by(now, request.target_deadline))
         } else {
-            let past_end = sent_at.saturating_sub(due_by(now, request.ends_at));
+            let past_end = expected_sent_at.saturating_sub(due_by(now, request.ends_at));
             free.saturating_sub(request.ready_in + LATE_WAIT_MAX)
                 .max(past_end)
         };
-        (excess > Duration::ZERO).then_some(excess.max(RETRY_MIN))
+        (excess > Duration::ZERO).then_some(excess.max(RETRY_AFTER_MIN))
     }
 
     /// Whether a response could arrive by its target time on an idle link.
-    fn can_be_in_time(&self, now: Duration, request: LinkRequest) -> bool {
+    fn can_be_in_time(&self, now: Duration, request: ReservationRequest) -> bool {
         now + request.ready_in + self.transfer_time(request.bytes as f64) <= request.target_deadline
     }
 
@@ -178,23 +179,23 @@
     pub fn reserve_unchecked(
         &mut self,
         bytes: u64,
-        due: Duration,
+        due_at: Duration,
         ends_at: Duration,
     ) -> TransferKey {
         let bytes = bytes as f64;
-        self.insert(due, ReservedTransfer { bytes, ends_at })
+        self.insert(due_at, ReservedTransfer { bytes, ends_at })
     }
 
-    fn insert(&mut self, due: Duration, transfer: ReservedTransfer) -> TransferKey {
+    fn insert(&mut self, due_at: Duration, transfer: ReservedTransfer) -> TransferKey {
         self.order += 1;
         let order = self.order;
-        let key = TransferKey { due, order };
+        let key = TransferKey { due_at, order };
         self.transfers.insert(key, transfer);
         key
     }
 
     /// Sets the remaining bytes of a transfer once its size is known.
-    pub fn resize(&mut self, key: TransferKey, bytes: u64) {
+    pub fn set_remaining_bytes(&mut self, key: TransferKey, bytes: u64) {
         if let Some(transfer) = self.transfers.get_mut(&key) {
             transfer.bytes = bytes as f64;
         }
@@ -218,17 +219,19 @@
     }
 
     /// Moves a transfer that can't be in time any more behind those that can.
+    ///
+    /// Returns its new key, or `None` if it keeps its place.
     fn postponed(&mut self, now: Duration, key: TransferKey) -> Option<TransferKey> {
         let transfer = *self.transfers.get(&key)?;
-        let late = now + self.transfer_time(transfer.bytes) > key.due;
-        if !late || transfer.ends_at <= key.due {
+        let late = now + self.transfer_time(transfer.bytes) > key.due_at;
+        if !late || transfer.ends_at <= key.due_at {
             return None;
         }
         self.withdraw(key);
         Some(self.insert(transfer.ends_at, transfer))
     }
 
-    /// Returns the first of the transfers that are ready to send a chunk.
+    /// Returns the transfer with the earliest due time among those ready to send a chunk.
     pub fn next(&self) -> Option<TransferKey> {
         self.waiting.first().copied()
     }
@@ -259,12 +262,12 @@
         self.waiting.remove(&key);
     }
 
-    /// Returns the planned payload rate in bytes per second.
+    /// Returns the payload rate of the link in bytes per second.
     pub const fn bytes_per_s(&self) -> f64 {
         self.bytes_per_s
     }
 
-    /// Returns how long everything reserved or in progress will take.
+    /// Returns the time that the link needs for all bytes queued or reserved.
     pub fn backlog(&self, now: Duration) -> Duration {
         self.transfer_time(
             self.queued_bytes_at(now)
@@ -286,7 +289,7 @@
     }
 }
 
-/// Returns the time by which a response is planned to arrive.
-fn due_by(now: Duration, due: Duration) -> Duration {
-    now + due.saturating_sub(now).mul_f64(DEADLINE_FRACTION)
+/// Returns the time by which a response that is due at `due_at` is planned to arrive.
+fn due_by(now: Duration, due_at: Duration) -> Duration {
+    now + due_at.saturating_sub(now).mul_f64(DEADLINE_FRACTION)
 }
--- a/crates/node/src/link/link_scheduler.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -11,8 +11,8 @@
 use http::HeaderValue;
 
 use super::{
-    LinkDecision, LinkReporter, LinkRequest, LinkReservation, LinkSchedule, LinkTraffic, LinkUsage,
-    TransferKey, TransferRecord,
+    LinkDecision, LinkReporter, LinkReservation, LinkSchedule, LinkTraffic, LinkUsage,
+    ReservationRequest, TransferKey, TransferRecord,
 };
 use crate::node_clock::NodeClock;
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Borrows the schedule; the borrow must end before the next one.
+    /// Borrows the schedule; panics if it is borrowed already.
     pub fn schedule(&self) -> RefMut<'_, LinkSchedule> {
         self.schedule.borrow_mut()
     }
@@ -53,14 +53,14 @@
         self: &Rc<Self>,
         clock: NodeClock,
         request_id: Option<HeaderValue>,
-        link_request: LinkRequest,
+        reservation_request: ReservationRequest,
     ) -> Result<LinkReservation, Duration> {
         let now = clock.now();
-        let decision = self.schedule().reserve(now, link_request);
+        let decision = self.schedule().reserve(now, reservation_request);
         match decision {
             LinkDecision::Reserved(key) => {
                 self.usage.borrow_mut().reserved += 1;
-                let transfer = TransferRecord::new(request_id, now, link_request);
+                let transfer = TransferRecord::new(request_id, now, reservation_request);
                 Ok(LinkReservation::new(self, clock, key, transfer))
             }
             LinkDecision::Refused { retry_after } => {
@@ -75,14 +75,14 @@
         self: &Rc<Self>,
         clock: NodeClock,
         request_id: Option<HeaderValue>,
-        link_request: LinkRequest,
+        reservation_request: ReservationRequest,
     ) -> LinkReservation {
         let key = self.schedule().reserve_unchecked(
-            link_request.bytes,
-            link_request.target_deadline,
-            link_request.ends_at,
+            reservation_request.bytes,
+            reservation_request.target_deadline,
+            reservation_request.ends_at,
         );
-        let transfer = TransferRecord::new(request_id, clock.now(), link_request);
+        let transfer = TransferRecord::new(request_id, clock.now(), reservation_request);
         LinkReservation::new(self, clock, key, transfer)
     }
 
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Registers the task to wake for a turn.
+    /// Registers the task that is woken when the transfer may have its turn.
     pub(super) fn register_waker(&self, key: TransferKey, waker: &Waker) {
         self.wakers.borrow_mut().insert(key, waker.clone());
     }
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Removes the task to wake.
+    /// Removes the task that waits for a turn of the transfer.
     pub(super) fn remove_waker(&self, key: TransferKey) {
         self.wakers.borrow_mut().remove(&key);
     }
--- a/crates/node/src/link/transfer_record.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -5,7 +5,7 @@
 use http::HeaderValue;
 use strum::{Display, EnumCount, IntoStaticStr, VariantArray};
 
-use super::LinkRequest;
+use super::ReservationRequest;
 
 /// Outcome of a long response for which the link was reserved.
 #[derive(
@@ -31,20 +31,20 @@
     /// Time at which the link was requested.
     pub requested_at: Duration,
     /// Request for which the link was reserved.
-    pub link_request: LinkRequest,
+    pub reservation_request: ReservationRequest,
     /// Actual size in bytes; `None` unless the response's head gave one.
     pub bytes: Option<u64>,
-    /// Time at which the response was ready.
+    /// Time at which the response was ready; none before.
     pub response_ready_at: Option<Duration>,
-    /// Time at which the first bytes were sent.
+    /// Time at which the first bytes were sent; none before.
     pub started_at: Option<Duration>,
-    /// Time at which the most recent bytes were sent.
+    /// Time at which the most recent bytes were sent; none before the first ones.
     pub sent_at: Option<Duration>,
     /// Number of bytes sent so far.
     pub sent: u64,
     /// Whether the last byte was sent.
     pub is_complete: bool,
-    /// Time at which the transfer was moved behind those that can be in time.
+    /// Time at which the transfer was moved behind those that can be in time; none before.
     pub postponed_at: Option<Duration>,
 }
 
@@ -53,12 +53,12 @@
     pub const fn new(
         request_id: Option<HeaderValue>,
         requested_at: Duration,
-        link_request: LinkRequest,
+        reservation_request: ReservationRequest,
     ) -> Self {
         Self {
             request_id,
             requested_at,
-            link_request,
+            reservation_request,
             bytes: None,
             response_ready_at: None,
             started_at: None,
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Records that the response is ready, and its size if the head gives one.
-    pub fn response_ready(&mut self, now: Duration, bytes: Option<u64>) {
+    /// Records that the response is ready, and its size in bytes if the head gives one.
+    pub fn record_response_ready(&mut self, now: Duration, bytes: Option<u64>) {
         self.response_ready_at = Some(now);
         self.bytes = bytes;
     }
@@ -84,7 +84,7 @@
 
     /// Returns the outcome, given that nothing more is sent.
     pub fn outcome(&self) -> TransferOutcome {
-        let in_time = self.sent_at <= Some(self.link_request.target_deadline);
+        let in_time = self.sent_at <= Some(self.reservation_request.target_deadline);
         match (self.response_ready_at, self.is_complete) {
             (None, _) => TransferOutcome::Unmade,
             (Some(_), false) => TransferOutcome::Cut,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns the milliseconds from the link request to `at`.
+    /// Returns the milliseconds from the reservation request to `at`; none if `at` is none.
     pub fn millis_since_request(&self, at: Option<Duration>) -> Option<u64> {
         at.map(|at| at.saturating_sub(self.requested_at).as_millis() as u64)
     }
--- a/crates/node/src/member/fleet_view.rs
+++ b/crates/node/src/member/fleet_view.rs
@@ -23,11 +23,11 @@
 /// two seconds. In the meantime the member gets requests only if it has responded since.
 const LAPSE_GRACE: Duration = Duration::from_secs(2);
 
-/// Number of dropped members that are remembered for nodes that ask for updates. A node
-/// that asks for changes from before these gets the whole list.
+/// Largest number of dropped members that are remembered for nodes that ask for updates. A
+/// node that asks for changes from before these drops gets the whole list.
 const DROPS_MAX: usize = 256;
-/// Weight of one report in the mean run time of its route.
-const RUN_WEIGHT: f64 = 0.02;
+/// Weight of one load report in the mean run time of its route over all members.
+const RUN_TIME_WEIGHT: f64 = 0.02;
 
 /// Outcome of sending a request to a member once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -66,7 +66,7 @@
 pub struct FleetView {
     location: NodeLocation,
     members: Slab<MemberView>,
-    keys: HashMap<SocketAddr, MemberKey>,
+    keys_by_addr: HashMap<SocketAddr, MemberKey>,
     pub(super) services: HashMap<String, ServicePool>,
     /// Mean run time in seconds by route hash, over all members.
     pub(super) route_run_times: HashMap<u64, MovingMean>,
@@ -88,7 +88,7 @@
 
     /// Creates an empty view for a node in `data_centre` with a backend server.
     ///
-    /// The node's own backend server is announced at `peer_addr`.
+    /// The node announces its backend server at `peer_addr`.
     ///
     /// # Examples
     ///
@@ -110,7 +110,7 @@
                 peer_addr,
             },
             members: Slab::new(),
-            keys: HashMap::new(),
+            keys_by_addr: HashMap::new(),
             services: HashMap::new(),
             route_run_times: HashMap::new(),
             generation: 0,
@@ -125,7 +125,7 @@
     /// Announcements arrive from several sources, among them the node's own writes, so they
     /// may be out of order. One that is older than the known one is ignored.
     pub fn announce(&mut self, now: Duration, record: MemberRecord, revision: Revision) -> bool {
-        let Some(&key) = self.keys.get(&record.peer_addr) else {
+        let Some(&key) = self.keys_by_addr.get(&record.peer_addr) else {
             self.insert(now, record, revision);
             return true;
         };
@@ -148,7 +148,7 @@
     /// The member is kept for a grace period: the store may drop announcements during an
     /// outage, and a node that is alive writes its own again.
     pub fn lapse(&mut self, now: Duration, peer_addr: SocketAddr, revision: Revision) -> bool {
-        let key = self.keys.get(&peer_addr);
+        let key = self.keys_by_addr.get(&peer_addr);
         key.is_some_and(|key| self.members[key.index as usize].lapse(now, revision))
     }
 
@@ -157,7 +157,7 @@
     /// Members for which `present` returns false are marked as missing. Members that came
     /// and went before the list were never seen here, so a node that asks for the changes
     /// since an earlier revision gets the whole list.
-    pub fn listed(
+    pub fn apply_list(
         &mut self,
         now: Duration,
         revision: Revision,
@@ -182,7 +182,7 @@
         let mut records = Vec::with_capacity(expired.len());
         for index in expired {
             let member = self.members.remove(index);
-            self.keys.remove(&member.record.peer_addr);
+            self.keys_by_addr.remove(&member.record.peer_addr);
             self.record_drop(member.record.peer_addr, member.revision);
             records.push(member.record);
         }
@@ -194,7 +194,7 @@
 
     /// Drops a member whose node deleted its announcement.
     pub fn remove(&mut self, peer_addr: SocketAddr, revision: Revision) {
-        if let Some(key) = self.keys.remove(&peer_addr) {
+        if let Some(key) = self.keys_by_addr.remove(&peer_addr) {
             self.members.remove(key.index as usize);
             self.record_drop(peer_addr, revision);
             self.index_services();
@@ -216,11 +216,14 @@
     /// The update is the whole list if `since` is zero or from before the remembered drops.
     pub fn update_since(&self, since: Revision) -> MemberUpdate {
         let whole = since == Revision(0) || since < self.forgotten;
-        let fresh = |revision: Revision| whole || revision > since;
+        let is_newer = |revision: Revision| whole || revision > since;
         let members = self.members.iter().map(|(_, member)| member);
-        let members = members.filter(|member| fresh(member.revision));
+        let members = members.filter(|member| is_newer(member.revision));
         let (lapsed, written): (Vec<_>, Vec<_>) = members.partition(|member| member.has_lapsed());
-        let dropped = self.dropped.iter().filter(|(_, revision)| fresh(*revision));
+        let dropped = self
+            .dropped
+            .iter()
+            .filter(|(_, revision)| is_newer(*revision));
         let lapsed = lapsed
             .into_iter()
             .map(|member| (member.record.peer_addr, member.revision));
@@ -238,7 +241,7 @@
         }
     }
 
-    /// Returns the members of this node's data centre, fastest link first.
+    /// Returns the announced members of this node's data centre, fastest link first.
     ///
     /// Members with equal links are ordered by a hash of their address, so all nodes get the
     /// same order.
@@ -253,11 +256,13 @@
         records
     }
 
-    /// Yields the addresses of nodes that are announced and neither ejected nor refusing.
+    /// Yields the addresses of nodes that are announced, not ejected, and haven't just
+    /// refused.
     pub fn reachable(&self, now: Duration) -> impl Iterator<Item = SocketAddr> {
-        let open = self.members.iter().map(|(_, member)| member);
-        let open = open.filter(move |member| !member.has_lapsed() && member.is_available(now));
-        open.map(|member| member.record.peer_addr)
+        let available = self.members.iter().map(|(_, member)| member);
+        let available =
+            available.filter(move |member| !member.has_lapsed() && member.is_available(now));
+        available.map(|member| member.record.peer_addr)
     }
 
     /// Returns the member of `key`, or none if it was dropped.
@@ -268,20 +273,20 @@
 
     /// Returns the key of the member at `peer_addr`.
     pub fn key_of(&self, peer_addr: SocketAddr) -> Option<MemberKey> {
-        self.keys.get(&peer_addr).copied()
+        self.keys_by_addr.get(&peer_addr).copied()
     }
 
     /// Returns the member at `peer_addr`, if one is known.
-    pub fn at(&self, peer_addr: SocketAddr) -> Option<&MemberView> {
+    pub fn member_at(&self, peer_addr: SocketAddr) -> Option<&MemberView> {
         self.get(self.key_of(peer_addr)?)
     }
 
-    /// Returns the members' announcements.
+    /// Yields the last announcement of each known member, including lapsed ones.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.iter().map(|(_, member)| &member.record)
     }
 
-    /// Returns the number of members, among them those that take no requests.
+    /// Returns the number of known members, including those that take no requests.
     pub fn len(&self) -> usize {
         self.members.len()
     }
@@ -292,9 +297,9 @@
     }
 
     /// Counts a request as outstanding at `key`.
-    pub fn request_sent(&mut self, key: MemberKey) {
+    pub fn record_request_sent(&mut self, key: MemberKey) {
         if let Some(member) = self.get_mut(key) {
-            member.request_sent();
+            member.record_request_sent();
         }
     }
 
@@ -308,10 +313,10 @@
         route_hash: u64,
         report: LoadReport,
     ) {
-        let run = report.run.as_secs_f64();
+        let run = report.route_run_time.as_secs_f64();
         let mean = self.route_run_times.entry(route_hash).or_default();
         if run > 0.0 {
-            mean.observe(run, RUN_WEIGHT);
+            mean.observe(run, RUN_TIME_WEIGHT);
         }
         let mean_run_s = mean.get();
         let Some((member, pool)) = self.get_with_pool(key) else {
@@ -344,10 +349,10 @@
 
     /// Counts a request at `key` as no longer outstanding.
     ///
-    /// Each call of [`FleetView::request_sent`] needs one call of this method.
-    pub fn request_ended(&mut self, key: MemberKey) {
+    /// Each call of [`FleetView::record_request_sent`] needs one call of this method.
+    pub fn record_request_ended(&mut self, key: MemberKey) {
         if let Some(member) = self.get_mut(key) {
-            member.request_ended();
+            member.record_request_ended();
         }
     }
 
@@ -378,7 +383,7 @@
         let index = self.members.insert(member) as u32;
         let generation = self.generation;
         let key = MemberKey { index, generation };
-        self.keys.insert(peer_addr, key);
+        self.keys_by_addr.insert(peer_addr, key);
         self.services.entry(service).or_default().keys.push(key);
     }
 
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -10,23 +10,22 @@
     service_pool::{ServiceAverages, ServicePool},
 };
 
-/// Requests per slot from which on no free slot is expected: all slots are in use, and the
-/// queue is empty.
-const PROBE_HELD_MAX: f64 = 1.0;
+/// Mean requests per slot of a service from which on its members aren't probed. At 1.0, all
+/// slots are in use and the queues are empty on average.
+const PROBE_REQUESTS_PER_SLOT_MAX: f64 = 1.0;
 /// Silence timeout as a multiple of the expected response time.
 const SILENCE_RUNS: f64 = 3.0;
-/// Shortest silence timeout. A machine that has used up its CPU quota stands still for a
-/// tenth of a second.
+/// Shortest silence timeout. A machine that has used up its CPU quota is paused for a tenth
+/// of a second.
 const SILENCE_TIMEOUT_MIN: Duration = Duration::from_millis(300);
-/// Largest share of a member's failure rate at which the service counts as healthier.
-///
-/// It is compared with the mean failure rate of the service.
+/// Ratio of failure rates up to which a service counts as healthier than a member: the mean
+/// failure rate of the service to that of the member.
 const HEALTHIER_FACTOR: f64 = 0.5;
 
 /// Selection of a member for a request.
 ///
 /// Members differ in speed, are slow after a start, become slow, fail a share of their
-/// requests, or disappear, and are spread unevenly over data centres. A node hears of a
+/// requests, or disappear, and are spread unevenly over data centres. A node learns a
 /// member's load only with its own requests, so most of what it knows is seconds old. The
 /// best of all by outdated reports would be the same few members for every node, and equal
 /// shares would overload the slow members.
@@ -41,8 +40,9 @@
 impl FleetView {
     /// Picks a member that was neither tried nor probed for the request.
     ///
-    /// Members that recently refused or couldn't be reached are picked only if no other is
-    /// left.
+    /// Unavailable members are picked only if no other is left: those that are ejected or
+    /// recently refused, whose link is full, or that haven't responded since their
+    /// announcement lapsed.
     pub fn pick(
         &self,
         now: Duration,
@@ -51,8 +51,10 @@
     ) -> Option<MemberKey> {
         let pool = self.services.get(query.service)?;
         let cost = self.cost(now, pool, query);
-        let fresh = |key: &MemberKey| !query.probed.contains(key);
-        let candidates = self.candidates(pool, query).filter(|(key, _)| fresh(key));
+        let is_unprobed = |key: &MemberKey| !query.probed.contains(key);
+        let candidates = self
+            .candidates(pool, query)
+            .filter(|(key, _)| is_unprobed(key));
         cost.pick(candidates.collect(), Vec::new(), rng)
     }
 
@@ -70,7 +72,7 @@
         query: &PickQuery<'_>,
         rng: &mut impl Rng,
     ) -> Option<MemberKey> {
-        if !query.is_long() {
+        if !query.expects_long_response() {
             return None;
         }
         let pool = self.services.get(query.service)?;
@@ -105,18 +107,18 @@
 
     /// Whether the next try should only probe for a free slot.
     ///
-    /// That is so if slots are usually free and another member is left to be asked
+    /// A probe makes sense if slots are usually free and another member is left to be asked
     /// afterwards. In a shortage every probe would be refused, and the extra calls between
     /// nodes would use up the CPU of small instances.
     pub fn may_probe(&self, query: &PickQuery<'_>) -> bool {
         let Some(pool) = self.services.get(query.service) else {
             return false;
         };
-        if pool.mean_held_per_slot() >= PROBE_HELD_MAX {
+        if pool.mean_requests_per_slot() >= PROBE_REQUESTS_PER_SLOT_MAX {
             return false;
         }
-        let other = self.candidates(pool, query).nth(query.probed.len() + 1);
-        other.is_some()
+        let another_member = self.candidates(pool, query).nth(query.probed.len() + 1);
+        another_member.is_some()
     }
 
     /// Whether a member of the service is available for the request now.
@@ -131,13 +133,13 @@
 
     /// Returns the time until a long response may be requested, if all links are full.
     ///
-    /// Members that can't be reached, or whose backend server is down or breaks its runs,
-    /// are ejected. They don't count as members with a free link, as they would attract
-    /// every request that the others refuse. If there are only ejected members, the result
-    /// is none, and they are asked as a last resort. It is also none if a member on this
-    /// node's instance, which needs no link, is available.
+    /// Members are ejected that can't be reached, or whose backend server accepts no
+    /// connections or breaks its runs. They don't count as members with a free link, as
+    /// they would attract every request that the others refuse. If there are only ejected
+    /// members, the result is none, and they are asked as a last resort. It is also none if
+    /// a member on this node's instance, which needs no link, is available.
     pub fn link_wait(&self, now: Duration, query: &PickQuery<'_>) -> Option<Duration> {
-        if !query.is_long() {
+        if !query.expects_long_response() {
             return None;
         }
         let pool = self.services.get(query.service)?;
@@ -174,8 +176,8 @@
     /// Returns the time after which a member that hasn't responded counts as silent.
     ///
     /// While no member has reported the run time of the route, as after a start, that is at
-    /// least the target time. With an assumed run time, every slower member would count as
-    /// silent, and each request would go to two members when all are slow after a start.
+    /// least the target latency. With an assumed run time, every slower member would count
+    /// as silent, and each request would go to two members when all are slow after a start.
     pub fn silence_timeout(
         &self,
         now: Duration,
@@ -186,8 +188,8 @@
             return SILENCE_TIMEOUT_MIN;
         };
         let cost = self.cost(now, pool, query);
-        if cost.averages.run.is_none() {
-            return SILENCE_TIMEOUT_MIN.max(query.target);
+        if cost.averages.route_run_time.is_none() {
+            return SILENCE_TIMEOUT_MIN.max(query.target_latency);
         }
         let expected = self.get(key).map_or(0.0, |member| cost.expected_s(member));
         SILENCE_TIMEOUT_MIN.max(Duration::from_secs_f64(expected * SILENCE_RUNS))
@@ -210,14 +212,14 @@
             .get(&query.route_hash)
             .and_then(MovingMean::get);
         let averages = ServiceAverages {
-            run: run.map(Duration::from_secs_f64),
-            held: pool.mean_held_per_slot(),
+            route_run_time: run.map(Duration::from_secs_f64),
+            requests_per_slot: pool.mean_requests_per_slot(),
         };
         PickCost {
             now,
             query,
             averages,
-            has_near_member: query.is_long() && self.has_near_member(now, pool),
+            has_near_member: query.expects_long_response() && self.has_near_member(now, pool),
         }
     }
 
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -14,12 +14,12 @@
 const FAILURE_WEIGHT: f64 = 0.1;
 /// Run time that is assumed while no member has reported one.
 const UNKNOWN_RUN_TIME: Duration = Duration::from_millis(100);
-/// Weight of one report in the ratio of a member's run times.
+/// Weight of one load report in a member's mean run-time ratio.
 const RUN_RATIO_WEIGHT: f64 = 0.2;
 /// Time constant of the decay of a reported load, in mean run times: after it, the report
 /// weighs about one third. By then the member's requests have been replaced by others.
 const LOAD_DECAY_RUNS: f64 = 2.0;
-/// Shortest time constant of that decay in seconds.
+/// Shortest time constant of the decay of a reported load, in seconds.
 const LOAD_DECAY_MIN_S: f64 = 0.1;
 /// Factor on the run time of a member that is still slow after its start.
 const COLD_FACTOR: f64 = 2.0;
@@ -31,14 +31,14 @@
 const EJECTION_MAX: Duration = Duration::from_secs(4);
 /// Longest pause of long responses after a refusal because of a full link. A full link
 /// transfers two or three long responses in that time.
-const LINK_REFUSED_MAX: Duration = Duration::from_millis(300);
-/// Pause of long responses from another data centre after such a refusal.
+const LINK_REFUSAL_PAUSE_MAX: Duration = Duration::from_millis(300);
+/// Pause of long responses from another data centre after a refusal because of a full link.
 ///
 /// It applies while a member in this data centre can be asked.
-const LINK_REFUSED_REMOTE: Duration = Duration::from_secs(5);
+const REMOTE_LINK_REFUSAL_PAUSE: Duration = Duration::from_secs(5);
 /// Longest time for which a refusal keeps new requests away. The requests in a queue are
 /// replaced by others within about one mean run time.
-const REFUSED_MAX: Duration = Duration::from_millis(150);
+const REFUSAL_PAUSE_MAX: Duration = Duration::from_millis(150);
 
 /// One member, with what this node has observed of it.
 #[derive(Debug)]
@@ -52,19 +52,20 @@
     /// Revision of the last change of the announcement.
     pub(super) revision: Revision,
     cold_until: Duration,
-    /// Number of this node's requests at the member.
+    /// Number of this node's requests in flight at the member.
     outstanding: u32,
     load: Option<ObservedLoad>,
     /// Run times in seconds that the member reported, by route hash.
     runs: SmallVec<[(u64, f64); 4]>,
-    /// Ratio of the member's run times to the mean ones of all members.
+    /// Mean ratio of the member's run times to those of all members on the same routes.
     run_time_ratio: MovingMean,
+    /// Share of the responses that were failures.
     failures: MovingMean,
     ejected_until: Duration,
     ejection_time: Duration,
     refused_until: Duration,
     link_refused_until: Duration,
-    /// End of the longer pause for a member in another data centre.
+    /// End of the pause of long responses if the member is in another data centre.
     ///
     /// It applies while a member in this data centre can be asked.
     remote_link_refused_until: Duration,
@@ -116,7 +117,7 @@
 
     /// Applies a new announcement.
     ///
-    /// If it is of another start, what was observed of the earlier one is discarded.
+    /// If the announcement is of another start, all observations of the earlier one are discarded.
     pub(super) fn announce(&mut self, now: Duration, record: MemberRecord) {
         self.lapsed_at = None;
         if record.start.order(&self.record.start) == StartOrder::Same {
@@ -166,7 +167,7 @@
         self.record.state == MemberState::Ready
     }
 
-    /// Whether the member is neither ejected nor pausing after a refusal.
+    /// Whether the member is neither ejected nor in the pause after a refusal.
     pub(super) fn is_available(&self, now: Duration) -> bool {
         !self.is_ejected(now) && now >= self.refused_until
     }
@@ -179,11 +180,11 @@
 
     /// Returns the time until long responses may be requested again.
     ///
-    /// It is zero unless the member refused one because the link of its instance was full.
-    /// The wait is longer for a member in another data centre if one in this data centre can
-    /// be asked (`has_near_member`). When links are full in every data centre, remote callers
-    /// would only displace callers in the member's data centre and add traffic between data
-    /// centres, which is charged by the byte.
+    /// The time is zero unless the member refused one because its instance's link was full. The
+    /// wait is longer for a member in another data centre if one in this data centre can be asked
+    /// (`has_near_member`). When links are full in every data centre, remote callers would only
+    /// displace callers in the member's data centre and add traffic between data centres, which is
+    /// charged by the byte.
     pub(super) fn link_wait(&self, now: Duration, has_near_member: bool) -> Duration {
         let until = if has_near_member && !self.is_near() {
             self.remote_link_refused_until.max(self.link_refused_until)
@@ -201,7 +202,10 @@
     /// Returns the expected run time of `route_hash` at the member in seconds.
     pub(super) fn run_s(&self, now: Duration, route_hash: u64, averages: ServiceAverages) -> f64 {
         let reported = self.runs.iter().find(|(known, _)| *known == route_hash);
-        let mean = averages.run.unwrap_or(UNKNOWN_RUN_TIME).as_secs_f64();
+        let mean = averages
+            .route_run_time
+            .unwrap_or(UNKNOWN_RUN_TIME)
+            .as_secs_f64();
         let run = reported.map_or_else(
             || mean * self.run_time_ratio.get().unwrap_or(1.0),
             |(_, run)| *run,
@@ -221,10 +225,12 @@
         averages: ServiceAverages,
     ) -> MemberEstimate {
         let run_s = self.run_s(now, route_hash, averages);
-        let reported = self.load.map(|load| load.report.service.as_secs_f64());
+        let reported = self
+            .load
+            .map(|load| load.report.mean_run_time.as_secs_f64());
         let mean_run_s = reported.filter(|&run_s| run_s > 0.0).unwrap_or(run_s);
         let slots = f64::from(self.record.slots.max(1));
-        let held = self.held(now, averages.held);
+        let held = self.held(now, averages.requests_per_slot);
         let queued = (held + 1.0 - slots).max(0.0) / slots;
         MemberEstimate {
             run_s,
@@ -239,8 +245,11 @@
         let Some(load) = self.load else {
             return 0.0;
         };
-        let left = load.report.link.saturating_sub(now.saturating_sub(load.at));
-        left.as_secs_f64()
+        let remaining = load
+            .report
+            .link_backlog
+            .saturating_sub(now.saturating_sub(load.at));
+        remaining.as_secs_f64()
     }
 
     /// Returns the share of the member's recent responses that were failures.
@@ -250,26 +259,27 @@
 
     /// Estimates the number of requests at the member, running or queued.
     ///
-    /// The reported number decays towards the mean of the service, `mean_per_slot`.
-    fn held(&self, now: Duration, mean_per_slot: f64) -> f64 {
-        let own = f64::from(self.outstanding);
+    /// The reported number decays towards the mean of the service, `mean_requests_per_slot`.
+    fn held(&self, now: Duration, mean_requests_per_slot: f64) -> f64 {
+        let own_requests = f64::from(self.outstanding);
         let Some(load) = self.load else {
-            return own;
+            return own_requests;
         };
         let age = now.saturating_sub(load.at).as_secs_f64();
-        let decay_s = (load.report.service.as_secs_f64() * LOAD_DECAY_RUNS).max(LOAD_DECAY_MIN_S);
+        let decay_s =
+            (load.report.mean_run_time.as_secs_f64() * LOAD_DECAY_RUNS).max(LOAD_DECAY_MIN_S);
         let weight = (-age / decay_s).exp();
         let reported = f64::from(load.report.running + load.report.waiting);
-        let mean = mean_per_slot * f64::from(self.record.slots);
+        let mean = mean_requests_per_slot * f64::from(self.record.slots);
         let since = f64::from(self.outstanding.saturating_sub(load.outstanding));
-        (reported * weight + mean * (1.0 - weight) + since).max(own)
+        (reported * weight + mean * (1.0 - weight) + since).max(own_requests)
     }
 
-    pub(super) fn request_sent(&mut self) {
+    pub(super) fn record_request_sent(&mut self) {
         self.outstanding += 1;
     }
 
-    pub(super) fn request_ended(&mut self) {
+    pub(super) fn record_request_ended(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
@@ -289,7 +299,7 @@
             outstanding,
             at: now,
         });
-        let run = report.run.as_secs_f64();
+        let run = report.route_run_time.as_secs_f64();
         if run <= 0.0 {
             return;
         }
@@ -312,7 +322,7 @@
     }
 
     pub(super) fn record_refused(&mut self, now: Duration, retry_after: Duration) {
-        self.refused_until = now + retry_after.min(REFUSED_MAX);
+        self.refused_until = now + retry_after.min(REFUSAL_PAUSE_MAX);
         self.responded_at = Some(now);
         self.ejection_time = Duration::ZERO;
     }
@@ -329,8 +339,8 @@
     }
 
     pub(super) fn record_link_refused(&mut self, now: Duration, retry_after: Duration) {
-        self.link_refused_until = now + retry_after.min(LINK_REFUSED_MAX);
-        self.remote_link_refused_until = now + LINK_REFUSED_REMOTE;
+        self.link_refused_until = now + retry_after.min(LINK_REFUSAL_PAUSE_MAX);
+        self.remote_link_refused_until = now + REMOTE_LINK_REFUSAL_PAUSE;
         self.responded_at = Some(now);
         self.ejection_time = Duration::ZERO;
     }
--- a/crates/node/src/member/pick_cost.rs
+++ b/crates/node/src/member/pick_cost.rs
@@ -6,19 +6,20 @@
 
 use super::{MemberKey, MemberView, PickQuery, service_pool::ServiceAverages};
 
-/// Cost in seconds of waiting of a kilobyte from another data centre. Traffic between data
+/// Cost of a kilobyte from another data centre, in seconds of waiting. Traffic between data
 /// centres is charged by the byte.
 const REMOTE_KB_COST_S: f64 = 0.003;
-/// Assumed length of a response of unknown length.
+/// Response size that is assumed while the route's mean size is unknown.
 const UNKNOWN_RESPONSE_BYTES: u64 = 5_000;
 /// Bytes per megabit.
 const BYTES_PER_MBIT: f64 = 125_000.0;
 /// Largest relative noise that is added to a cost. Without it, nodes with the same
 /// information would all pick the same member.
 const NOISE_SHARE: f64 = 0.15;
-/// Number of members that are sampled and compared. A node seldom hears of any one member,
-/// so the best of all would be the same few members for every node. Sampling by throughput
-/// gives each member its share, and comparing a few avoids the worst.
+/// Largest number of members that are sampled and compared. A node seldom learns the load
+/// of any one member, so the best of all would be the same few members for every node.
+/// Sampling by throughput gives each member its share, and comparing a few avoids the
+/// worst.
 const COMPARED_MAX: usize = 3;
 
 /// A member that the request may be sent to.
@@ -30,7 +31,7 @@
     pub(super) now: Duration,
     pub(super) query: &'a PickQuery<'a>,
     pub(super) averages: ServiceAverages,
-    /// Whether a near member can provide the expected long response.
+    /// Whether a long response is expected and a member in this data centre can provide it.
     pub(super) has_near_member: bool,
 }
 
@@ -42,11 +43,11 @@
         let unconfirmed = member
             .lapsed_at
             .is_some_and(|at| member.responded_at() < Some(at));
-        let fits = !self.query.is_long() || self.link_wait(member).is_zero();
+        let fits = !self.query.expects_long_response() || self.link_wait(member).is_zero();
         !unconfirmed && fits && member.is_available(self.now)
     }
 
-    /// Picks a member from `fresh` or `probed`.
+    /// Picks a member from `fresh`, which weren't probed, or `probed`.
     ///
     /// Available members of this data centre in `fresh` that are likely to respond in time
     /// go first. All of `probed` are compared, since their load is known. Members of `fresh`
@@ -114,7 +115,7 @@
         let key = self.cheapest(compared.clone(), rng)?;
         let (_, member) = compared.into_iter().find(|(other, _)| *other == key)?;
         let estimate = member.estimate(self.now, self.query.route_hash, self.averages);
-        estimate.is_prompt(self.query.target).then_some(key)
+        estimate.is_prompt(self.query.target_latency).then_some(key)
     }
 
     /// Returns the member with the lowest cost, or none of an empty list.
@@ -146,7 +147,7 @@
     /// Returns the cost of the request without that of the distance, in seconds of waiting.
     fn cost_s(self, member: &MemberView) -> f64 {
         let estimate = member.estimate(self.now, self.query.route_hash, self.averages);
-        let cost = estimate.cost_s(self.query.target);
+        let cost = estimate.cost_s(self.query.target_latency);
         if !self.uses_link(member) {
             return cost;
         }
@@ -156,7 +157,7 @@
     /// Whether a long response uses the link of the member's instance. A response from this
     /// node's own instance doesn't leave it.
     fn uses_link(self, member: &MemberView) -> bool {
-        self.query.is_long() && !member.is_local()
+        self.query.expects_long_response() && !member.is_local()
     }
 
     /// Returns the seconds that the link of the member's instance needs for the response.
@@ -165,7 +166,7 @@
         self.query.response_bytes as f64 / rate
     }
 
-    /// Returns the cost of traffic from the member, in seconds of waiting.
+    /// Returns the cost of traffic between data centres, in seconds of waiting.
     fn distance_cost_s(self, member: &MemberView) -> f64 {
         if member.is_near() {
             return 0.0;
--- a/crates/node/src/member/pick_query.rs
+++ b/crates/node/src/member/pick_query.rs
@@ -12,8 +12,8 @@
     pub service: &'a str,
     /// Hash of the route, by which run times are recorded.
     pub route_hash: u64,
-    /// Target response time of the route.
-    pub target: Duration,
+    /// Target latency of the route.
+    pub target_latency: Duration,
     /// Members already tried for this request.
     pub tried: &'a [MemberKey],
     /// Members that were probed for this request and had no free slot.
@@ -24,7 +24,7 @@
 
 impl PickQuery<'_> {
     /// Whether a long response is expected, which uses the link of the member's instance.
-    pub const fn is_long(&self) -> bool {
+    pub const fn expects_long_response(&self) -> bool {
         self.response_bytes > SHORT_RESPONSE_MAX_BYTES
     }
 }
--- a/crates/node/src/member/service_pool.rs
+++ b/crates/node/src/member/service_pool.rs
@@ -4,15 +4,15 @@
 
 use super::{LoadReport, MemberKey, MovingMean};
 
-/// Weight of one report in the means of a service. It spans about fifty reports, which
-/// come in within a second at the users' request rates.
+/// Weight of one report or response in the means of a service. The mean spans about fifty
+/// reports, which arrive within a second at the users' request rates.
 const LOAD_WEIGHT: f64 = 0.02;
 
 /// The members of one service, with their mean load and failure rate.
 #[derive(Debug, Default)]
 pub(super) struct ServicePool {
     pub(super) keys: Vec<MemberKey>,
-    /// Requests per slot, running or queued.
+    /// Mean requests per slot, running or queued.
     held: MovingMean,
     /// Share of the responses that were failures.
     failed: MovingMean,
@@ -37,7 +37,7 @@
     }
 
     /// Returns the mean number of requests per slot, running or queued.
-    pub(super) fn mean_held_per_slot(&self) -> f64 {
+    pub(super) fn mean_requests_per_slot(&self) -> f64 {
         self.held.get().unwrap_or(0.0)
     }
 }
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct ServiceAverages {
     /// Mean run time of the route; none if no member has reported one yet.
-    pub(super) run: Option<Duration>,
+    pub(super) route_run_time: Option<Duration>,
     /// Mean number of requests per slot of the service, running or queued.
-    pub(super) held: f64,
+    pub(super) requests_per_slot: f64,
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -33,16 +33,17 @@
 /// Idle timeout of listeners for other nodes, the platform and operators. It exceeds
 /// that of the connections which nodes keep to each other, so the client closes first.
 const INTERNAL_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Most bytes of a head on these listeners.
+/// Largest head in bytes on listeners for other nodes, the platform and operators.
 const INTERNAL_HEAD_MAX_BYTES: usize = 64 * 1024;
 /// Idle timeout of callers' connections before the first configuration.
 const INITIAL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time between cleanups of idle connections and vanished members.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Part of the shutdown timeout that is kept free before the process is killed.
+/// Part of the shutdown timeout that is left when the node stops waiting for open requests.
+/// The node closes its connections in it, before the process is killed.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
 /// Longest wait for connections to end once the listeners are closing. By then each
-/// sends its last response or is idle. Callers that don't read keep theirs open.
+/// connection sends its last response or is idle. Callers that don't read keep theirs open.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time between checks for open connections.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -112,11 +113,11 @@
         let handler = PeerHandler::new(Rc::clone(core));
         let core = Rc::clone(core);
         move |request| {
-            let (handler, open) = (
+            let (handler, guard) = (
                 handler.clone(),
                 core.open_request_guard(RequestOrigin::Node),
             );
-            async move { track_response(handler.answer(request).await, open) }
+            async move { track_response(handler.handle(request).await, guard) }
         }
     });
     let readiness = platform.clone();
@@ -129,7 +130,7 @@
     if let Some(metrics) = listeners.metrics {
         let handler = AdminHandler::new(Rc::clone(core));
         serve_internal(core, metrics, move |request| {
-            std::future::ready(handler.answer(&request))
+            std::future::ready(handler.handle(&request))
         });
     }
     spawn_local(watch_config(Rc::clone(core), Rc::clone(&store), source));
@@ -147,8 +148,9 @@
 
 /// Stops a node: finishes open requests and returns when the process may end.
 ///
-/// Callers are served until readiness checks have taken the node out of use. Other
-/// nodes' requests are refused, and those nodes retry elsewhere.
+/// Callers are served for [`CALLER_DRAIN_TIME`], in which readiness checks take the node
+/// out of use. Other nodes' requests are served for the leaving grace time, then refused,
+/// and those nodes retry elsewhere.
 pub async fn stop_node(core: &Rc<NodeCore>) {
     let begun = Instant::now();
     info!(core.log.logger(), "stopping"; "open" => core.open_requests.get());
@@ -173,26 +175,26 @@
 /// Counts a response as open until its end, and its head as link traffic.
 fn track_response(
     response: Response<ResponseBody>,
-    open: OpenRequestGuard,
+    guard: OpenRequestGuard,
 ) -> Response<ResponseBody> {
-    open.sent_head(response.headers());
-    response.map(|body| body.with_open_request_guard(open))
+    guard.record_head(response.headers());
+    response.map(|body| body.with_open_request_guard(guard))
 }
 
 fn serve_callers(core: &Rc<NodeCore>, listener: TcpListener) {
     let proxy = OutboundProxy::new(Rc::clone(core));
     let (counted, limited) = (Rc::clone(core), Rc::clone(core));
     let handler = move |request| {
-        let (proxy, open) = (
+        let (proxy, guard) = (
             proxy.clone(),
             counted.open_request_guard(RequestOrigin::Caller),
         );
-        async move { track_response(proxy.answer(request).await, open) }
+        async move { track_response(proxy.handle(request).await, guard) }
     };
     let limits = move || match &*limited.config.borrow() {
         Some(config) => ConnectionLimits {
-            idle_timeout: config.limits.idle_time,
-            max_head_bytes: config.limits.head_bytes,
+            idle_timeout: config.limits.idle_timeout,
+            max_head_bytes: config.limits.max_head_bytes,
         },
         None => ConnectionLimits {
             idle_timeout: INITIAL_IDLE_TIMEOUT,
--- a/crates/node/src/node_clock.rs
+++ b/crates/node/src/node_clock.rs
@@ -28,18 +28,18 @@
     }
 
     /// Returns the time from the clock's start to `instant`, or zero if it was earlier.
-    pub fn at(&self, instant: Instant) -> Duration {
+    pub fn time_of(&self, instant: Instant) -> Duration {
         instant.saturating_duration_since(self.start)
     }
 
     /// Returns the instant that is `time` after the clock's start.
-    pub fn instant(&self, time: Duration) -> Instant {
+    pub fn instant_of(&self, time: Duration) -> Instant {
         self.start + time
     }
 
     /// Returns the wall-clock time in Unix milliseconds.
     ///
-    /// It may jump, so durations are taken from the monotonic clock.
+    /// The wall clock may jump, so durations are taken from the monotonic clock.
     pub fn unix_ms() -> u64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         now.map_or(0, |now| now.as_millis() as u64)
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -17,7 +17,7 @@
 const ACK_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl NodeCore {
-    /// Handles a heartbeat of the backend server.
+    /// Handles a heartbeat of the backend server and returns its effect.
     ///
     /// A heartbeat is accepted only for a service named in the settings or the configuration
     /// in force. Another process may post heartbeats to this address. If such a heartbeat were
@@ -36,7 +36,7 @@
             self.inbound.close_idle_connections();
             if let Some(ended) = previous {
                 let broken = self.inbound.broken_runs();
-                broken.replaced(now, &ended, start.instance());
+                broken.record_replacement(now, &ended, start.instance());
             }
         }
         if matches!(outcome, ReportOutcome::Adopted | ReportOutcome::Changed) {
@@ -54,25 +54,25 @@
 
     /// Handles the deregistration of a start of the backend server.
     pub fn deregister(&self, start: EndpointStart) {
-        let name = start.to_string();
+        let start_text = start.to_string();
         let is_current = self.inbound.tracker().borrow_mut().deregister(
             self.clock.now(),
             start,
             NodeClock::unix_ms(),
         );
         info!(self.log.logger(), "backend server deregistered";
-            "instance" => name, "here" => is_current);
+            "instance" => start_text, "here" => is_current);
         self.announcement_outdated.set(is_current);
         self.announcement_changed.notify_one();
     }
 
     /// Waits until a change of the backend server is written to the store.
     ///
-    /// If the change revealed a crash, the wait includes reporting it to other nodes. If the
-    /// node were killed between acknowledging that the backend server leaves and writing it,
-    /// the next node process wouldn't know of it. The store usually answers in milliseconds,
-    /// and the sender of a report waits one second for the acknowledgment. The wait ends after
-    /// `ACK_TIMEOUT`, so a report is also acknowledged while the store is unavailable.
+    /// If the change revealed a crash, the wait includes reporting it to other nodes. If the node
+    /// were killed between acknowledging that the backend server leaves and writing it, the next
+    /// node process wouldn't know of it. The store usually responds in milliseconds, and the sender
+    /// of a report waits one second for the acknowledgment. The wait ends after `ACK_TIMEOUT`, so a
+    /// report is also acknowledged while the store is unavailable.
     pub async fn until_announced(&self) {
         let wait = async {
             while self.announcement_outdated.get() {
@@ -96,13 +96,13 @@
         self.caller_service.borrow().clone()
     }
 
-    /// Sets the service that runs on this machine now.
+    /// Sets the service that is named to backend servers as the sender of requests.
     pub fn set_caller_service(&self, service: &str) {
         *self.caller_service.borrow_mut() = service_value(service);
     }
 }
 
-/// Returns a service name as a header value, empty if it can't be one.
+/// Returns a service name as a header value; empty if a header can't hold the name.
 pub(super) fn service_value(service: &str) -> HeaderValue {
     HeaderValue::from_str(service).unwrap_or(HeaderValue::from_static(""))
 }
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -1,4 +1,4 @@
-//! State that all parts of a node share, and the recording of events.
+//! State that all parts of a node share, and the recording of their events.
 
 mod connection_guard;
 mod crash_records;
@@ -45,9 +45,9 @@
 ///
 /// Most backend servers have this many.
 const ASSUMED_SLOTS: u32 = 8;
-/// Share of the leaving time in which a backend server still gets requests.
+/// Share of the leaving time in which a leaving backend server still gets requests.
 ///
-/// The rest is for requests that have already reached this node.
+/// The rest of the time is for requests that have already reached this node.
 const LEAVING_GRACE_SHARE: f64 = 0.4;
 
 /// Time after the stop signal in which callers are still served.
@@ -79,20 +79,20 @@
     pub link: Rc<LinkScheduler>,
     /// Open connections to other nodes.
     pub peer_connections: ConnectionPool,
-    /// Budget that limits retries.
+    /// Budget that limits the retries of this node's requests.
     pub retries: RefCell<RetryBudget>,
-    /// Event log.
+    /// Log of this node, with a rate limit on lines about single requests.
     pub log: EventLog,
     /// Prometheus metrics of this node.
     pub metrics: NodeMetrics,
-    /// Wakes the announcer after the inbound proxy's state changed.
+    /// Wakes the announcer when the announcement in the store may have to change.
     pub announcement_changed: Notify,
     /// Announcement of this node that an earlier process left in the store.
-    pub own_record: RefCell<Option<MemberRecord>>,
-    /// Lease of the announcement in `own_record`.
-    pub own_lease: Cell<Option<LeaseId>>,
-    /// Wakes the task that confirms `own_record` with the backend server.
-    pub own_record_received: Notify,
+    pub earlier_record: RefCell<Option<MemberRecord>>,
+    /// Lease of the announcement in `earlier_record`.
+    pub earlier_lease: Cell<Option<LeaseId>>,
+    /// Wakes the task that confirms `earlier_record` with the backend server.
+    pub earlier_record_received: Notify,
     /// Wakes tasks that wait until the announcement is written to the store.
     pub announced: Notify,
     /// Whether the announcement in the store is known to be outdated.
@@ -102,7 +102,7 @@
     /// Wakes the task that fetches the configuration from `newer_config_at`.
     pub newer_config_known: Notify,
     /// Wakes tasks that wait for a configuration, member or store-contact update.
-    pub updates: Notify,
+    pub update_arrived: Notify,
     /// Wakes tasks when this node may have to start or stop watching the store.
     pub watch_duty_changed: Notify,
     /// Eras of the store that this node has seen.
@@ -125,7 +125,7 @@
     pub connections: Cell<u32>,
     /// Whether listeners and connections are being closed.
     pub closing: watch::Sender<bool>,
-    /// First arrival times of refused requests that callers may resend.
+    /// First arrival times of requests without a response, which callers may resend.
     pub resends: RefCell<ResendTracker>,
     /// Estimates from a request's deadline how long ago its caller first sent it.
     pub deadlines: RefCell<DeadlineTracker>,
@@ -183,14 +183,14 @@
             retries: RefCell::new(RetryBudget::new(settings.retries)),
             log,
             announcement_changed: Notify::new(),
-            own_record: RefCell::default(),
-            own_lease: Cell::new(None),
-            own_record_received: Notify::new(),
+            earlier_record: RefCell::default(),
+            earlier_lease: Cell::new(None),
+            earlier_record_received: Notify::new(),
             announced: Notify::new(),
             announcement_outdated: Cell::new(false),
             newer_config_at: RefCell::default(),
             newer_config_known: Notify::new(),
-            updates: Notify::new(),
+            update_arrived: Notify::new(),
             watch_duty_changed: Notify::new(),
             eras: Rc::default(),
             store_access: RefCell::default(),
@@ -238,19 +238,19 @@
     ///
     /// Returns whether it was adopted. `source` says in the log where it came from.
     pub fn adopt_config(&self, config: MeshConfig, source: &'static str) -> bool {
-        let before = self.version();
-        if config.version <= before {
+        let previous_version = self.version();
+        if config.version <= previous_version {
             return false;
         }
         info!(self.log.logger(), "configuration in force";
             "version" => config.version.0,
-            "before" => before.0,
+            "before" => previous_version.0,
             "routes" => config.route_count(),
             "source" => source);
-        self.metrics.config_version(config.version.0);
+        self.metrics.set_config_version(config.version.0);
         self.history.borrow_mut().push(Rc::clone(&config.input));
         *self.config.borrow_mut() = Some(Rc::new(config));
-        self.updates.notify_waiters();
+        self.update_arrived.notify_waiters();
         true
     }
 
@@ -287,11 +287,11 @@
 
     /// Returns whether new requests from callers are refused.
     ///
-    /// That is so from [`CALLER_DRAIN_TIME`] after the stop signal. By then, callers that can
-    /// use another node have left. Callers keep using a node that isn't ready while most nodes
-    /// of their data centre aren't ready, and a request that arrives shortly before the process
-    /// is killed would be cut off. The remaining callers are therefore told at once to retry
-    /// later, and open requests can finish.
+    /// They are refused from [`CALLER_DRAIN_TIME`] after the stop signal. By then, callers that can
+    /// use another node have left. Callers keep using a node that isn't ready while most nodes of
+    /// their data centre aren't ready, and a request that arrives shortly before the process is
+    /// killed would be cut off. The remaining callers are therefore told at once to retry later,
+    /// and open requests can finish.
     pub fn rejects_new_callers(&self) -> bool {
         let now = self.clock.now();
         self.stopping_since
@@ -299,7 +299,10 @@
             .is_some_and(|since| now >= since + CALLER_DRAIN_TIME)
     }
 
-    /// Starts the shutdown: stops the inbound proxy and wakes the announcer.
+    /// Starts the shutdown.
+    ///
+    /// The inbound proxy will refuse other nodes' requests after its grace time, and the announcer
+    /// is woken to announce the leaving.
     pub fn begin_shutdown(&self) {
         self.stopping_since.set(Some(self.clock.now()));
         self.inbound.stop();
@@ -322,8 +325,8 @@
         self.inbound.sweep();
         self.resends.borrow_mut().sweep(now);
         self.link.report_usage(now);
-        let gone = self.fleet.borrow_mut().sweep(now);
-        for record in gone {
+        let expired_records = self.fleet.borrow_mut().sweep(now);
+        for record in expired_records {
             info!(self.log.logger(), "member gone";
                 "at" => %record.peer_addr,
                 "instance" => %record.start,
--- a/crates/node/src/node_core/request_outcomes.rs
+++ b/crates/node/src/node_core/request_outcomes.rs
@@ -24,7 +24,7 @@
         result: RequestResult,
         took: Duration,
     ) {
-        self.metrics.request(RequestCount {
+        self.metrics.record_request(RequestCount {
             service: &request.service,
             kind: Some(request.route.kind),
             code,
@@ -47,7 +47,7 @@
             "cause" => "its runs fail when these are turned away");
     }
 
-    /// Records a request that was answered by a backend server.
+    /// Records a request that got the response of a backend server from the member `at`.
     pub fn record_served(
         &self,
         request: &OutboundRequest,
@@ -61,15 +61,18 @@
                 .borrow_mut()
                 .observe(request.route.route_hash, bytes);
         }
-        // The local inbound proxy records the requests that it answered itself.
+        // The local inbound proxy records the requests that the local backend server
+        // completed.
         let is_remote = at.is_some_and(|at| at.peer_addr != self.settings.peer_addr);
         if is_remote && response.status().is_success() {
-            self.crashes.borrow_mut().completed(request.fingerprint);
+            self.crashes
+                .borrow_mut()
+                .record_completion(request.fingerprint);
         }
         let took = request.arrived.elapsed();
         let result = match response.status() {
             status if status.is_server_error() => RequestResult::Failed,
-            _ if took <= request.route.target => RequestResult::Good,
+            _ if took <= request.route.target_latency => RequestResult::Good,
             _ => RequestResult::Slow,
         };
         self.count(request, ResultCode::Ok, result, took);
@@ -84,12 +87,12 @@
                 "at" => at.map(|at| at.peer_addr.to_string()),
                 "instance" => at.map(|at| at.start.to_string()),
                 "tries" => tries,
-                "target_ms" => request.route.target.as_millis() as u64,
+                "target_ms" => request.route.target_latency.as_millis() as u64,
                 "took_ms" => took.as_millis() as u64);
         }
     }
 
-    /// Records a request that this node answered itself, after `tries` tries.
+    /// Records a request that got a reply of this node itself after `tries` tries.
     pub fn record_failed(
         &self,
         request: &OutboundRequest,
@@ -127,14 +130,17 @@
         }
     }
 
-    /// Records a request that was refused before a route was found for it.
+    /// Records a request that was rejected before it was sent to any member.
+    ///
+    /// The request has no route, a bad, late or too large body, or crashes backend servers,
+    /// or the node has no configuration yet or is stopping.
     pub fn record_rejected(&self, id: Option<&HeaderValue>, reply: &LocalReply) {
         let result = if reply.status.is_client_error() {
             RequestResult::CallerFault
         } else {
             RequestResult::Failed
         };
-        self.metrics.request(RequestCount {
+        self.metrics.record_request(RequestCount {
             service: "",
             kind: None,
             code: reply.code,
--- a/crates/node/src/node_metrics.rs
+++ b/crates/node/src/node_metrics.rs
@@ -31,22 +31,23 @@
     Slow,
     /// The request got no good response.
     Failed,
-    /// The request itself was at fault: its response has a 4xx status and no route.
+    /// The request was rejected with a 4xx status before any try: it has no route, or its
+    /// body is malformed, late or too large.
     CallerFault,
 }
 
-/// Answered request, as the counters take it.
+/// Request that got its final response, with the labels under which it is counted.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestCount<'a> {
-    /// Service of the route; empty when the request matched none.
+    /// Service of the route; empty when the request was rejected before any try.
     pub service: &'a str,
-    /// Kind of the route's requests; none when the request matched no route.
+    /// Kind of the route's requests; none when the request was rejected before any try.
     pub kind: Option<RequestKind>,
-    /// Reason of a response that this node made itself; `Ok` otherwise.
+    /// Reason of a reply of this node itself; `Ok` for a backend server's response.
     pub code: ResultCode,
     /// Outcome for the service's objectives.
     pub result: RequestResult,
-    /// Time until the response's head.
+    /// Time from the request's arrival to the response's head.
     pub took: Duration,
 }
 
@@ -113,7 +114,7 @@
     }
 
     /// Counts a request that got its final response.
-    pub fn request(&self, count: RequestCount<'_>) {
+    pub fn record_request(&self, count: RequestCount<'_>) {
         let service = KeyValue::new("service", count.service.to_owned());
         let kind = KeyValue::new("kind", count.kind.map_or("none", Into::into));
         let code: &'static str = count.code.into();
@@ -142,17 +143,17 @@
     }
 
     /// Sets the version of the configuration in force.
-    pub fn config_version(&self, version: u64) {
+    pub fn set_config_version(&self, version: u64) {
         self.config_version.record(version, &[]);
     }
 
     /// Sets the number of known members.
-    pub fn members(&self, count: usize) {
+    pub fn set_members(&self, count: usize) {
         self.members.record(count as u64, &[]);
     }
 
-    /// Sets one of the figures of the inbound proxy's queue.
-    pub fn queue(&self, figure: &'static str, value: u32) {
+    /// Sets the number of running or waiting requests at the inbound proxy.
+    pub fn set_queue(&self, figure: &'static str, value: u32) {
         let labels = [KeyValue::new("figure", figure)];
         self.queue.record(value.into(), &labels);
     }
--- a/crates/node/src/node_settings.rs
+++ b/crates/node/src/node_settings.rs
@@ -26,11 +26,11 @@
     pub instance: String,
     /// Data centre of the instance.
     pub data_centre: String,
-    /// Service of the local backend server.
+    /// Name of the service that the local backend server provides.
     pub service: String,
     /// Address of the local backend server.
     pub endpoint: SocketAddr,
-    /// Whether the whole fleet starts for the first time, so nobody is announced yet.
+    /// Whether the whole fleet starts for the first time, so that no node is announced yet.
     pub first_start: bool,
     /// Address at which other nodes reach this one.
     pub peer_addr: SocketAddr,
@@ -40,13 +40,13 @@
     pub peer_connect_timeout: Duration,
     /// Longest idle time after which a connection to another node is reused.
     pub peer_idle_timeout: Duration,
-    /// Time in which a leaving backend server may still get new requests, counted from
-    /// the acknowledgment of its leaving.
+    /// Time in which a leaving backend server may still get new requests. It counts from
+    /// the acknowledgment of the leaving.
     pub leaving_time: Duration,
     /// Time between the signal to stop and the kill of the process.
     pub shutdown_timeout: Duration,
     /// Bandwidth of the instance's network link, in megabits per second.
     pub link_mbps: f64,
-    /// Limits on retries.
+    /// Limits on the retries of all nodes together.
     pub retries: RetryLimits,
 }
--- a/crates/node/src/outbound/caller_input.rs
+++ b/crates/node/src/outbound/caller_input.rs
@@ -10,7 +10,7 @@
 use super::LocalReply;
 use crate::config::MeshConfig;
 
-/// Returns the host of a request in lower case, without its port.
+/// Returns the host that a request names, in lower case and without its port.
 pub(super) fn host_of(head: &Parts) -> Option<String> {
     let named = head
         .headers
@@ -23,8 +23,8 @@
 
 /// Reads the whole body of a request.
 ///
-/// Fails if the body exceeds the configured limit, can't be read, or isn't complete at
-/// `ends_at`.
+/// If the body exceeds the configured limit, can't be read, or isn't complete at `ends_at`,
+/// the error is the reply to the caller.
 pub(super) async fn read_body(
     body: Incoming,
     config: &MeshConfig,
@@ -33,7 +33,7 @@
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let limited = Limited::new(body, config.limits.body_bytes);
+    let limited = Limited::new(body, config.limits.max_body_bytes);
     match timeout_at(ends_at, limited.collect()).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
--- a/crates/node/src/outbound/deadline_tracker.rs
+++ b/crates/node/src/outbound/deadline_tracker.rs
@@ -1,14 +1,14 @@
-//! Detects callers' later attempts by their remaining time.
+//! Detects requests that callers send again by their remaining time.
 
 use std::{collections::HashMap, time::Duration};
 
 use smallvec::SmallVec;
 
-/// Number of deadlines that are counted for each route. With this number, a deadline that
+/// Largest number of deadlines that are counted for each route. With this number, a deadline that
 /// one in five of a route's requests has is certain to be found.
 const DEADLINES_MAX: usize = 5;
-/// Least share of a route's requests for a deadline of first attempts.
-const USUAL_SHARE: f64 = 0.1;
+/// Smallest share of a route's requests that a deadline of first attempts has.
+const FIRST_ATTEMPT_SHARE_MIN: f64 = 0.1;
 /// Largest difference between deadlines that count as the same. A request takes a
 /// millisecond to reach the node, and a few more on a busy machine.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(5);
@@ -16,7 +16,7 @@
 /// few seconds at the users' request rates.
 const HALVE_AFTER_REQUESTS: f64 = 256.0;
 
-/// A deadline and the decaying number of requests that had it.
+/// A deadline, as a caller's waiting time, and the decaying count of its requests.
 #[derive(Debug, Clone, Copy)]
 struct SeenDeadline {
     deadline: Duration,
@@ -43,10 +43,10 @@
 }
 
 impl DeadlineTracker {
-    /// Records the deadline of a request and returns the time since its first attempt.
+    /// Records the time left for a request, and returns the time since its first attempt.
     ///
-    /// The request is one of the route with `route_hash`. The result is zero if the request
-    /// looks like a first attempt.
+    /// `deadline` is the time for which the caller still waits. The request is one of the route
+    /// with `route_hash`. The result is zero if the request looks like a first attempt.
     ///
     /// # Examples
     ///
@@ -94,13 +94,13 @@
     }
 
     fn time_since_first_attempt(&self, deadline: Duration) -> Duration {
-        let least = self.total * USUAL_SHARE;
-        let usual = self.seen.iter().filter(|seen| seen.count >= least);
-        let from = usual.map(|seen| seen.deadline);
-        let from = from
+        let min_count = self.total * FIRST_ATTEMPT_SHARE_MIN;
+        let usual = self.seen.iter().filter(|seen| seen.count >= min_count);
+        let first_deadline = usual.map(|seen| seen.deadline);
+        let first_deadline = first_deadline
             .filter(|usual| *usual + DEADLINE_TOLERANCE >= deadline)
             .min();
-        from.map_or(Duration::ZERO, |usual| {
+        first_deadline.map_or(Duration::ZERO, |usual| {
             let time_since_first_attempt = usual.saturating_sub(deadline);
             if time_since_first_attempt > DEADLINE_TOLERANCE {
                 time_since_first_attempt
--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use crate::{member::MemberKey, node_core::NodeCore, transport::PooledSender};
+use crate::{member::MemberKey, node_core::NodeCore, transport::PooledConnection};
 
 /// Counts a request as outstanding at a member until the guard is dropped.
 ///
@@ -11,13 +11,13 @@
 pub struct InFlightGuard {
     core: Rc<NodeCore>,
     key: MemberKey,
-    sender: Option<PooledSender>,
+    sender: Option<PooledConnection>,
 }
 
 impl InFlightGuard {
     /// Counts a request as outstanding at `key`.
     pub fn new(core: &Rc<NodeCore>, key: MemberKey) -> Self {
-        core.fleet.borrow_mut().request_sent(key);
+        core.fleet.borrow_mut().record_request_sent(key);
         Self {
             core: Rc::clone(core),
             key,
@@ -30,8 +30,8 @@
         self.key
     }
 
-    /// Holds the connection on which the response arrives.
-    pub fn hold(&mut self, sender: PooledSender) {
+    /// Keeps the connection on which the response arrives until the guard is dropped.
+    pub fn hold(&mut self, sender: PooledConnection) {
         self.sender = Some(sender);
     }
 
@@ -45,6 +45,6 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.core.fleet.borrow_mut().request_ended(self.key);
+        self.core.fleet.borrow_mut().record_request_ended(self.key);
     }
 }
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -24,12 +24,12 @@
 
 /// Time after the node's start within which its first configuration is expected.
 const FIRST_CONFIG_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Number of open requests above which none waits for the first configuration.
+/// Number of open requests above which no request waits for the first configuration.
 const WAITING_REQUESTS_MAX: u32 = 128;
-/// Least `Retry-After` before the first configuration. If there is none soon after the
-/// start, the store is unavailable.
+/// Smallest `Retry-After` before the first configuration. If no configuration arrives soon
+/// after the start, the store is unavailable.
 const RETRY_NOT_READY_MIN: Duration = Duration::from_millis(500);
-/// `Retry-After` while the node stops. A restarted process is back within about a second.
+/// `Retry-After` while the node stops. A restarted process is ready within about a second.
 const RETRY_STOPPING: Duration = Duration::from_millis(250);
 /// Time before the caller's deadline at which it gets a final response. The response takes a
 /// millisecond to reach the caller, and a few more on a busy machine.
@@ -47,10 +47,10 @@
         Self { core }
     }
 
-    /// Handles a request and returns the response for the caller.
+    /// Serves a request and returns the response for the caller.
     ///
     /// The response carries the caller's request identifier.
-    pub async fn answer(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
+    pub async fn handle(&self, incoming: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = Instant::now();
         let id = incoming
             .headers()
@@ -74,7 +74,7 @@
         response
     }
 
-    /// Reads and routes a request.
+    /// Reads and routes a request; the error is the reply to a request that is rejected.
     async fn receive(
         &self,
         incoming: Request<Incoming>,
@@ -107,11 +107,11 @@
         let service = route.shares.draw();
         let caller_deadline = deadline.map(|deadline| arrived + deadline);
         let first_attempt_at = self.first_attempt_at(arrived, &route, fingerprint, deadline);
-        let target_deadline = first_attempt_at + route.target;
-        let nested = self
+        let target_deadline = first_attempt_at + route.target_latency;
+        let is_nested = self
             .core
             .inbound
-            .nested_calls()
+            .nested_call_detector()
             .borrow()
             .is_nested_call(route.route_hash);
         Ok(OutboundRequest {
@@ -124,7 +124,7 @@
             first_attempt_at,
             caller_deadline,
             target_deadline,
-            nested,
+            is_nested,
             route,
             service,
             version: config.version,
@@ -133,23 +133,23 @@
         })
     }
 
-    /// Returns the configuration in force, after waiting for the first one if need be.
+    /// Returns the configuration in force; waits for the first one while there is none.
     ///
     /// After a power cut, callers send their second attempt before any node has read its
     /// configuration, and most of them make no third one.
     async fn current_config(&self) -> Result<Rc<MeshConfig>, LocalReply> {
         loop {
-            let updated = self.core.updates.notified();
+            let updated = self.core.update_arrived.notified();
             let config = self.core.config.borrow().clone();
             if let Some(config) = config {
                 return Ok(config);
             }
-            let left = FIRST_CONFIG_TIMEOUT.saturating_sub(self.core.clock.now());
-            if left.is_zero() || self.core.open_requests.get() > WAITING_REQUESTS_MAX {
-                let retry_after = left.max(RETRY_NOT_READY_MIN);
+            let time_left = FIRST_CONFIG_TIMEOUT.saturating_sub(self.core.clock.now());
+            if time_left.is_zero() || self.core.open_requests.get() > WAITING_REQUESTS_MAX {
+                let retry_after = time_left.max(RETRY_NOT_READY_MIN);
                 return Err(LocalReply::not_run(ResultCode::NotReady, retry_after));
             }
-            let _timed_out = timeout(left, updated).await;
+            let _timed_out = timeout(time_left, updated).await;
         }
     }
 
@@ -164,8 +164,8 @@
 
     /// Returns the time of the caller's first attempt, as far as it is known.
     ///
-    /// It is taken from an earlier refusal of the request here or, without one, estimated
-    /// from the remaining time in the request.
+    /// The time is taken from an earlier failed attempt of the request here or, without
+    /// one, estimated from the remaining time in the request.
     fn first_attempt_at(
         &self,
         arrived: Instant,
@@ -178,8 +178,10 @@
         };
         let clock = self.core.clock;
         let resends = self.core.resends.borrow();
-        if let Some(first) = resends.first_attempt_at(fingerprint, clock.at(arrived + deadline)) {
-            return clock.instant(first);
+        if let Some(first) =
+            resends.first_attempt_at(fingerprint, clock.time_of(arrived + deadline))
+        {
+            return clock.instant_of(first);
         }
         let mut deadlines = self.core.deadlines.borrow_mut();
         let time_since_first_attempt =
@@ -189,19 +191,19 @@
             .unwrap_or(arrived)
     }
 
-    /// Remembers a request without a response of a backend server. Its caller may send it
-    /// again.
-    fn record_refused(&self, request: &OutboundRequest) {
+    /// Remembers a request that got no response of a backend server. Its caller may send
+    /// the request again.
+    fn record_failed_attempt(&self, request: &OutboundRequest) {
         let Some(caller_deadline) = request.caller_deadline else {
             return;
         };
         let clock = self.core.clock;
         let (first_attempt_at, caller_deadline) = (
-            clock.at(request.first_attempt_at),
-            clock.at(caller_deadline),
+            clock.time_of(request.first_attempt_at),
+            clock.time_of(caller_deadline),
         );
         let mut resends = self.core.resends.borrow_mut();
-        resends.refused(request.fingerprint, first_attempt_at, caller_deadline);
+        resends.record_failed_attempt(request.fingerprint, first_attempt_at, caller_deadline);
     }
 
     async fn serve(&self, request: &OutboundRequest) -> Response<ResponseBody> {
@@ -235,13 +237,15 @@
             }
             Err(reply) => {
                 let now = self.core.clock.now();
-                let mut nested_calls = self.core.inbound.nested_calls().borrow_mut();
-                let learned = nested_calls.request_failed(now, request.route.route_hash);
-                drop(nested_calls);
-                if let Some(route_hash) = learned {
+                let mut nested_call_detector =
+                    self.core.inbound.nested_call_detector().borrow_mut();
+                let newly_detected =
+                    nested_call_detector.record_failed_request(now, request.route.route_hash);
+                drop(nested_call_detector);
+                if let Some(route_hash) = newly_detected {
                     self.core.record_nested_calls(route_hash);
                 }
-                self.record_refused(request);
+                self.record_failed_attempt(request);
                 let cause = tries.failure_cause.as_deref();
                 self.core
                     .record_failed(request, &reply, tries.count(), cause);
--- a/crates/node/src/outbound/outbound_request.rs
+++ b/crates/node/src/outbound/outbound_request.rs
@@ -11,7 +11,7 @@
 /// A caller's request after it was read and routed.
 #[derive(Debug, Clone)]
 pub struct OutboundRequest {
-    /// Identifier of the caller's attempt, for the log; empty if the caller sent none.
+    /// Value of the caller's request-id header, for the log; empty if it sent none.
     pub id: Rc<str>,
     /// HTTP method.
     pub method: Method,
@@ -19,26 +19,26 @@
     pub uri: Uri,
     /// Headers to send to the backend server.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
     /// Hash of the request, by which a repeated one is recognised.
     pub fingerprint: u64,
-    /// Route of the request.
+    /// Route that the host and path of the request matched.
     pub route: Rc<RouteRule>,
     /// Service that was selected by the route's weights.
     pub service: Rc<str>,
     /// Version of the configuration by which the request was routed.
     pub version: ConfigVersion,
     /// Whether this machine's backend server sent the request during a run of its own.
-    pub nested: bool,
+    pub is_nested: bool,
     /// When the request arrived at the node.
     pub arrived: Instant,
     /// When the caller made its first attempt, as far as is known.
     pub first_attempt_at: Instant,
     /// When the caller stops waiting; none if it doesn't say.
     pub caller_deadline: Option<Instant>,
-    /// When the target response time of the route is over, counted from the first attempt.
+    /// When the route's target latency is over, counted from the first attempt.
     pub target_deadline: Instant,
-    /// When the caller gets a final response at the latest.
+    /// Latest time at which the caller gets a final response, shortly before its deadline.
     pub ends_at: Instant,
 }
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -18,7 +18,7 @@
     member::{MemberKey, MemberRecord, PickQuery, TryOutcome},
     node_core::NodeCore,
     response_body::ResponseBody,
-    retry::RetryNeed,
+    retry::RetryQuery,
 };
 
 /// A member that the request is sent to next, or was sent to.
@@ -50,7 +50,7 @@
         loop {
             let next = self.next_try(tries)?;
             tries.begin(next.key);
-            let (sent_try, result) = self.send_watched(next, tries).await;
+            let (sent_try, result) = self.send_with_hedge(next, tries).await;
             match result {
                 Ok(response) => {
                     tries.in_flight -= 1;
@@ -92,22 +92,25 @@
         if !(failed && whole && self.may_retry(tries, key)) {
             return Some(response);
         }
-        tries.ran = true;
+        tries.earlier_try_may_have_run = true;
         tries.failure_cause = Some(format!("status {}", response.status().as_u16()));
         tries.fallback_response = Some(response);
         None
     }
 
-    /// Sends the request to a member, and hedges it if that one is silent.
+    /// Sends the request to a member, and hedges it if that member is silent.
     ///
     /// Returns the try that responded or ended last, with its result.
     ///
-    /// When a member freezes,
-    /// loses power or its connection stalls, no response arrives and no error either. A
-    /// member that sends this node nothing for the silence timeout is ejected, and an
-    /// idempotent request is sent to another member as well. The first try
-    /// continues until the second has a response, as it may be the only one to get one.
-    async fn send_watched(self, next: NextTry, tries: &mut TryRecord<'_>) -> (NextTry, TryResult) {
+    /// When a member freezes, loses power or its connection stalls, neither a response nor an error
+    /// arrives. A member that sends this node nothing for the silence timeout is ejected, and an
+    /// idempotent request is sent to another member as well. The first try continues until the
+    /// second has a response, as it may be the only one to get one.
+    async fn send_with_hedge(
+        self,
+        next: NextTry,
+        tries: &mut TryRecord<'_>,
+    ) -> (NextTry, TryResult) {
         let sent_at = self.core.clock.now();
         let silence_timeout = {
             let fleet = self.core.fleet.borrow();
@@ -177,15 +180,15 @@
 
     /// Whether a silent try may be hedged with a second one.
     ///
-    /// The request must be idempotent, another member available, and the retry budget not
-    /// used up.
+    /// The request must be idempotent, another member available, and neither the route's `attempts`
+    /// nor the retry budget used up.
     fn may_hedge(self, tries: &TryRecord<'_>) -> bool {
         let now = self.core.clock.now();
         let fleet = self.core.fleet.borrow();
         self.request.route.kind.is_idempotent()
             && self.has_tries(tries)
             && fleet.has_available(now, &self.query(tries))
-            && self.may_run_again(fleet.len())
+            && self.budget_allows_rerun(fleet.len())
     }
 
     /// Whether the request may be tried again after the member `failed` responded with a
@@ -198,22 +201,23 @@
         }
         let now = self.core.clock.now();
         let fleet = self.core.fleet.borrow();
-        fleet.has_healthier(now, failed, &self.query(tries)) && self.may_run_again(fleet.len())
+        fleet.has_healthier(now, failed, &self.query(tries))
+            && self.budget_allows_rerun(fleet.len())
     }
 
     fn has_tries(self, tries: &TryRecord<'_>) -> bool {
         tries.arrivals < self.request.route.attempts && tries.tried.len() < TRIES_MAX
     }
 
-    /// Whether the retry budget allows a further try of a request that may have run.
-    fn may_run_again(self, nodes: usize) -> bool {
-        let need = RetryNeed {
+    /// Whether the retry budget allows another try of a request that may have run.
+    fn budget_allows_rerun(self, nodes: usize) -> bool {
+        let retry_query = RetryQuery {
             service: &self.request.service,
             nodes,
-            runs_again: true,
+            may_rerun: true,
         };
         let now = self.core.clock.now();
-        self.core.retries.borrow().has_room(now, need)
+        self.core.retries.borrow().would_grant(now, retry_query)
     }
 
     /// Picks the next member, or returns none when the request is to be given up.
@@ -233,7 +237,7 @@
             });
             return None;
         }
-        if tries.is_full() && !self.request.nested && !fleet.has_available(now, &query) {
+        if tries.is_full() && !self.request.is_nested && !fleet.has_available(now, &query) {
             return None;
         }
         let rng = &mut rand::rng();
@@ -265,20 +269,20 @@
         Some(next)
     }
 
-    /// Withdraws a further arrival at a backend server from the retry budget.
+    /// Withdraws another arrival at a backend server from the retry budget.
     ///
-    /// Returns false if the route's attempts or the budget are used up.
+    /// Returns false if the route's `attempts` or the budget are used up.
     fn may_arrive_again(self, tries: &TryRecord<'_>) -> bool {
         if tries.arrivals >= self.request.route.attempts {
             return false;
         }
-        let need = RetryNeed {
+        let retry_query = RetryQuery {
             service: &self.request.service,
             nodes: self.core.fleet.borrow().len(),
-            runs_again: tries.may_have_run(),
+            may_rerun: tries.may_have_run(),
         };
         let now = self.core.clock.now();
-        self.core.retries.borrow_mut().withdraw(now, need)
+        self.core.retries.borrow_mut().withdraw(now, retry_query)
     }
 
     fn query<'b>(self, tries: &'b TryRecord<'_>) -> PickQuery<'b>
@@ -288,7 +292,7 @@
         PickQuery {
             service: &self.request.service,
             route_hash: self.request.route.route_hash,
-            target: self.request.route.target,
+            target_latency: self.request.route.target_latency,
             tried: &tries.tried,
             probed: &tries.probed,
             response_bytes: self.core.response_bytes(self.request.route.route_hash),
--- a/crates/node/src/outbound/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -14,17 +14,17 @@
     result_code::ResultCode,
 };
 
-/// Number of members tried for one request, with those whose inbound proxy refused. If a
-/// third one is full, so is the service.
+/// Largest number of members tried for one request, including those that refused it. If a third one
+/// is full, so is the service.
 pub(super) const TRIES_MAX: usize = 3;
-/// Number of members probed for a free slot before the request waits in a queue. Each probe
+/// Largest number of members probed for a free slot before the request waits in a queue. Each probe
 /// costs both nodes a call.
 pub(super) const PROBES_MAX: usize = 1;
 /// `Retry-After` when no backend server takes requests. A backend server restarts, or is
 /// announced again, within one or two seconds.
 const RETRY_NO_BACKEND: Duration = Duration::from_millis(250);
-/// Least `Retry-After`.
-pub(super) const RETRY_MIN: Duration = Duration::from_millis(30);
+/// Smallest `Retry-After` of a reply to a request whose tries were refused or timed out.
+pub(super) const RETRY_AFTER_MIN: Duration = Duration::from_millis(30);
 
 /// State of the tries of one request so far.
 #[derive(Debug)]
@@ -44,12 +44,14 @@
     /// that the request didn't run.
     pub(super) in_flight: u32,
     /// Whether a try that has ended may have run.
-    pub(super) ran: bool,
-    /// Last refusal.
+    pub(super) earlier_try_may_have_run: bool,
+    /// Most recent refusal, by a member or because all links are full.
+    ///
+    /// Probes that found no free slot don't count.
     pub(super) refusal: Option<InboundRefusal>,
     /// Cause of the last failure of a try that may have run, for the log.
     pub(super) failure_cause: Option<String>,
-    /// Whether the request crashes backend servers, or may do so. No other may be tried then.
+    /// Whether the request crashes backend servers, or may do so. No other member is tried then.
     pub(super) crashes_servers: bool,
     /// A backend server's failure response, which is used if no other try succeeds.
     pub(super) fallback_response: Option<Box<Response<ResponseBody>>>,
@@ -66,7 +68,7 @@
             probed: SmallVec::new(),
             arrivals: 0,
             in_flight: 0,
-            ran: false,
+            earlier_try_may_have_run: false,
             refusal: None,
             failure_cause: None,
             crashes_servers: false,
@@ -97,14 +99,14 @@
         self.probed.push(key);
     }
 
-    /// Whether the last refusal was because of a lack of capacity.
+    /// Whether the most recent refusal was for a lack of capacity.
     pub(super) fn is_full(&self) -> bool {
         self.refusal.is_some_and(|refusal| refusal.reason.is_full())
     }
 
     /// Whether the request has run, or may have.
     pub(super) fn may_have_run(&self) -> bool {
-        self.ran || self.in_flight > 0
+        self.earlier_try_may_have_run || self.in_flight > 0
     }
 }
 
@@ -130,7 +132,7 @@
         };
         return LocalReply::not_run(code, RETRY_NO_BACKEND);
     };
-    let retry_after = refusal.retry_after.max(RETRY_MIN);
+    let retry_after = refusal.retry_after.max(RETRY_AFTER_MIN);
     LocalReply::not_run(result_code_of(refusal.reason), retry_after)
 }
 
@@ -139,7 +141,7 @@
     if tries.may_have_run() {
         LocalReply::timed_out()
     } else {
-        LocalReply::not_run(ResultCode::DeadlineBeforeRun, RETRY_MIN)
+        LocalReply::not_run(ResultCode::DeadlineBeforeRun, RETRY_AFTER_MIN)
     }
 }
 
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -49,11 +49,12 @@
 /// Sends a request to the node's own inbound proxy or to that of another node.
 #[derive(Debug, Clone, Copy)]
 pub struct TrySender<'a> {
-    /// State of the node.
+    /// State of the node that sends the request.
     pub core: &'a Rc<NodeCore>,
     /// Request to send.
     pub request: &'a OutboundRequest,
-    /// Whether the request may wait in the queue. Otherwise it probes for a free slot.
+    /// Whether the request may wait in the member's queue; otherwise it probes for a free
+    /// slot.
     pub may_wait: bool,
 }
 
@@ -62,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// Why the try ended without a response of the backend server.
+    /// Returns why the try ended without a response of the backend server.
     pub async fn send(self, key: MemberKey, record: &MemberRecord) -> TryResult {
         let guard = InFlightGuard::new(self.core, key);
         if record.peer_addr == self.core.settings.peer_addr {
@@ -82,7 +83,7 @@
             body: request.body.clone(),
             rank: request.route.rank,
             route_hash: request.route.route_hash,
-            nested: request.nested,
+            is_nested: request.is_nested,
             may_wait: self.may_wait,
             target_deadline: request.target_deadline,
             ends_at: request.ends_at,
@@ -115,11 +116,11 @@
         let bytes = head_bytes(peer_request.headers()) + self.request.body.len() as u64;
         let link = &self.core.link;
         link.record_sent(self.core.clock.now(), LinkTraffic::Request, bytes);
-        let idle_time = self.core.settings.peer_idle_timeout;
+        let idle_timeout = self.core.settings.peer_idle_timeout;
         let exchange = self
             .core
             .peer_connections
-            .exchange(record.peer_addr, peer_request, idle_time)
+            .exchange(record.peer_addr, peer_request, idle_timeout)
             .await;
         let (response, sender) = match exchange {
             Ok(exchanged) => exchanged,
@@ -157,27 +158,27 @@
 
     fn peer_request(self, record: &MemberRecord) -> Request<Full<Bytes>> {
         let request = self.request;
-        let names = &self.core.headers;
+        let header_names = &self.core.headers;
         let now = Instant::now();
         let peer_header = PeerRequestHeader {
             rank: request.route.rank,
             route_hash: request.route.route_hash,
-            nested: request.nested,
+            is_nested: request.is_nested,
             idempotent: request.route.kind.is_idempotent(),
             may_wait: self.may_wait,
             target_remaining: request.target_deadline.saturating_duration_since(now),
             version: self.core.version(),
             from: self.core.settings.peer_addr,
         };
-        let left = request.ends_at.saturating_duration_since(now);
+        let remaining = request.ends_at.saturating_duration_since(now);
         let mut headers = request.headers.clone();
         headers.insert(
-            &names.deadline_ms,
-            HeaderValue::from(left.as_millis() as u64),
+            &header_names.deadline_ms,
+            HeaderValue::from(remaining.as_millis() as u64),
         );
         set_header(
             &mut headers,
-            &names.expected_instance,
+            &header_names.expected_instance,
             record.start.instance(),
         );
         set_header(&mut headers, &PEER_REQUEST_HEADER, &peer_header.to_string());
@@ -203,7 +204,7 @@
     }
 }
 
-/// Returns only the path and query, as they stand in a request line.
+/// Returns only the path and query, as in a request line; `/` if there are none.
 pub(super) fn path_only(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
@@ -211,7 +212,7 @@
 
 /// Returns the failure for a broken connection to the other node.
 ///
-/// It has no diagnosis, since it says nothing about the backend server.
+/// The failure has no diagnosis, since it says nothing about the backend server.
 const fn undiagnosed(reason: String) -> TryFailure {
     let diagnosis = None;
     TryFailure::ResponseLost { reason, diagnosis }
--- a/crates/node/src/transport/peer_request_header.rs
+++ b/crates/node/src/transport/peer_request_header.rs
@@ -1,4 +1,4 @@
-//! Header with which a node forwards a request to another.
+//! Header of a request that a node forwards to another node.
 
 use std::{
     net::{AddrParseError, SocketAddr},
@@ -14,15 +14,15 @@
 /// Routing data of a request that one node forwards to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerRequestHeader {
-    /// Priority rank of the route.
+    /// Priority rank of the route; 0 is the most urgent.
     pub rank: u8,
-    /// Hash of the route.
+    /// Hash of the route's name.
     pub route_hash: u64,
-    /// Whether a request that already runs at a backend server made this one.
-    pub nested: bool,
+    /// Whether the request is a nested call of a run that has begun.
+    pub is_nested: bool,
     /// Whether the request may run more than once without harm.
     pub idempotent: bool,
-    /// Whether the request may queue for a slot; if not, it is refused unless one is free.
+    /// Whether the request may wait for a slot; otherwise it is refused unless one is free.
     pub may_wait: bool,
     /// Time left until the route's target latency has passed.
     pub target_remaining: Duration,
@@ -55,11 +55,11 @@
 impl std::fmt::Display for PeerRequestHeader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let useful_ms = self.target_remaining.as_millis();
-        let flags = [self.nested, self.idempotent, self.may_wait];
-        let [nested, idempotent, may_wait] = flags.map(u8::from);
+        let flags = [self.is_nested, self.idempotent, self.may_wait];
+        let [is_nested, idempotent, may_wait] = flags.map(u8::from);
         write!(
             f,
-            "{},{:x},{nested},{idempotent},{may_wait},",
+            "{},{:x},{is_nested},{idempotent},{may_wait},",
             self.rank, self.route_hash
         )?;
         write!(f, "{useful_ms},{},{}", self.version, self.from)
@@ -89,7 +89,7 @@
         Ok(Self {
             rank,
             route_hash,
-            nested: flag()?,
+            is_nested: flag()?,
             idempotent: flag()?,
             may_wait: flag()?,
             target_remaining: Duration::from_millis(next()?.parse()?),
--- a/crates/node/tests/all/fleet.rs
+++ b/crates/node/tests/all/fleet.rs
@@ -41,7 +41,7 @@
 const QUERY: PickQuery<'static> = PickQuery {
     service: "prices",
     route_hash: 7,
-    target: Duration::from_millis(400),
+    target_latency: Duration::from_millis(400),
     tried: &[],
     probed: &[],
     response_bytes: 5_000,
@@ -52,9 +52,9 @@
     LoadReport {
         running,
         waiting,
-        service: run,
-        run,
-        link: Duration::ZERO,
+        mean_run_time: run,
+        route_run_time: run,
+        link_backlog: Duration::ZERO,
     }
 }
 
@@ -135,7 +135,7 @@
     let mut fleet = view_with_local_first(3, 1);
     let own = fleet.key_of(peer_addr(1)).expect("the member is known");
     let full = LoadReport {
-        link: at(2_000),
+        link_backlog: at(2_000),
         ..load(1, 0, at(100))
     };
     fleet.record_load(at(0), own, QUERY.route_hash, full);
@@ -182,7 +182,7 @@
             .key_of(peer_addr(number))
             .expect("the member is known");
         let report = LoadReport {
-            link: at(400),
+            link_backlog: at(400),
             ..load(4, 0, at(100))
         };
         fleet.record_load(at(0), key, QUERY.route_hash, report);
@@ -368,7 +368,7 @@
 #[test]
 fn updates_from_before_a_new_list_are_whole() {
     let mut fleet = view(3, 0);
-    fleet.listed(at(0), Revision(70), |_| true);
+    fleet.apply_list(at(0), Revision(70), |_| true);
     let updates = fleet.update_since(Revision(50));
     assert!(
         updates.whole,
@@ -415,5 +415,5 @@
 fn a_member_of_unknown_pace_is_given_the_target_time() {
     let fleet = view(1, 1);
     let key = fleet.key_of(peer_addr(1)).expect("the member is announced");
-    assert!(fleet.silence_timeout(at(10), key, &QUERY) >= QUERY.target);
+    assert!(fleet.silence_timeout(at(10), key, &QUERY) >= QUERY.target_latency);
 }
--- a/crates/node/tests/all/fleet_load.rs
+++ b/crates/node/tests/all/fleet_load.rs
@@ -97,9 +97,9 @@
         LoadReport {
             running: self.queue.running(),
             waiting: self.queue.waiting(),
-            service: self.queue.mean_run_time(),
-            run: self.queue.mean_run_time_of(ROUTE_HASH),
-            link: Duration::ZERO,
+            mean_run_time: self.queue.mean_run_time(),
+            route_run_time: self.queue.mean_run_time_of(ROUTE_HASH),
+            link_backlog: Duration::ZERO,
         }
     }
 }
@@ -253,7 +253,7 @@
                     run.request.key,
                     TryOutcome::Answered { failed: false },
                 );
-                view.request_ended(run.request.key);
+                view.record_request_ended(run.request.key);
                 for key in granted {
                     let (request, _) = self.receivers[receiver]
                         .waiting
@@ -280,7 +280,7 @@
                 .waiting
                 .remove(&key)
                 .expect("the request was waiting");
-            self.senders[request.sender].request_ended(request.key);
+            self.senders[request.sender].record_request_ended(request.key);
             self.result.refused += 1;
         }
     }
@@ -335,7 +335,7 @@
                 tried.push(key);
                 continue;
             }
-            self.senders[sender].request_sent(key);
+            self.senders[sender].record_request_sent(key);
             match self.offer(now, request, may_wait) {
                 AdmissionDecision::Run => return self.begin(now, request),
                 AdmissionDecision::Wait { key, latest } => {
@@ -352,7 +352,7 @@
                     tried.push(key);
                 }
             }
-            self.senders[sender].request_ended(key);
+            self.senders[sender].record_request_ended(key);
             self.observe(now, request);
         }
         self.result.refused += 1;
@@ -363,7 +363,7 @@
             rank: 1,
             route_hash: ROUTE_HASH,
             may_wait,
-            nested: false,
+            is_nested: false,
             target_deadline: request.target_at,
             ends_at: request.target_at + TARGET,
         };
@@ -395,7 +395,7 @@
             let wait = report.map_or(0.0, |report| {
                 let held = f64::from(report.running + report.waiting) + 1.0;
                 let excess = (held - f64::from(SLOTS)).max(0.0) / f64::from(SLOTS);
-                report.service.as_secs_f64() * (1.0 + excess)
+                report.mean_run_time.as_secs_f64() * (1.0 + excess)
             });
             let cost = wait * (1.0 + 0.15 * noise(&mut self.rng));
             if !tried.contains(&key) && best.is_none_or(|(least, _)| cost < least) {
@@ -410,7 +410,7 @@
     PickQuery {
         service: "orders",
         route_hash: ROUTE_HASH,
-        target: TARGET,
+        target_latency: TARGET,
         tried,
         probed,
         response_bytes: 2_000,
--- a/crates/node/tests/all/outage_cost.rs
+++ b/crates/node/tests/all/outage_cost.rs
@@ -28,7 +28,7 @@
     fn new(number: u8, rng: &mut impl Rng) -> Self {
         let mut relay_selector = RelaySelector::new(peer_addr(number));
         let answer_age = RENEWAL_INTERVAL.mul_f64(rng.random());
-        relay_selector.store_answered(at(10_000).saturating_sub(answer_age));
+        relay_selector.record_store_response(at(10_000).saturating_sub(answer_age));
         Self {
             relay_selector,
             access: StoreAccess::default(),
@@ -45,14 +45,14 @@
     }
 
     fn step(&mut self, now: Duration, duty: StoreProbeDuty, rng: &mut impl Rng) {
-        if self.access.is_open() {
+        if self.access.allows_calls() {
             if now >= self.renewal_at || duty == StoreProbeDuty::Own {
                 self.fail(now, rng);
             }
             return;
         }
         let (since, jitter) = self.pause;
-        if now >= since + self.access.pause(duty, jitter) {
+        if now >= since + self.access.probe_pause(duty, jitter) {
             self.fail(now, rng);
             self.relay_selector.record_store_lost();
         }
@@ -68,7 +68,7 @@
     let mut now = at(10_000);
     while now < at(10_000) + OUTAGE_TIME {
         for own in 0..fleet.len() {
-            let source = fleet[own].relay_selector.choose(now, &order);
+            let source = fleet[own].relay_selector.select(now, &order);
             if let UpdateSource::Node(peer_addr) = source {
                 let position = order
                     .iter()
@@ -76,13 +76,14 @@
                 let relay_selector =
                     &mut fleet[position.expect("the relay is a member")].relay_selector;
                 relay_selector.record_update_request(now);
-                let contact = StoreReachability {
+                let reachability = StoreReachability {
                     age: relay_selector.store_age(now),
                     lost: relay_selector.has_lost_store(),
                 };
-                let probe_needed = fleet[own]
-                    .relay_selector
-                    .record_reachability(now, peer_addr, contact);
+                let probe_needed =
+                    fleet[own]
+                        .relay_selector
+                        .record_reachability(now, peer_addr, reachability);
                 if probe_needed && fleet[own].access.recheck() {
                     fleet[own].pause = (now, rng.random());
                 }
