--- a/crates/ctl/src/commands/activate_command.rs
+++ b/crates/ctl/src/commands/activate_command.rs
@@ -11,7 +11,8 @@
 #[derive(Debug, Serialize)]
 pub struct ActivateReport {
     activated: ActivationRecord,
-    answered: bool,
+    #[serde(rename = "answered")]
+    acknowledged: bool,
 }
 
 pub async fn run(
@@ -33,14 +34,14 @@
     .await?;
     Ok(ActivateReport {
         activated: activation.record,
-        answered: activation.answered,
+        acknowledged: activation.acknowledged,
     })
 }
 
 impl fmt::Display for ActivateReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "activated {}", self.activated)?;
-        if !self.answered {
+        if !self.acknowledged {
             writeln!(
                 f,
                 "the store's response was lost, but the history holds this activation"
--- a/crates/ctl/src/commands/explain_command.rs
+++ b/crates/ctl/src/commands/explain_command.rs
@@ -19,7 +19,13 @@
 
 /// Returns the timeline of a request from log files, or from standard input without any.
 ///
-/// Fails if no line names the request.
+/// `request` is the identifier of the caller's attempt.
+///
+/// # Errors
+///
+/// Returns [`CtlError::File`] if a file can't be read. If no line names the request, returns
+/// [`CtlError::LogIncomplete`] if the nodes dropped or withheld lines, and otherwise
+/// [`CtlError::UnknownRequest`].
 pub fn explain(request: &str, files: &[PathBuf]) -> Result<RequestTimeline, CtlError> {
     let mut scanner = LogScanner::new(request);
     if files.is_empty() {
@@ -32,7 +38,7 @@
     if !timeline.events.is_empty() {
         return Ok(timeline);
     }
-    let lines = timeline.dropped_lines;
+    let lines = timeline.missing_lines;
     if lines > 0 {
         return LogIncompleteSnafu { request, lines }.fail();
     }
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -10,36 +10,36 @@
 
 use crate::{Command, CtlError, OutputFormat, Session};
 
-/// Executes a command and returns the text to print.
+/// Executes a command and returns its report in this format, to be printed.
 ///
 /// # Errors
 ///
-/// Returns the command's error; it has a numbered result code.
+/// Returns the command's error, which has a numbered result code.
 pub async fn run(
     session: &Session<impl MetaStore>,
     command: &Command,
-    output: OutputFormat,
+    format: OutputFormat,
 ) -> Result<String, CtlError> {
     Ok(match command {
-        Command::Check { file } => output.report(&preset_commands::check(file)?),
+        Command::Check { file } => format.report(&preset_commands::check(file)?),
         Command::Put { name, file } => {
-            output.report(&preset_commands::put(session, name, file).await?)
+            format.report(&preset_commands::put(session, name, file).await?)
         }
-        Command::List => output.report(&preset_commands::list(session).await?),
-        Command::Show { name } => output.report(&preset_commands::show(session, name).await?),
+        Command::List => format.report(&preset_commands::list(session).await?),
+        Command::Show { name } => format.report(&preset_commands::show(session, name).await?),
         Command::Diff { from, to } => {
-            output.report(&preset_commands::diff(session, from, to).await?)
+            format.report(&preset_commands::diff(session, from, to).await?)
         }
         Command::Activate {
             name,
             expect_version,
-        } => output.report(&activate_command::run(session, name, *expect_version).await?),
+        } => format.report(&activate_command::run(session, name, *expect_version).await?),
         Command::History { last } => {
-            output.report(&history_command::history(session, *last).await?)
+            format.report(&history_command::history(session, *last).await?)
         }
-        Command::Status => output.report(&status_command::status(session).await?),
+        Command::Status => format.report(&status_command::status(session).await?),
         Command::Explain { request, files } => {
-            output.report(&explain_command::explain(request, files)?)
+            format.report(&explain_command::explain(request, files)?)
         }
     })
 }
--- a/crates/ctl/src/commands/status_command.rs
+++ b/crates/ctl/src/commands/status_command.rs
@@ -10,33 +10,40 @@
 use snafu::ResultExt;
 
 use crate::{
-    CtlError, FleetStatus, Session, StatusClient,
+    AdminClient, CtlError, FleetStatus, Session,
     ctl_error::{BadDocumentSnafu, NodePageSnafu, StoreSnafu},
     fleet,
 };
 
 /// Version in force and addresses of the nodes, from the store or from a node.
 struct StoreView {
+    /// Version in force; 0 if the view is from a node or there is no configuration.
     version: ConfigVersion,
     peer_addrs: Vec<SocketAddr>,
 }
 
-/// Reads the status of every node that is announced in the store.
+/// Reads the status of every node that is announced in the store or given on the command line.
 ///
-/// If the store can't be read, the nodes given on the command line name the others.
+/// If the store can't be read, a node given on the command line names the others.
 pub async fn status(session: &Session<impl MetaStore>) -> Result<FleetStatus, CtlError> {
     let store_result = read_store(session).await;
     if let (Err(_), true) = (&store_result, session.nodes.is_empty()) {
         return Err(store_result.err().unwrap_or(CtlError::NoStore));
     }
-    let (view, store) = match store_result {
+    let (view, store_error) = match store_result {
         Ok(view) => (view, None),
         Err(error) => (read_members_from_nodes(session)?, Some(error.to_string())),
     };
-    let pages = view.peer_addrs.iter();
-    let pages = pages.map(|peer_addr| SocketAddr::new(peer_addr.ip(), session.status_port));
-    let pages: BTreeSet<SocketAddr> = pages.chain(session.nodes.iter().copied()).collect();
-    Ok(FleetStatus::new(fleet::survey(pages), view.version, store))
+    let peer_addrs = view.peer_addrs.iter();
+    let admin_addrs =
+        peer_addrs.map(|peer_addr| SocketAddr::new(peer_addr.ip(), session.status_port));
+    let admin_addrs: BTreeSet<SocketAddr> =
+        admin_addrs.chain(session.nodes.iter().copied()).collect();
+    Ok(FleetStatus::new(
+        fleet::survey(admin_addrs),
+        view.version,
+        store_error,
+    ))
 }
 
 /// Reads the version in force and the announced nodes from the store.
@@ -66,13 +73,13 @@
     })
 }
 
-/// Reads the known members from the first node of the command line that answers.
+/// Reads the known members from the first node of the command line that responds.
 ///
-/// Returns the last node's error if none answers.
+/// Returns the last node's error if none responds.
 fn read_members_from_nodes(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
     let mut failure = CtlError::NoStore;
     for &addr in &session.nodes {
-        match StatusClient::new(addr)
+        match AdminClient::new(addr)
             .members()
             .context(NodePageSnafu { addr })
         {
--- a/crates/ctl/src/ctl_error.rs
+++ b/crates/ctl/src/ctl_error.rs
@@ -35,7 +35,7 @@
         /// Description of the parser's error.
         reason: String,
     },
-    /// A document in a file or in the store fails a check.
+    /// A preset or the configuration in force fails a check.
     #[snafu(display("{origin}: {source}"))]
     BadDocument {
         /// File, preset or key that holds the document.
@@ -62,7 +62,7 @@
         "no line names request `{request}`; requests answered in time at the first try are not logged"
     ))]
     UnknownRequest {
-        /// Identifier of the request.
+        /// Identifier of the caller's attempt that was searched for.
         request: String,
     },
     /// No log line names the request, and lines are missing from the logs.
@@ -70,9 +70,9 @@
         "no line names request `{request}`, and {lines} lines were dropped or withheld"
     ))]
     LogIncomplete {
-        /// Identifier of the request.
+        /// Identifier of the caller's attempt that was searched for.
         request: String,
-        /// Number of missing lines.
+        /// Number of lines that the nodes dropped or withheld under load.
         lines: u64,
     },
     /// The store failed, and nothing was written.
@@ -83,35 +83,35 @@
     },
     /// Another activation came first, or another version is in force.
     #[snafu(display("not activated: version {in_force} is in force{}", by_activation(last.as_deref())))]
-    LostActivation {
-        /// Version in force.
+    NotActivated {
+        /// Version in force, or the lowest that can be if the store couldn't be read.
         in_force: ConfigVersion,
         /// Activation of that version, if the history has its record.
         last: Option<Box<ActivationRecord>>,
     },
     /// Another operator stored the preset between this command's read and write.
     #[snafu(display("not stored: {} stored the preset in the meantime", current.stamp.operator))]
-    LostPut {
+    NotStored {
         /// Record that the store has now.
         current: Box<PresetRecord>,
     },
     /// It isn't known whether a write took effect.
     #[snafu(display(
-        "it isn't known whether operation {operation} took effect ({source}); \
+        "it isn't known whether operation {write_id} took effect ({source}); \
          look for it with `history` or `show`"
     ))]
     WriteUnknown {
-        /// Identifier of the write, as in its stamp.
-        operation: String,
+        /// Identifier of the write, as [`WriteStamp::write_id`](crate::WriteStamp) has it.
+        write_id: String,
         /// Error of the store that one of the tries ended with.
         source: StoreError,
     },
-    /// The member page of a node can't be read.
-    #[snafu(display("the page of the node at {addr} can't be read: {source}"))]
+    /// The members that a node knows can't be read.
+    #[snafu(display("the members that the node at {addr} knows can't be read: {source}"))]
     NodePage {
-        /// Address of the page.
+        /// Admin address of the node.
         addr: SocketAddr,
-        /// Error that the request for the page ended with.
+        /// Error that the request to the node ended with.
         source: attohttpc::Error,
     },
     /// The command needs the store, and its address wasn't given.
@@ -135,7 +135,7 @@
                 StoreError::Unexpected { .. } => ResultCode::StoreBadAnswer,
                 _ => ResultCode::StoreUnavailable,
             },
-            Self::LostActivation { .. } | Self::LostPut { .. } => ResultCode::LostRace,
+            Self::NotActivated { .. } | Self::NotStored { .. } => ResultCode::LostRace,
             Self::WriteUnknown { .. } => ResultCode::WriteUnknown,
             Self::NoStore | Self::NoOperator => ResultCode::BadSetting,
             Self::NodePage { .. } => ResultCode::NodePageUnreachable,
--- a/crates/ctl/src/explain/log_scanner.rs
+++ b/crates/ctl/src/explain/log_scanner.rs
@@ -9,7 +9,7 @@
 
 use super::{RequestTimeline, TimelineEvent};
 
-/// Messages about a member's announcement, which may explain why a node sent a request there.
+/// Messages about a member, which may explain why a node sent a request to it.
 const MEMBER_MESSAGES: [&str; 3] = ["member announced", "announcement missing", "member gone"];
 
 /// Collects the log events of one request from the logs of any number of nodes.
@@ -17,28 +17,30 @@
 pub struct LogScanner {
     request: String,
     events: Vec<TimelineEvent>,
-    /// Last announcement event of each member, by the node that logged it and the member's
-    /// address.
+    /// Last event about each member, by the instance of the node that logged it and the
+    /// member's address.
     member_events: HashMap<(String, String), TimelineEvent>,
-    dropped: u64,
-    unreadable: u64,
+    /// Number of lines that the nodes dropped or withheld under load.
+    missing_lines: u64,
+    unreadable_lines: u64,
 }
 
 impl LogScanner {
-    /// Creates a scanner for the request with this identifier.
+    /// Creates a scanner for the log field `request` with this value.
     pub fn new(request: impl Into<String>) -> Self {
         Self {
             request: request.into(),
             events: Vec::new(),
             member_events: HashMap::new(),
-            dropped: 0,
-            unreadable: 0,
+            missing_lines: 0,
+            unreadable_lines: 0,
         }
     }
 
     /// Reads log lines up to the end of the input.
     ///
-    /// Text before the first brace of a line, such as a log collector's prefix, is skipped.
+    /// Text before the first brace of a line, such as a log collector's prefix, is skipped, and
+    /// so is a line without a brace. A line that can't be parsed is counted.
     ///
     /// # Errors
     ///
@@ -56,25 +58,25 @@
         RequestTimeline {
             request: self.request,
             events: self.events,
-            dropped_lines: self.dropped,
-            unreadable_lines: self.unreadable,
+            missing_lines: self.missing_lines,
+            unreadable_lines: self.unreadable_lines,
         }
     }
 
-    /// Keeps the line's event if it is about the request or about a member's announcement.
+    /// Keeps the line's event if it is about the request or about a member.
     fn scan_line(&mut self, line: &str) {
         let Some(start) = line.find('{') else {
             return;
         };
         let Ok(fields) = serde_json::from_str::<Map<String, Value>>(&line[start..]) else {
-            self.unreadable += 1;
+            self.unreadable_lines += 1;
             return;
         };
         let text = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or_default();
         let message = text("msg").to_owned();
         if message == "log lines dropped" || message == "lines withheld" {
             let count = fields.get("lines").or_else(|| fields.get("count"));
-            self.dropped += count.and_then(Value::as_u64).unwrap_or(0);
+            self.missing_lines += count.and_then(Value::as_u64).unwrap_or(0);
         }
         if message == "members announced" {
             self.scan_members_line(&fields);
--- a/crates/ctl/src/explain/mod.rs
+++ b/crates/ctl/src/explain/mod.rs
@@ -1,8 +1,8 @@
 //! Timeline of a request, from the nodes' logs.
 //!
 //! [`LogScanner`] reads log lines of any number of nodes and keeps those about one
-//! request. [`RequestTimeline`] holds them in order and describes in sentences what each node
-//! decided, with the values behind the decision.
+//! request. [`RequestTimeline`] holds their events in order, each described in a sentence with the
+//! values of its fields.
 
 mod log_scanner;
 mod request_timeline;
--- a/crates/ctl/src/explain/request_timeline.rs
+++ b/crates/ctl/src/explain/request_timeline.rs
@@ -1,4 +1,4 @@
-//! Timeline of a request across nodes.
+//! Timeline of a request, from the logs of several nodes.
 
 use std::fmt;
 
@@ -6,16 +6,17 @@
 
 use super::TimelineEvent;
 
-/// Logged decisions about one request, over all nodes.
+/// Logged events of one request, from all nodes.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RequestTimeline {
-    /// Identifier of the request.
+    /// Identifier of the caller's attempt, as the log field `request` has it.
     pub request: String,
-    /// Decisions, in order of their time.
+    /// Events, in order of their time.
     pub events: Vec<TimelineEvent>,
-    /// Number of lines that the nodes dropped or withheld under load.
-    pub dropped_lines: u64,
-    /// Number of lines that couldn't be parsed.
+    /// Number of log lines that the nodes dropped or withheld under load.
+    #[serde(rename = "dropped_lines")]
+    pub missing_lines: u64,
+    /// Number of log lines that couldn't be parsed.
     pub unreadable_lines: u64,
 }
 
@@ -24,18 +25,18 @@
         writeln!(f, "request {}", self.request)?;
         for event in &self.events {
             writeln!(f, "{} {}: {}", event.time, event.node, event.text)?;
-            if let Some(member_report) = &event.member_report {
+            if let Some(last_member_event) = &event.last_member_event {
                 writeln!(
                     f,
-                    "    last report of the member at that node, {member_report}"
+                    "    last event about the member at that node, {last_member_event}"
                 )?;
             }
         }
-        if self.dropped_lines > 0 {
+        if self.missing_lines > 0 {
             writeln!(
                 f,
                 "{} lines were dropped or withheld under load; more may have happened",
-                self.dropped_lines
+                self.missing_lines
             )?;
         }
         Ok(())
--- a/crates/ctl/src/explain/timeline_event.rs
+++ b/crates/ctl/src/explain/timeline_event.rs
@@ -1,24 +1,25 @@
-//! Events of a request's timeline.
+//! Log events of a request's timeline.
 
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// Decision about a request, as a node logged it.
+/// Event that a node logged about a request or about a member.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TimelineEvent {
-    /// Time at the node, as the log line gives it.
+    /// Wall-clock time at the node, as the log line's field `ts` has it.
     pub time: String,
-    /// Name of the node that decided.
+    /// Instance of the node that logged the event.
     pub node: String,
     /// Message of the log line.
     pub message: String,
-    /// Description of the decision, with the values behind it.
+    /// Description of the event in a sentence, with the values of its fields.
     pub text: String,
-    /// Time and text of the node's last event about the member that the decision names.
+    /// Time and text of the node's last event about the member that this event names.
     ///
-    /// None if no such event was read from the logs before the decision.
+    /// `None` if no such event was read from the logs before this one. The order is that of
+    /// the lines that were read, not that of their times.
     #[serde(rename = "belief")]
-    pub member_report: Option<String>,
+    pub last_member_event: Option<String>,
 }
 
 impl TimelineEvent {
@@ -30,18 +31,20 @@
             node: text("node").to_owned(),
             text: describe(&message, fields),
             message,
-            member_report: None,
+            last_member_event: None,
         }
     }
 
-    /// Adds the node's last event about the member that the decision names.
+    /// Adds the node's last event about the member that this event names.
     pub(super) fn with_member_event(mut self, last_event: Option<Self>) -> Self {
-        self.member_report = last_event.map(|event| format!("{}: {}", event.time, event.text));
+        self.last_member_event = last_event.map(|event| format!("{}: {}", event.time, event.text));
         self
     }
 }
 
-/// Describes a log event in a sentence; fields that are missing show as `-`.
+/// Describes a log event in a sentence, with `-` for missing fields.
+///
+/// An unknown message is followed by its fields as JSON.
 fn describe(message: &str, fields: &Map<String, Value>) -> String {
     let show = |name: &str| match fields.get(name) {
         Some(Value::String(text)) => text.clone(),
--- a/crates/ctl/src/fleet/status_client.rs
+++ b/crates/ctl/src/fleet/admin_client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of a node's pages.
+//! HTTP client of a node's admin address.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,19 +9,19 @@
 };
 use serde::de::DeserializeOwned;
 
-/// Longest time for connecting; it lets a lost SYN packet be sent again.
+/// Timeout of connecting; long enough for a lost SYN to be sent again.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest time for a whole request; a node answers in milliseconds.
+/// Timeout of a whole request; a node normally responds within milliseconds.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Client of one node's status and member pages.
+/// Client of one node's admin address, for its status and its members.
 #[derive(Debug, Clone, Copy)]
-pub struct StatusClient {
+pub struct AdminClient {
     addr: SocketAddr,
 }
 
-impl StatusClient {
-    /// Creates a client of the node whose pages are at `addr`.
+impl AdminClient {
+    /// Creates a client of the node with the admin address `addr`.
     pub const fn new(addr: SocketAddr) -> Self {
         Self { addr }
     }
@@ -30,7 +30,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the node can't be reached or its response can't be parsed.
+    /// Returns an error if the node can't be reached, or responds with an error status or a body
+    /// that can't be parsed.
     pub fn status(self) -> attohttpc::Result<NodeStatus> {
         self.get(STATUS_PATH)
     }
@@ -39,7 +40,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the node can't be reached or its response can't be parsed.
+    /// Returns an error if the node can't be reached, or responds with an error status or a body
+    /// that can't be parsed.
     pub fn members(self) -> attohttpc::Result<Vec<MemberRecord>> {
         self.get(MEMBERS_PATH)
     }
--- a/crates/ctl/src/fleet/fleet_status.rs
+++ b/crates/ctl/src/fleet/fleet_status.rs
@@ -12,19 +12,22 @@
 pub struct FleetStatus {
     /// Version in force: the store's, or the nodes' newest if that is higher.
     pub version: ConfigVersion,
-    /// Why the store couldn't be read; none if it was read.
-    pub store: Option<String>,
-    /// Number of nodes that answered.
-    pub nodes: usize,
+    /// Error of the store; `None` if it was read.
+    #[serde(rename = "store")]
+    pub store_error: Option<String>,
+    /// Number of nodes that responded.
+    #[serde(rename = "nodes")]
+    pub responded: usize,
     /// Number of these nodes that use the version in force.
-    pub following: usize,
+    #[serde(rename = "following")]
+    pub up_to_date: usize,
     /// Number of nodes that use each version, newest version first.
     pub versions: Vec<VersionShare>,
     /// Nodes that use an older version.
     pub lagging: Vec<LaggingNode>,
     /// Instances of the nodes that don't accept callers' requests.
     pub unready: Vec<String>,
-    /// Nodes that didn't answer.
+    /// Nodes whose status couldn't be read.
     pub silent: Vec<SilentNode>,
 }
 
@@ -33,7 +36,7 @@
 pub struct VersionShare {
     /// Version that the nodes use; 0 for nodes without a configuration.
     pub version: u64,
-    /// Number of nodes.
+    /// Number of nodes that use it.
     pub nodes: usize,
 }
 
@@ -46,7 +49,7 @@
     pub data_centre: String,
     /// Version that the node uses; 0 if it has no configuration.
     pub version: u64,
-    /// Milliseconds since the store last answered the node.
+    /// Milliseconds since the store's last response to the node.
     pub store_age_ms: u64,
 }
 
@@ -55,8 +58,8 @@
     ///
     /// A node never has a newer version than the store. A newer version at a node therefore
     /// means that the read from the store was stale or that the store is unavailable, so the
-    /// nodes' newest version counts. `store` says why the store couldn't be read, if so.
-    pub fn new(survey: FleetSurvey, version: ConfigVersion, store: Option<String>) -> Self {
+    /// nodes' newest version counts. `store_error` is the store's error if it couldn't be read.
+    pub fn new(survey: FleetSurvey, version: ConfigVersion, store_error: Option<String>) -> Self {
         let statuses = &survey.statuses;
         let newest = statuses.iter().map(|status| status.version).max();
         let version = version.max(ConfigVersion(newest.unwrap_or(0)));
@@ -75,9 +78,9 @@
         let share = |(&version, &nodes): (&u64, &usize)| VersionShare { version, nodes };
         Self {
             version,
-            store,
-            nodes: statuses.len(),
-            following: counts.range(version.0..).map(|(_, nodes)| nodes).sum(),
+            store_error,
+            responded: statuses.len(),
+            up_to_date: counts.range(version.0..).map(|(_, nodes)| nodes).sum(),
             versions: counts.iter().rev().map(share).collect(),
             lagging: lagging.collect(),
             unready: unready.map(|status| status.instance.clone()).collect(),
@@ -89,13 +92,17 @@
 impl fmt::Display for FleetStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "version {} in force", self.version)?;
-        if let Some(reason) = &self.store {
+        if let Some(reason) = &self.store_error {
             writeln!(
                 f,
                 "from the nodes only, as the store couldn't be read: {reason}"
             )?;
         }
-        writeln!(f, "{} of {} nodes follow it", self.following, self.nodes)?;
+        writeln!(
+            f,
+            "{} of {} nodes follow it",
+            self.up_to_date, self.responded
+        )?;
         for share in &self.versions {
             writeln!(f, "  version {}: {} nodes", share.version, share.nodes)?;
         }
@@ -110,7 +117,7 @@
             writeln!(f, "not ready {instance}")?;
         }
         for node in &self.silent {
-            writeln!(f, "no answer from {}: {}", node.addr, node.reason)?;
+            writeln!(f, "no response from {}: {}", node.addr, node.reason)?;
         }
         Ok(())
     }
--- a/crates/ctl/src/fleet/fleet_survey.rs
+++ b/crates/ctl/src/fleet/fleet_survey.rs
@@ -1,36 +1,36 @@
-//! Reading of the status pages of every node of the fleet.
+//! Concurrent reads of the status of every node of the fleet.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Mutex, thread};
 
 use geranium_node::admin::NodeStatus;
 use serde::Serialize;
 
-use super::StatusClient;
+use super::AdminClient;
 
-/// Largest number of nodes that are asked at the same time.
+/// Largest number of nodes whose status is read at the same time.
 ///
 /// An unreachable node takes 1.5 s, so a failed rack of 40 nodes takes two rounds.
 const CONCURRENT_REQUESTS_MAX: usize = 32;
 
-/// Results of asking every node for its status.
+/// Results of reading the status of every node.
 #[derive(Debug, Default)]
 pub struct FleetSurvey {
-    /// Status of each node that answered, sorted by instance.
+    /// Status of each node that responded, sorted by instance.
     pub statuses: Vec<NodeStatus>,
-    /// Nodes that didn't answer.
+    /// Nodes whose status couldn't be read.
     pub silent: Vec<SilentNode>,
 }
 
 /// Node whose status couldn't be read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct SilentNode {
-    /// Address of the node's status page.
+    /// Admin address of the node.
     pub addr: SocketAddr,
-    /// Error that the request for the page ended with.
+    /// Description of the error that the request for the status ended with.
     pub reason: String,
 }
 
-/// Reads the status of the nodes whose status pages are at `addrs`.
+/// Reads the status of the nodes with the admin addresses `addrs`.
 ///
 /// # Panics
 ///
@@ -45,7 +45,7 @@
         for _ in 0..workers {
             scope.spawn(|| {
                 while let Some(addr) = next() {
-                    let response = StatusClient::new(addr).status();
+                    let response = AdminClient::new(addr).status();
                     let mut responses = responses.lock().expect("no worker thread panics");
                     responses.insert(addr, response);
                 }
--- a/crates/ctl/src/fleet/mod.rs
+++ b/crates/ctl/src/fleet/mod.rs
@@ -1,9 +1,9 @@
 //! State of the fleet, as its nodes report it.
 
+mod admin_client;
 mod fleet_status;
 mod fleet_survey;
-mod status_client;
 
+pub use admin_client::AdminClient;
 pub use fleet_status::FleetStatus;
 pub use fleet_survey::{FleetSurvey, SilentNode, survey};
-pub use status_client::StatusClient;
--- a/crates/ctl/src/invocation.rs
+++ b/crates/ctl/src/invocation.rs
@@ -10,6 +10,7 @@
 
 use crate::{OutputFormat, PresetName, PresetNameError};
 
+/// Examples and exit statuses, at the end of the program's help.
 const EXAMPLES: &str = "\
 Examples:
   geranium-ctl check peak.json
@@ -23,11 +24,13 @@
 Exit status: 0 for success, 2 for a bad command line, otherwise the first and
 the last digit of the result code in the message (33 for code 303).";
 
+/// Examples at the end of the help of `diff`.
 const DIFF_EXAMPLES: &str = "\
 Examples:
   geranium-ctl diff ordinary-day peak
   geranium-ctl diff peak ./edited/peak.json";
 
+/// Examples at the end of the help of `explain`.
 const EXPLAIN_EXAMPLES: &str = "\
 Examples:
   geranium-ctl explain 9c41d07be2a35f68 /var/log/geranium/*.log
@@ -40,8 +43,8 @@
     /// Address of the metadata store, IP:PORT.
     #[arg(long, global = true, env = "GERANIUM_STORE", hide_env_values = true)]
     pub store: Option<SocketAddr>,
-    /// Pages of one or more nodes, IP:PORT, which name the other nodes to `status` while the
-    /// store is unavailable.
+    /// Admin addresses of one or more nodes, IP:PORT; `status` asks them for the other nodes if
+    /// the store can't be read.
     #[arg(
         long,
         global = true,
@@ -50,7 +53,7 @@
         hide_env_values = true
     )]
     pub node: Vec<SocketAddr>,
-    /// Port of the nodes' status pages, on each node's own address.
+    /// Port of the nodes' admin addresses, on each node's own IP address.
     #[arg(
         long,
         global = true,
@@ -62,7 +65,8 @@
     /// Operator's name, which is recorded with every write.
     #[arg(long, global = true, env = "GERANIUM_OPERATOR", hide_env_values = true)]
     pub operator: Option<String>,
-    /// Number of tries of a write that gets no response; five tries span 6 s.
+    /// Number of tries of a write that gets no response or finds the store busy; five tries span
+    /// 6 s.
     #[arg(
         long,
         global = true,
@@ -132,7 +136,7 @@
         /// Name of the preset.
         name: PresetName,
     },
-    /// Compare two presets, by service and route.
+    /// Compare two presets, by service and route and in the limits.
     #[command(after_help = DIFF_EXAMPLES)]
     Diff {
         /// Name of a preset, or a file (contains a `/` or ends with `.json`).
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -8,7 +8,7 @@
 //! A preset is a named [`PresetDocument`] in the store. [`activate`] makes it the
 //! configuration in force by compare-and-swap: the configuration, with its new version, and the
 //! history entry are written together or not at all. [`write_with_retries`] repeats writes
-//! whose response was lost.
+//! whose response was lost or that found the store busy.
 
 mod commands;
 mod ctl_error;
@@ -28,7 +28,7 @@
 pub use ctl_error::CtlError;
 pub use exit_status::exit_status;
 pub use explain::{LogScanner, RequestTimeline, TimelineEvent};
-pub use fleet::{FleetStatus, StatusClient};
+pub use fleet::{AdminClient, FleetStatus};
 pub use invocation::{Command, Invocation, PresetSource};
 pub use output_format::OutputFormat;
 pub use presets::{
--- a/crates/ctl/src/presets/activation.rs
+++ b/crates/ctl/src/presets/activation.rs
@@ -27,9 +27,10 @@
     pub stamp: WriteStamp,
 }
 
-/// Step to the next version after the store came back from an older copy.
+/// Step from the version in force to the next if the store was restored from an older copy.
 ///
-/// The store may have lost the versions written in its latest seconds, far fewer than this.
+/// The store may have lost the versions written in the seconds before the restore, far fewer
+/// than this.
 const VERSION_STEP_AFTER_RESTORE: u64 = 1_000;
 
 /// An activation that took effect.
@@ -37,9 +38,10 @@
 pub struct Activation {
     /// Record of the activation in the history.
     pub record: ActivationRecord,
-    /// Whether the store acknowledged the write. It is false when the response was lost and
-    /// the record was then found in the history.
-    pub answered: bool,
+    /// Whether the store acknowledged the write.
+    ///
+    /// False means that the response was lost and the record was then found in the history.
+    pub acknowledged: bool,
 }
 
 /// Puts a preset in force under the next version.
@@ -50,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`CtlError::LostActivation`] if another version is in force than expected or
+/// Returns [`CtlError::NotActivated`] if another version is in force than expected or
 /// another activation came first, and [`CtlError::WriteUnknown`] if it isn't known whether the
 /// write took effect. After any other error, such as a bad preset or a failure of the store,
 /// nothing was changed.
@@ -68,7 +70,7 @@
         .expect_version
         .is_some_and(|expected| expected != in_force)
     {
-        return Err(lost_activation_error(store, in_force).await);
+        return Err(not_activated_error(store, in_force).await);
     }
     let era = revision.era();
     let version = next_version(store, in_force, era).await?;
@@ -88,17 +90,17 @@
     match write_with_retries(store, &writes, retry_schedule).await {
         Ok(WriteOutcome::Done(_)) => Ok(Activation {
             record: new_record,
-            answered: true,
+            acknowledged: true,
         }),
         Ok(WriteOutcome::Unknown(source)) => Err(CtlError::WriteUnknown {
-            operation: new_record.stamp.operation,
+            write_id: new_record.stamp.write_id,
             source,
         }),
         Ok(WriteOutcome::Refused { response_lost }) => {
             if response_lost && is_recorded(store, &new_record).await? {
                 return Ok(Activation {
                     record: new_record,
-                    answered: false,
+                    acknowledged: false,
                 });
             }
             Err(lost_race_error(store, codec, version).await)
@@ -107,9 +109,9 @@
     }
 }
 
-/// Returns the version for the next activation, in the store's era `era`.
+/// Returns the version for the next activation; `era` is the store's present era.
 ///
-/// If the store came back from an older copy since the last activation, it may have lost
+/// If the store was restored from an older copy since the last activation, it may have lost
 /// later versions. Nodes still have those in force and accept only higher versions.
 async fn next_version(
     store: &impl MetaStore,
@@ -128,8 +130,12 @@
 
 /// Returns whether the history holds this activation.
 ///
-/// A write refused after a lost response may have taken effect with an earlier try. If the
-/// store can't be read then, the outcome is unknown.
+/// A write refused after a lost response may have taken effect with an earlier try.
+///
+/// # Errors
+///
+/// Returns [`CtlError::WriteUnknown`] if the store can't be read, as the outcome is then
+/// unknown, and [`CtlError::BadRecord`] if the record can't be parsed.
 async fn is_recorded(
     store: &impl MetaStore,
     new_record: &ActivationRecord,
@@ -137,17 +143,17 @@
     match read_slot(store, new_record.version).await {
         Ok(slot) => Ok(slot.record.as_ref() == Some(new_record)),
         Err(CtlError::Store { source }) => Err(CtlError::WriteUnknown {
-            operation: new_record.stamp.operation.clone(),
+            write_id: new_record.stamp.write_id.clone(),
             source,
         }),
         Err(other) => Err(other),
     }
 }
 
-/// Returns the error that names the activation which came first.
+/// Returns the error for an activation that another one preceded.
 ///
-/// `version` is the lowest version that can be in force now; it is reported if the store
-/// can't be read.
+/// It names the version now in force, or `version`, which this activation would have had, if
+/// the store can't be read. `version` is the lowest that can be in force now.
 async fn lost_race_error(
     store: &impl MetaStore,
     codec: ConfigCodec,
@@ -157,7 +163,7 @@
         Ok((_, now)) => now,
         Err(_) => version,
     };
-    lost_activation_error(store, now).await
+    not_activated_error(store, now).await
 }
 
 /// Returns the revision of the configuration's key and the version in force.
@@ -179,15 +185,16 @@
     Ok((item.revision, input.version))
 }
 
-/// Returns [`CtlError::LostActivation`] with the activation of the version in force, if its
-/// record can be read.
-async fn lost_activation_error(store: &impl MetaStore, in_force: ConfigVersion) -> CtlError {
+/// Returns [`CtlError::NotActivated`] with the activation of the version in force.
+///
+/// The activation is left out if the history doesn't hold its record or can't be read.
+async fn not_activated_error(store: &impl MetaStore, in_force: ConfigVersion) -> CtlError {
     let last = match read_slot(store, in_force).await {
         Ok(slot) => slot.record.filter(|record| record.version == in_force),
         // The record only adds detail to the message; the version in force is enough.
         Err(_) => None,
     };
-    CtlError::LostActivation {
+    CtlError::NotActivated {
         in_force,
         last: last.map(Box::new),
     }
--- a/crates/ctl/src/presets/activation_history.rs
+++ b/crates/ctl/src/presets/activation_history.rs
@@ -16,7 +16,7 @@
 /// At 1,400 changes a day they cover four hours; older activations are in the logs.
 const HISTORY_SLOTS: u64 = 256;
 
-/// Returns the last `count` activations, oldest first.
+/// Returns the last `count` activations that the history holds, oldest first.
 ///
 /// # Errors
 ///
@@ -41,7 +41,7 @@
     Ok(records)
 }
 
-/// Reads the slot of a version in the history.
+/// Reads the history slot in which the record of a version is kept.
 pub(super) async fn read_slot(
     store: &impl MetaStore,
     version: ConfigVersion,
@@ -62,6 +62,6 @@
     pub(super) key: String,
     /// Revision of the key; 0 while the slot is empty.
     pub(super) revision: Revision,
-    /// Activation of that version, or an older one that used the same slot.
+    /// Record in the slot: of the version asked for, or of one that used the slot before.
     pub(super) record: Option<ActivationRecord>,
 }
--- a/crates/ctl/src/presets/activation_record.rs
+++ b/crates/ctl/src/presets/activation_record.rs
@@ -19,7 +19,7 @@
     pub stamp: WriteStamp,
     /// Era of the store when the configuration was read before the write.
     ///
-    /// It is 0 if the store didn't report an era.
+    /// The era is 0 if the store didn't report one, or if there was no configuration yet.
     #[serde(default, skip_serializing_if = "StoreEra::is_none")]
     pub era: StoreEra,
 }
--- a/crates/ctl/src/presets/preset_catalogue.rs
+++ b/crates/ctl/src/presets/preset_catalogue.rs
@@ -10,7 +10,7 @@
     write_with_retries,
 };
 
-/// Prefix of the keys that hold presets; the preset's name follows it.
+/// Prefix of the keys that hold presets; the preset's name follows the prefix.
 const PRESET_PREFIX: &str = "geranium-operator/preset/";
 
 /// Named presets in a store, for listing, reading and writing.
@@ -21,7 +21,7 @@
 }
 
 impl<'a, S: MetaStore> PresetCatalogue<'a, S> {
-    /// Creates a catalogue of the presets in `store`; writes are retried by `retry_schedule`.
+    /// Creates a catalogue of the presets in `store`, with `retry_schedule` for its writes.
     pub const fn new(store: &'a S, retry_schedule: RetrySchedule) -> Self {
         Self {
             store,
@@ -60,13 +60,15 @@
         })
     }
 
-    /// Stores a document under a name; the caller has checked the document.
+    /// Stores a document under a name, replacing an earlier preset of that name.
+    ///
+    /// The document must have passed [`PresetDocument::check`].
     ///
     /// A compare-and-swap keeps two operators from overwriting each other unnoticed.
     ///
     /// # Errors
     ///
-    /// Returns [`CtlError::LostPut`] if another operator stored a preset under the name between
+    /// Returns [`CtlError::NotStored`] if another operator stored a preset under the name between
     /// the read and the write, [`CtlError::WriteUnknown`] if it isn't known whether the write
     /// took effect, and [`CtlError::Store`] if the store failed and nothing was written.
     pub async fn put(
@@ -92,14 +94,14 @@
         match write_with_retries(self.store, &writes, self.retry_schedule).await {
             Ok(WriteOutcome::Done(_)) => Ok(new_record),
             Ok(WriteOutcome::Unknown(source)) => Err(CtlError::WriteUnknown {
-                operation: new_record.stamp.operation,
+                write_id: new_record.stamp.write_id,
                 source,
             }),
             Ok(WriteOutcome::Refused { response_lost }) => {
                 let current = match self.get(name).await {
                     Err(CtlError::Store { source }) if response_lost => {
-                        let operation = new_record.stamp.operation;
-                        return Err(CtlError::WriteUnknown { operation, source });
+                        let write_id = new_record.stamp.write_id;
+                        return Err(CtlError::WriteUnknown { write_id, source });
                     }
                     found => found?,
                 };
@@ -107,7 +109,7 @@
                     return Ok(new_record);
                 }
                 let current = Box::new(current);
-                Err(CtlError::LostPut { current })
+                Err(CtlError::NotStored { current })
             }
             Err(source) => Err(CtlError::Store { source }),
         }
--- a/crates/ctl/src/presets/preset_diff.rs
+++ b/crates/ctl/src/presets/preset_diff.rs
@@ -1,4 +1,4 @@
-//! Differences between presets, by service and route.
+//! Differences between two presets, by service and route and in the limits.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -7,7 +7,7 @@
 
 use super::PresetDocument;
 
-/// Differences from one preset to another.
+/// Differences from one preset to another, by service and route and in the limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PresetDiff {
     /// Services, then routes, each sorted by name, then limits; empty for equal presets.
@@ -21,14 +21,14 @@
     pub kind: &'static str,
     /// Name of the service or route; empty for the limits.
     pub name: String,
-    /// Difference between the presets in this entry.
-    pub change: DiffChange,
+    /// How the entry differs between the presets.
+    pub change: EntryChange,
 }
 
-/// Difference between two presets in one service or route, or in the limits.
+/// Addition, removal or change of one service or route, or change of the limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum DiffChange {
+pub enum EntryChange {
     /// Only the second preset has the entry.
     Added,
     /// Only the first preset has the entry.
@@ -37,14 +37,14 @@
     Changed(Vec<FieldChange>),
 }
 
-/// Values of a field in two presets; `null` where the field is absent.
+/// Field that differs between two presets, with both values.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct FieldChange {
     /// Path of the field within the entry, with a dot between its parts.
     pub field: String,
-    /// Value in the first preset.
+    /// Value in the first preset; `null` if the field is absent.
     pub from: Value,
-    /// Value in the second preset.
+    /// Value in the second preset; `null` if the field is absent.
     pub to: Value,
 }
 
@@ -92,12 +92,12 @@
         let change = match (old.get(name), new.get(name)) {
             (Some(from), Some(to)) if from == to => continue,
             (Some(from), Some(to)) => {
-                let mut fields = Vec::new();
-                compare_fields(&mut fields, "", from, to);
-                DiffChange::Changed(fields)
+                let mut field_changes = Vec::new();
+                compare_fields(&mut field_changes, "", from, to);
+                EntryChange::Changed(field_changes)
             }
-            (None, _) => DiffChange::Added,
-            (_, None) => DiffChange::Removed,
+            (None, _) => EntryChange::Added,
+            (_, None) => EntryChange::Removed,
         };
         changes.push(DiffEntry {
             kind,
@@ -107,7 +107,7 @@
     }
 }
 
-fn compare_fields(fields: &mut Vec<FieldChange>, path: &str, from: &Value, to: &Value) {
+fn compare_fields(field_changes: &mut Vec<FieldChange>, path: &str, from: &Value, to: &Value) {
     if let (Value::Object(old), Value::Object(new)) = (from, to) {
         let mut keys: Vec<_> = old.keys().chain(new.keys()).collect();
         keys.sort();
@@ -123,10 +123,10 @@
                 field(old).unwrap_or_default(),
                 field(new).unwrap_or_default(),
             );
-            compare_fields(fields, &child, &before, &after);
+            compare_fields(field_changes, &child, &before, &after);
         }
     } else if from != to {
-        fields.push(FieldChange {
+        field_changes.push(FieldChange {
             field: path.to_owned(),
             from: from.clone(),
             to: to.clone(),
@@ -148,11 +148,11 @@
         let entry = format!("{} {}", self.kind, self.name);
         let entry = entry.trim_end();
         match &self.change {
-            DiffChange::Added => writeln!(f, "+ {entry}"),
-            DiffChange::Removed => writeln!(f, "- {entry}"),
-            DiffChange::Changed(fields) => {
+            EntryChange::Added => writeln!(f, "+ {entry}"),
+            EntryChange::Removed => writeln!(f, "- {entry}"),
+            EntryChange::Changed(field_changes) => {
                 writeln!(f, "~ {entry}")?;
-                for change in fields {
+                for change in field_changes {
                     let FieldChange { field, from, to } = change;
                     writeln!(f, "    {field}: {from} -> {to}")?;
                 }
--- a/crates/ctl/src/presets/preset_document.rs
+++ b/crates/ctl/src/presets/preset_document.rs
@@ -15,7 +15,7 @@
 
 /// Configuration without a version, as an operator writes it in a file.
 ///
-/// Its activation assigns the version.
+/// The version is assigned when the preset is activated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PresetDocument {
--- a/crates/ctl/src/presets/preset_name.rs
+++ b/crates/ctl/src/presets/preset_name.rs
@@ -13,7 +13,7 @@
 #[serde(try_from = "String", into = "String")]
 pub struct PresetName(String);
 
-/// Error for a name that is empty, too long or has other characters than allowed.
+/// Error for a name that is empty or too long, or that contains a disallowed character.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
     "invalid preset name `{name}`: a name has 1 to {NAME_BYTES_MAX} lower-case letters, digits, `-` and `.`"
@@ -33,10 +33,13 @@
     type Error = PresetNameError;
 
     fn try_from(name: String) -> Result<Self, PresetNameError> {
-        let allowed =
+        let is_allowed =
             |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-.".contains(&byte);
-        let sized = (1..=NAME_BYTES_MAX).contains(&name.len());
-        ensure!(sized && name.bytes().all(allowed), PresetNameSnafu { name });
+        let has_allowed_length = (1..=NAME_BYTES_MAX).contains(&name.len());
+        ensure!(
+            has_allowed_length && name.bytes().all(is_allowed),
+            PresetNameSnafu { name }
+        );
         Ok(Self(name))
     }
 }
--- a/crates/ctl/src/presets/record.rs
+++ b/crates/ctl/src/presets/record.rs
@@ -6,7 +6,7 @@
 
 use crate::{CtlError, ctl_error::StoreSnafu};
 
-/// Reads a record and its revision; the revision is 0 if there is no record.
+/// Reads the record at `key` and its revision, which is 0 if there is no record.
 pub(super) async fn read<T: DeserializeOwned>(
     store: &impl MetaStore,
     key: &str,
@@ -21,7 +21,7 @@
     Ok((item.revision, Some(parse(key, &item.value)?)))
 }
 
-/// Parses the value of a record.
+/// Parses a record's JSON value; an error names its `key`.
 pub(super) fn parse<T: DeserializeOwned>(key: &str, value: &[u8]) -> Result<T, CtlError> {
     serde_json::from_slice(value).map_err(|error| CtlError::BadRecord {
         key: key.to_owned(),
@@ -29,7 +29,7 @@
     })
 }
 
-/// Serializes a record to the value that the store holds.
+/// Serializes a record as JSON, the form in which the store holds it.
 pub(super) fn to_bytes(record: &impl Serialize) -> Vec<u8> {
     serde_json::to_vec(record).expect("plain structs always serialize")
 }
--- a/crates/ctl/src/retry_schedule.rs
+++ b/crates/ctl/src/retry_schedule.rs
@@ -7,7 +7,7 @@
 /// Five tries then span 6 s, about as long as an operator waits for a command.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 
-/// Number of tries of a write without a response, and the pauses between them.
+/// Number of tries of a write, and the pauses between them.
 #[derive(Debug, Clone, Copy)]
 pub struct RetrySchedule {
     tries: u32,
--- a/crates/ctl/src/session.rs
+++ b/crates/ctl/src/session.rs
@@ -12,17 +12,17 @@
 /// Store, operator and settings that commands need besides their own arguments.
 #[derive(Debug)]
 pub struct Session<S> {
-    /// Client of the metadata store; none if its address wasn't given.
+    /// Client of the metadata store; `None` if its address wasn't given.
     pub store: Option<S>,
     /// Key and encoding of the configuration in the store.
     pub codec: ConfigCodec,
-    /// Name of the operator; none if it wasn't given.
+    /// Name of the operator; `None` if it wasn't given.
     pub operator: Option<String>,
-    /// Addresses of the pages of nodes that name the rest of the fleet.
+    /// Admin addresses of some nodes, which name the others if the store can't be read.
     pub nodes: Vec<SocketAddr>,
-    /// Port of the nodes' status pages, on the address of each node.
+    /// Port of the nodes' admin addresses; the IP address is that of each node.
     pub status_port: u16,
-    /// Tries and pauses of writes that get no response.
+    /// Tries and pauses of writes that get no response or find the store busy.
     pub retry_schedule: RetrySchedule,
 }
 
--- a/crates/ctl/src/write_outcome.rs
+++ b/crates/ctl/src/write_outcome.rs
@@ -1,4 +1,4 @@
-//! Writes that are retried when their response is lost.
+//! Writes that are retried when their response is lost or the store is busy.
 
 use geranium_node::store::{MetaStore, Revision, StoreError, StoreWrite};
 use tokio::time::sleep;
@@ -17,15 +17,17 @@
         /// Whether an earlier try got no response.
         response_lost: bool,
     },
-    /// It isn't known whether the write took effect; holds the error of one of the tries.
+    /// It isn't known whether the write took effect; the error is that of one of the tries.
     Unknown(StoreError),
 }
 
-/// Commits changes, retrying until the store answers or the tries are used up.
+/// Commits conditional writes in one transaction, with retries.
 ///
-/// Each change must name the revision that it replaces. A write whose response is lost may
-/// have taken effect, or may do so seconds later. Retries are safe all the same: the changes
-/// take effect once at most, as a later try finds other revisions. After
+/// A try without a response, or with the response that the store is busy, is repeated until
+/// the tries are used up; any other response ends the retries. Each write must name the
+/// revision that it replaces. A try whose response is lost may have taken effect, or may do so
+/// seconds later. Retries are safe all the same: the writes take effect once at most, as a
+/// later try finds other revisions. After
 /// [`WriteOutcome::Refused`], the caller reads the record to see whose write took effect.
 ///
 /// # Errors
--- a/crates/ctl/src/write_stamp.rs
+++ b/crates/ctl/src/write_stamp.rs
@@ -9,18 +9,20 @@
 
 use crate::utc_time::utc_time;
 
-/// Identification of one write by one operator.
+/// Identification of one write by one operator, stored with what was written.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteStamp {
     /// Random identifier of the write.
     ///
-    /// It tells whether a write whose response was lost took effect.
-    pub operation: String,
+    /// The identifier in the stored record tells whether a write whose response was lost took
+    /// effect.
+    #[serde(rename = "operation")]
+    pub write_id: String,
     /// Name of the operator.
     pub operator: String,
     /// Wall-clock time of the write in milliseconds since the Unix epoch.
     ///
-    /// It is only for people to read; no code compares it.
+    /// The time is for people to read; nothing is ordered by it.
     pub written_at_ms: u64,
 }
 
@@ -32,12 +34,12 @@
     /// ```
     /// use geranium_ctl::WriteStamp;
     ///
-    /// assert_ne!(WriteStamp::now("anna").operation, WriteStamp::now("anna").operation);
+    /// assert_ne!(WriteStamp::now("anna").write_id, WriteStamp::now("anna").write_id);
     /// ```
     pub fn now(operator: impl Into<String>) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
-            operation: format!("{:032x}", rand::random::<u128>()),
+            write_id: format!("{:032x}", rand::random::<u128>()),
             operator: operator.into(),
             written_at_ms: since_epoch.map_or(0, |age| age.as_millis() as u64),
         }
@@ -50,7 +52,7 @@
         write!(
             f,
             "by {} at {at}, operation {}",
-            self.operator, self.operation
+            self.operator, self.write_id
         )
     }
 }
--- a/crates/ctl/tests/all/activation_races.rs
+++ b/crates/ctl/tests/all/activation_races.rs
@@ -29,7 +29,7 @@
         let result = match wait(activate(store, codec(), &request, retry_schedule)) {
             Ok(activation) => ReportedResult::Won(activation.record.version.0),
             Err(CtlError::WriteUnknown { .. }) => ReportedResult::Unknown,
-            Err(CtlError::LostActivation { .. } | CtlError::Store { .. }) => {
+            Err(CtlError::NotActivated { .. } | CtlError::Store { .. }) => {
                 ReportedResult::NotActivated
             }
             Err(other) => panic!("{other}"),
@@ -86,17 +86,17 @@
     let versions: Vec<_> = history.iter().map(|entry| entry.version.0).collect();
     let contiguous: Vec<_> = (1..=versions.len() as u64).collect();
     assert_eq!(versions, contiguous, "seed {seed}");
-    let by_operation: HashMap<_, _> = history
+    let by_write_id: HashMap<_, _> = history
         .iter()
-        .map(|entry| (entry.stamp.operation.clone(), entry.version.0))
+        .map(|entry| (entry.stamp.write_id.clone(), entry.version.0))
         .collect();
     assert_eq!(
-        by_operation.len(),
+        by_write_id.len(),
         history.len(),
-        "seed {seed}: an operation is in the history twice"
+        "seed {seed}: a write is in the history twice"
     );
     for (request, result) in results {
-        let found = by_operation.get(&request.stamp.operation).copied();
+        let found = by_write_id.get(&request.stamp.write_id).copied();
         match result {
             ReportedResult::Won(version) => assert_eq!(found, Some(*version), "seed {seed}"),
             ReportedResult::NotActivated => assert_eq!(found, None, "seed {seed}"),
--- a/crates/ctl/tests/all/explain.rs
+++ b/crates/ctl/tests/all/explain.rs
@@ -21,11 +21,11 @@
     scanner.finish()
 }
 
-/// Returns the member report shown with the first decision about request `q`.
-fn first_member_report(text: &str) -> Option<String> {
+/// Returns the last member event shown with the first event about request `q`.
+fn member_event_of_first(text: &str) -> Option<String> {
     let mut scanner = LogScanner::new("q");
     scanner.read(text.as_bytes()).expect("bytes can be read");
-    scanner.finish().events[0].member_report.clone()
+    scanner.finish().events[0].last_member_event.clone()
 }
 
 #[test]
@@ -40,24 +40,24 @@
 }
 
 #[test]
-fn the_last_member_report_is_shown_with_a_decision() {
+fn the_last_member_event_is_shown_with_a_request_event() {
     let text = r#"{"msg":"member announced","ts":"1","node":"n1","at":"a","service":"s","instance":"i","state":"ready","revision":4}
 {"msg":"door refused","ts":"2","node":"n1","request":"q","at":"a","instance":"i","reason":"full","retry_after_ms":9}"#;
-    let member_report = first_member_report(text);
+    let last_member_event = member_event_of_first(text);
     assert_eq!(
-        member_report.as_deref(),
+        last_member_event.as_deref(),
         Some("1: member a (s, i) announced as ready at revision 4")
     );
 }
 
-/// Guards against a missing member report when many announcements share a log line.
+/// Guards against a missing member event when many announcements share a log line.
 #[test]
-fn a_member_report_is_found_in_a_line_about_many_members() {
+fn a_member_event_is_found_in_a_line_about_many_members() {
     let text = r#"{"msg":"members announced","ts":"1","node":"n1","count":2,"members":"a 4 ready s i; b 5 leaving t j"}
 {"msg":"door refused","ts":"2","node":"n1","request":"q","at":"b","instance":"j","reason":"leaving","retry_after_ms":9}"#;
-    let member_report = first_member_report(text);
+    let last_member_event = member_event_of_first(text);
     assert_eq!(
-        member_report.as_deref(),
+        last_member_event.as_deref(),
         Some("1: member b (t, j) announced as leaving at revision 5")
     );
 }
@@ -66,5 +66,5 @@
 fn an_unknown_request_has_no_events_and_counts_missing_lines() {
     let timeline = timeline("nobody");
     assert!(timeline.events.is_empty());
-    assert_eq!((timeline.dropped_lines, timeline.unreadable_lines), (3, 1));
+    assert_eq!((timeline.missing_lines, timeline.unreadable_lines), (3, 1));
 }
--- a/crates/ctl/tests/all/fleet.rs
+++ b/crates/ctl/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! Status of the fleet, read from the nodes' pages.
+//! Status of the fleet, read from the nodes' admin addresses.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -11,8 +11,8 @@
 
 use crate::support::{MemoryStore, codec, put_in_force, store_with_presets, wait};
 
-/// Serves a node's pages at its own IP address, on the port that all nodes share.
-fn serve_pages(ip: [u8; 4], port: u16, status: Value, members: Value) {
+/// Serves a node's status and members at its own IP address, on the port that all nodes share.
+fn serve_admin(ip: [u8; 4], port: u16, status: Value, members: Value) {
     let listener = TcpListener::bind(SocketAddr::from((ip, port))).unwrap();
     thread::spawn(move || {
         for stream in listener.incoming() {
@@ -52,9 +52,9 @@
     })
 }
 
-/// Starts nodes that use `versions`; one more node is announced but doesn't answer.
+/// Starts nodes that use `versions`; one more node is announced but doesn't respond.
 ///
-/// Returns the port of their pages and the address of the first node's.
+/// Returns their admin port and the first node's admin address.
 fn start(group: u8, versions: &[u64]) -> (u16, SocketAddr) {
     let ips: Vec<[u8; 4]> = (1..=versions.len() as u8 + 1)
         .map(|number| [127, 9, group, number])
@@ -64,7 +64,7 @@
     drop(free);
     let members: Value = ips.iter().map(|ip| member(*ip)).collect();
     for (ip, version) in ips.iter().zip(versions) {
-        serve_pages(*ip, port, status(*ip, *version), members.clone());
+        serve_admin(*ip, port, status(*ip, *version), members.clone());
     }
     (port, SocketAddr::from((ips[0], port)))
 }
@@ -86,7 +86,7 @@
 }
 
 /// Guards against a status that leaves out a node with an older version or one that doesn't
-/// answer, when the operator named a single node.
+/// respond, when the operator named a single node.
 #[test]
 fn status_names_lagging_and_silent_nodes() {
     let (port, node) = start(1, &[2, 1, 2]);
--- a/crates/ctl/tests/all/messages.rs
+++ b/crates/ctl/tests/all/messages.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Replaces operation identifiers and times, which differ between runs.
+/// Replaces identifiers of writes and times, which differ between runs.
 fn redact(text: &str) -> String {
     let words = text.split_inclusive([' ', '\n', ',', '"']).map(|word| {
         let bare = word.trim_end_matches([' ', '\n', ',', '"', ')']);
@@ -73,13 +73,13 @@
         reason: "connection refused".to_owned(),
     };
     let errors = [
-        CtlError::LostActivation {
+        CtlError::NotActivated {
             in_force: ConfigVersion(8),
             last: None,
         },
         CtlError::Store { source: lost() },
         CtlError::WriteUnknown {
-            operation: "0a".to_owned(),
+            write_id: "0a".to_owned(),
             source: lost(),
         },
         CtlError::UnknownPreset {
--- a/crates/ctl/tests/all/store_copies.rs
+++ b/crates/ctl/tests/all/store_copies.rs
@@ -1,4 +1,4 @@
-//! Activations after the store came back from an older copy of its data.
+//! Activations after the store was restored from an older copy of its data.
 
 use geranium_ctl::activation_history;
 use geranium_node::store::StoreEra;
