--- a/crates/burn/src/burn_rate/alert_rule.rs
+++ b/crates/burn/src/burn_rate/alert_rule.rs
@@ -1,4 +1,7 @@
-//! Multi-window alert rules on the burn rate of an error budget.
+//! Alert rules on the burn of an error budget, each over two windows.
+//!
+//! The burn over a window is the ratio of violations of an objective to the violations that
+//! it allows for the responses in that window.
 //!
 //! A service may lose a large share of its requests at once, or a small share
 //! for days. An alert on a single window fails either way: a short window pages
@@ -37,7 +40,7 @@
     pub urgency: Urgency,
 }
 
-/// Rules of every report, the most urgent first.
+/// Rules that every report evaluates, the one with the shortest windows first.
 pub const ALERT_RULES: [AlertRule; 3] = [
     AlertRule {
         threshold: 14.4,
@@ -70,10 +73,10 @@
         budget_window / self.fast_divisor
     }
 
-    /// Returns the urgency for the burn of both windows.
+    /// Returns the rule's urgency if it fires for these burns, and else `Fine`.
     ///
-    /// `None` stands for a window without responses. The result is `NoTraffic`
-    /// when the slow window has none.
+    /// `None` is the burn of a window without responses. The result is `NoTraffic`
+    /// when the slow window has no responses.
     ///
     /// # Examples
     ///
--- a/crates/burn/src/burn_rate/burn_interval.rs
+++ b/crates/burn/src/burn_rate/burn_interval.rs
@@ -16,13 +16,15 @@
     pub end_ms: u64,
     /// Tallies by service, only of services with an objective.
     pub tallies: BTreeMap<String, ServiceTallies>,
-    /// Services that received requests but have no objective.
+    /// Services without an objective for which a node has counted responses.
+    ///
+    /// The responses may be older than the interval.
     pub without_objective: BTreeSet<String>,
-    /// Services whose objective changed or was removed.
+    /// Services whose objective differs from the earlier sample's or was removed.
     pub changed_objectives: BTreeSet<String>,
     /// Instances whose node restarted.
     ///
-    /// The counts between the old process's last sample and its end are lost.
+    /// The counts between the old process's last reading and its end are lost.
     pub restarted: BTreeSet<String>,
 }
 
--- a/crates/burn/src/burn_rate/burn_tally.rs
+++ b/crates/burn/src/burn_rate/burn_tally.rs
@@ -4,32 +4,34 @@
 
 use crate::{ServiceObjective, TrafficCounts};
 
-/// Error budget of one indicator, with the responses that spend it.
+/// Violations of one indicator's objective, and how many it allows.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct ErrorBudget {
+pub struct BudgetTally {
     /// Responses that violate the objective.
     pub violations: u64,
     /// Responses that the objective applies to.
     pub total: u64,
-    /// Number of violations that the objective allows: the budget.
+    /// Number of violations that the objective allows for `total`: the error budget.
     pub allowed: f64,
 }
 
-/// Availability and latency budgets of the responses in some time.
+/// Availability and latency tallies of the responses in some time.
 ///
 /// The allowed violations are added up with the responses, so when an objective
 /// changes, each response still counts by the objective of its own time.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct BurnTally {
     /// Bad responses out of all that aren't caller faults.
-    pub availability: ErrorBudget,
+    pub availability: BudgetTally,
     /// Slow responses out of all good ones.
-    pub latency: ErrorBudget,
-    /// Responses that are the caller's fault; neither budget includes them.
+    pub latency: BudgetTally,
+    /// Responses in neither budget, as the request itself was at fault.
+    ///
+    /// These are the responses with result `caller-fault`.
     pub caller_faults: u64,
 }
 
-impl ErrorBudget {
+impl BudgetTally {
     fn new(violations: u64, total: u64, target_share: f64) -> Self {
         Self {
             violations,
@@ -55,7 +57,7 @@
 }
 
 impl BurnTally {
-    /// Computes both budgets from counts and the service's objective.
+    /// Computes both tallies from counts and the service's objective.
     ///
     /// # Examples
     ///
@@ -68,17 +70,17 @@
     /// assert_eq!(tally.availability.burn(), Some(1.0));
     /// ```
     pub fn from_counts(counts: &TrafficCounts, objective: &ServiceObjective) -> Self {
-        let responses = counts.good + counts.bad;
+        let counted_responses = counts.good + counts.bad;
         let slow = counts.slow_responses(objective.latency_ms);
         Self {
-            availability: ErrorBudget::new(counts.bad, responses, objective.availability),
-            latency: ErrorBudget::new(slow, counts.good, objective.latency_share),
+            availability: BudgetTally::new(counts.bad, counted_responses, objective.availability),
+            latency: BudgetTally::new(slow, counts.good, objective.latency_share),
             caller_faults: counts.caller_faults,
         }
     }
 }
 
-impl AddAssign for ErrorBudget {
+impl AddAssign for BudgetTally {
     fn add_assign(&mut self, other: Self) {
         self.violations += other.violations;
         self.total += other.total;
--- a/crates/burn/src/burn_rate/burn_tracker.rs
+++ b/crates/burn/src/burn_rate/burn_tracker.rs
@@ -1,4 +1,4 @@
-//! Turns cumulative samples into intervals and records lost counts.
+//! Conversion of cumulative samples into intervals, with a record of missing counts.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,22 +8,24 @@
 use super::{ALERT_RULES, BurnInterval, BurnTally, IntervalHistory, TallyKey};
 use crate::{FleetSample, MissingNode, NodeReading, Objectives};
 
-/// Reason recorded for an instance that is gone after it was read.
+/// Reason for an instance that was read before and isn't in the newest sample at all.
 const LEFT_FLEET_REASON: &str = "left the fleet; its counts since its last sample are lost";
 
-/// State from which reports are built: intervals, last readings and losses.
+/// State from which reports are built: intervals, last readings and missing nodes.
 ///
 /// The first reading of a node only serves as a baseline, since its counts may
-/// precede the budget window. A node that couldn't be read for a while loses no
-/// counts unless it restarted: its next reading includes them, and they are
+/// precede the budget window. A node that couldn't be read for a while has lost
+/// no counts unless it restarted: its next reading includes them, and they are
 /// added to the interval that ends with that reading.
 #[derive(Debug)]
 pub struct BurnTracker {
     history: IntervalHistory,
     last_readings: BTreeMap<String, NodeReading>,
-    /// Nodes with lost or unread counts, with the time of the sample in which
-    /// this was found. The key is the instance or else the admin address.
-    losses: BTreeMap<String, (u64, MissingNode)>,
+    /// Nodes whose counts are lost or unread, by instance or else by admin address.
+    ///
+    /// The number is the time of the sample in which this was found, in
+    /// milliseconds since the Unix epoch.
+    missing_nodes: BTreeMap<String, (u64, MissingNode)>,
     newest: Option<NewestSample>,
 }
 
@@ -42,12 +44,14 @@
         Self {
             history: IntervalHistory::new(budget_window),
             last_readings: BTreeMap::new(),
-            losses: BTreeMap::new(),
+            missing_nodes: BTreeMap::new(),
             newest: None,
         }
     }
 
-    /// Adds the next sample.
+    /// Adds the next sample and the interval that ends with it.
+    ///
+    /// The first sample ends no interval.
     pub fn add(&mut self, sample: FleetSample) {
         let before = self.newest.take();
         let start_ms = before.as_ref().map(|newest| newest.at_ms);
@@ -59,8 +63,8 @@
             changed_objectives: changed_objectives(&previous, &sample.objectives),
             ..BurnInterval::default()
         };
-        self.drop_expired_losses(sample.at_ms);
-        self.record_losses(&sample);
+        self.drop_expired_missing_nodes(sample.at_ms);
+        self.record_missing_nodes(&sample);
         self.newest = Some(NewestSample {
             at_ms: sample.at_ms,
             version: sample.version,
@@ -87,35 +91,36 @@
         self.newest.as_ref().map_or(0, |newest| newest.at_ms)
     }
 
-    /// Returns the configuration version of the newest sample, or 0.
+    /// Returns the configuration version of the newest sample, or 0 before the first.
     pub fn version(&self) -> u64 {
         let newest = self.newest.as_ref();
         newest.map_or(0, |newest| newest.version)
     }
 
-    /// Returns the objectives of the newest sample, `None` before the first.
+    /// Returns the objectives of the newest sample, or `None` before the first.
     pub fn objectives(&self) -> Option<&Objectives> {
         self.newest.as_ref().map(|newest| &newest.objectives)
     }
 
-    /// Returns how many nodes were read in the newest sample.
+    /// Returns the number of nodes read in the newest sample, or 0 before the first.
     pub fn nodes_read(&self) -> usize {
         self.newest.as_ref().map_or(0, |newest| newest.nodes)
     }
 
-    /// Returns the nodes with recent losses and the number with older ones.
+    /// Returns the nodes with recently missing counts and the number of other ones.
     ///
-    /// A loss is recent within the slow window of the first rule, or within the
-    /// newest interval if that is longer. Older losses of the budget window are
-    /// only counted: instances fail daily, so reports would always be partial.
-    pub fn losses(&self) -> (Vec<&MissingNode>, usize) {
+    /// Counts are recently missing if this was found within the slow window of the
+    /// first rule, or within the newest interval if that is longer. Nodes with
+    /// older cases in the budget window are only counted: instances fail daily, so
+    /// reports would always be partial.
+    pub fn missing_nodes(&self) -> (Vec<&MissingNode>, usize) {
         let window = self.history.budget_window();
         let newest = self.history.within(Duration::ZERO).last();
         let span_ms = newest.map_or(0, |interval| interval.end_ms - interval.start_ms);
         let recent_ms = span_ms.max(ALERT_RULES[0].slow_window(window).as_millis() as u64);
         let age_ms = |at_ms: u64| self.at_ms().saturating_sub(at_ms);
         let (recent, older): (Vec<_>, Vec<_>) = self
-            .losses
+            .missing_nodes
             .values()
             .filter(|(at_ms, _)| u128::from(age_ms(*at_ms)) <= window.as_millis())
             .partition(|(at_ms, _)| age_ms(*at_ms) <= recent_ms);
@@ -123,11 +128,11 @@
         (recent, older.len())
     }
 
-    /// Drops losses older than the budget window, with their last readings.
-    fn drop_expired_losses(&mut self, now_ms: u64) {
+    /// Drops missing nodes older than the budget window, with their last readings.
+    fn drop_expired_missing_nodes(&mut self, now_ms: u64) {
         let window = self.history.budget_window();
         let last_readings = &mut self.last_readings;
-        self.losses.retain(|_, (at_ms, node)| {
+        self.missing_nodes.retain(|_, (at_ms, node)| {
             let is_expired = u128::from(now_ms.saturating_sub(*at_ms)) > window.as_millis();
             if let Some(instance) = node.instance.as_ref().filter(|_| is_expired) {
                 last_readings.remove(instance);
@@ -136,34 +141,41 @@
         });
     }
 
-    fn record_losses(&mut self, sample: &FleetSample) {
-        let read: BTreeSet<_> = sample.nodes.iter().map(|node| &node.instance).collect();
-        let unread: BTreeSet<_> = sample
+    /// Records nodes that the sample lists as missing or that left the fleet.
+    ///
+    /// Nodes whose instance the sample read are dropped again.
+    fn record_missing_nodes(&mut self, sample: &FleetSample) {
+        let read_instances: BTreeSet<_> = sample.nodes.iter().map(|node| &node.instance).collect();
+        let unread_instances: BTreeSet<_> = sample
             .missing
             .iter()
             .filter_map(|node| node.instance.as_ref())
             .collect();
         for node in &sample.missing {
-            self.losses
-                .insert(loss_key(node), (sample.at_ms, node.clone()));
+            self.missing_nodes
+                .insert(missing_node_key(node), (sample.at_ms, node.clone()));
         }
         for instance in self.last_readings.keys() {
-            if read.contains(instance) {
-                self.losses.remove(instance.as_str());
-            } else if !unread.contains(instance) {
+            if read_instances.contains(instance) {
+                self.missing_nodes.remove(instance.as_str());
+            } else if !unread_instances.contains(instance) {
                 let node = MissingNode {
                     instance: Some(instance.clone()),
                     admin_addr: None,
                     reason: LEFT_FLEET_REASON.to_owned(),
                 };
-                let known = self.losses.get(instance.as_str());
+                let known = self.missing_nodes.get(instance.as_str());
                 if known.is_none_or(|(_, known)| known.reason != LEFT_FLEET_REASON) {
-                    self.losses.insert(loss_key(&node), (sample.at_ms, node));
+                    self.missing_nodes
+                        .insert(missing_node_key(&node), (sample.at_ms, node));
                 }
             }
         }
     }
 
+    /// Adds the responses since the node's last reading to the interval.
+    ///
+    /// `previous` holds the objectives of the sample before.
     fn add_reading(
         &mut self,
         interval: &mut BurnInterval,
@@ -198,7 +210,7 @@
     }
 }
 
-fn loss_key(node: &MissingNode) -> String {
+fn missing_node_key(node: &MissingNode) -> String {
     match (&node.instance, node.admin_addr) {
         (Some(instance), _) => instance.clone(),
         (None, Some(addr)) => addr.to_string(),
@@ -206,6 +218,7 @@
     }
 }
 
+/// Returns the services of `previous` whose objective differs in `current` or is absent.
 fn changed_objectives(previous: &Objectives, current: &Objectives) -> BTreeSet<String> {
     let differs = |name| {
         let before = previous.get(name);
--- a/crates/burn/src/burn_rate/interval_history.rs
+++ b/crates/burn/src/burn_rate/interval_history.rs
@@ -12,7 +12,9 @@
 
 use super::{ALERT_RULES, BurnInterval};
 
-/// Number of pushed intervals between two merges, which visit all intervals.
+/// Number of pushed intervals between two merges.
+///
+/// Merging visits all intervals, so it isn't done with each push.
 const INTERVALS_PER_MERGE: usize = 256;
 
 /// Intervals of the budget window, oldest first.
@@ -38,11 +40,11 @@
         self.budget_window
     }
 
-    /// Adds the newest interval and drops those older than the budget window.
+    /// Adds the newest interval and drops those that end before the budget window.
     pub fn push(&mut self, interval: BurnInterval) {
-        let from_ms = interval.end_ms.saturating_sub(millis(self.budget_window));
+        let window_start_ms = interval.end_ms.saturating_sub(millis(self.budget_window));
         self.intervals.push_back(interval);
-        while self.intervals.len() > 1 && self.intervals[0].end_ms <= from_ms {
+        while self.intervals.len() > 1 && self.intervals[0].end_ms <= window_start_ms {
             self.intervals.pop_front();
         }
         self.pushed_since_merge += 1;
@@ -58,15 +60,16 @@
     /// samples isn't empty.
     pub fn within(&self, window: Duration) -> impl Iterator<Item = &BurnInterval> + Clone {
         let newest = self.intervals.back();
-        let from_ms = newest.map_or(0, |last| last.end_ms.saturating_sub(millis(window)));
+        let window_start_ms = newest.map_or(0, |last| last.end_ms.saturating_sub(millis(window)));
         let older = self.intervals.len().saturating_sub(1);
         self.intervals
             .iter()
             .take(older)
-            .filter(move |interval| interval.start_ms >= from_ms)
+            .filter(move |interval| interval.start_ms >= window_start_ms)
             .chain(newest)
     }
 
+    /// Merges adjacent intervals up to the length that [`max_interval_ms`] allows.
     fn merge(&mut self) {
         let now_ms = self.intervals.back().map_or(0, |last| last.end_ms);
         let mut merged: VecDeque<BurnInterval> = VecDeque::new();
@@ -86,10 +89,10 @@
 
 /// Returns the length up to which intervals of this age may be merged.
 fn max_interval_ms(budget_window: Duration, age_ms: u64) -> u64 {
-    let exceeded = ALERT_RULES
+    let exceeded_rule = ALERT_RULES
         .iter()
         .rfind(|rule| age_ms > millis(rule.slow_window(budget_window)));
-    exceeded.map_or(0, |rule| millis(rule.fast_window(budget_window)))
+    exceeded_rule.map_or(0, |rule| millis(rule.fast_window(budget_window)))
 }
 
 fn millis(duration: Duration) -> u64 {
--- a/crates/burn/src/burn_rate/mod.rs
+++ b/crates/burn/src/burn_rate/mod.rs
@@ -1,4 +1,4 @@
-//! Burn calculation from samples, without I/O and without reading a clock.
+//! Calculation of the burn of error budgets from samples, without I/O or reading a clock.
 
 mod alert_rule;
 mod burn_interval;
@@ -10,7 +10,7 @@
 
 pub use alert_rule::{ALERT_RULES, AlertRule};
 pub use burn_interval::{BurnInterval, ServiceTallies};
-pub use burn_tally::{BurnTally, ErrorBudget};
+pub use burn_tally::{BudgetTally, BurnTally};
 pub use burn_tracker::BurnTracker;
 pub use interval_history::IntervalHistory;
 pub use tally_key::TallyKey;
--- a/crates/burn/src/burn_rate/tally_key.rs
+++ b/crates/burn/src/burn_rate/tally_key.rs
@@ -2,7 +2,7 @@
 
 use geranium_node::config::RequestKind;
 
-/// Data centre of the caller's node and request kind of the route.
+/// Data centre and request kind by which a service's tallies are kept.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TallyKey {
     /// Data centre of the node that sent the caller the final response.
--- a/crates/burn/src/burn_rate/urgency.rs
+++ b/crates/burn/src/burn_rate/urgency.rs
@@ -1,14 +1,14 @@
-//! Urgency of an alert.
+//! Urgency of the burn of an error budget.
 
 use serde::Serialize;
 use strum::{Display, IntoStaticStr};
 
-/// Urgency of a service's burn, in rising order.
+/// Urgency of the burn by a rule, of an indicator or of a service, in rising order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// The slow windows hold no responses, so the burn is unknown.
+    /// No slow window holds responses, so the burn is unknown.
     NoTraffic,
     /// No rule fires.
     Fine,
--- a/crates/burn/src/burn_run.rs
+++ b/crates/burn/src/burn_run.rs
@@ -1,4 +1,4 @@
-//! One run of the program.
+//! Run of the program: samples, reports and their result code.
 
 use std::{
     fs, thread,
@@ -20,6 +20,9 @@
     sampler: FleetSampler,
     file: Option<SampleFile>,
     tracker: BurnTracker,
+    /// Time of the last appended sample, in milliseconds since the Unix epoch.
+    ///
+    /// `None` if this run has appended none.
     appended_at_ms: Option<u64>,
 }
 
@@ -88,12 +91,12 @@
         result
     }
 
-    /// Takes one sample and returns the result code of a report on it.
+    /// Takes, stores and adds one sample, and returns the result code of a report then.
     fn sample(&mut self, is_first_or_last: bool) -> Result<ResultCode, BurnError> {
         let sample = self.sampler.sample()?;
         self.append_if_due(&sample, is_first_or_last)?;
         self.tracker.add(sample);
-        let is_complete = self.tracker.losses().0.is_empty();
+        let is_complete = self.tracker.missing_nodes().0.is_empty();
         Ok(if is_complete {
             ResultCode::Ok
         } else {
@@ -101,6 +104,9 @@
         })
     }
 
+    /// Appends the sample to the sample file, if there is one and an append is due.
+    ///
+    /// The first and the last sample of a run are always appended.
     fn append_if_due(
         &mut self,
         sample: &FleetSample,
@@ -121,6 +127,7 @@
         Ok(())
     }
 
+    /// Builds a report, writes its picture if one is wanted, and passes it to `show`.
     fn report(&self, show: &mut impl FnMut(&BurnReport)) -> Result<(), BurnError> {
         let report = BurnReport::from(&self.tracker);
         if let Some(path) = &self.invocation.picture {
--- a/crates/burn/src/exit_status.rs
+++ b/crates/burn/src/exit_status.rs
@@ -2,7 +2,7 @@
 
 use geranium_node::result_code::ResultCode;
 
-/// Returns the exit status for a result code: its first and last digit.
+/// Returns the exit status of a result code, made of its first and last digit.
 ///
 /// `geranium-ctl` uses the same rule.
 ///
--- a/crates/burn/src/invocation.rs
+++ b/crates/burn/src/invocation.rs
@@ -1,4 +1,4 @@
-//! Command line arguments.
+//! Command line of the program.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -6,6 +6,7 @@
 
 use crate::{OutputFormat, WindowLength};
 
+/// Examples and exit statuses, at the end of the program's help.
 const EXAMPLES: &str = "\
 Examples:
   geranium-burn --node 10.0.1.7:9464 once --over 60
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -7,8 +7,9 @@
 //! into intervals, taking restarts and missing nodes into account, and a
 //! [`BurnReport`] evaluates the intervals by the objectives and [`ALERT_RULES`].
 //!
-//! Missing counts are never estimated: a report without the counts of some nodes
-//! lists these nodes and has its own result code and [`exit_status`].
+//! Missing counts are never estimated. A report with recently missing counts lists
+//! their nodes and has its own result code and [`exit_status`]. Nodes whose counts
+//! went missing earlier are only counted, and restarted nodes only listed.
 
 mod burn_error;
 mod burn_rate;
@@ -23,7 +24,7 @@
 
 pub use burn_error::BurnError;
 pub use burn_rate::{
-    ALERT_RULES, AlertRule, BurnInterval, BurnTally, BurnTracker, ErrorBudget, IntervalHistory,
+    ALERT_RULES, AlertRule, BudgetTally, BurnInterval, BurnTally, BurnTracker, IntervalHistory,
     ServiceTallies, TallyKey, Urgency,
 };
 pub use burn_run::BurnRun;
--- a/crates/burn/src/main.rs
+++ b/crates/burn/src/main.rs
@@ -13,15 +13,15 @@
 
 fn main() -> ExitCode {
     let invocation = Invocation::parse();
-    let output = invocation.output;
+    let format = invocation.output;
     let is_watch = matches!(invocation.command, Command::Watch { .. });
-    let clears_screen = is_watch && output == OutputFormat::Text && stdout().is_terminal();
+    let clears_screen = is_watch && format == OutputFormat::Text && stdout().is_terminal();
     let show = |report: &BurnReport| {
-        let text = output.report(report);
+        let text = format.report(report);
         let clear = if clears_screen { CLEAR_SCREEN } else { "" };
         println!("{clear}{}", text.trim_end());
     };
-    let warn = |error: &_| eprintln!("{}", output.error(error));
+    let warn = |error: &_| eprintln!("{}", format.error(error));
     let outcome = BurnRun::new(&invocation).and_then(|run| run.run(show, warn));
     match outcome {
         Ok(code) => exit_status(code).into(),
--- a/crates/burn/src/reading/latency_bucket.rs
+++ b/crates/burn/src/reading/latency_bucket.rs
@@ -9,9 +9,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, u64)", into = "(f64, u64)")]
 pub struct LatencyBucket {
-    /// Upper bound in seconds, inclusive.
+    /// Upper bound of the latency in seconds, inclusive.
     pub bound_s: f64,
-    /// Responses that took at most `bound_s`.
+    /// Number of responses that took at most `bound_s`.
     pub count: u64,
 }
 
--- a/crates/burn/src/reading/metric_line.rs
+++ b/crates/burn/src/reading/metric_line.rs
@@ -6,8 +6,9 @@
 
 /// Metric name with its labels and value.
 ///
-/// The parser accepts only the subset of the format that nodes write: label
-/// values contain no quotes, commas or escapes, and lines have no timestamp.
+/// The parser relies on the subset of the format that nodes write: label values
+/// contain no quotes, commas or escapes, and lines have no timestamp. Other lines
+/// aren't all rejected; their name, labels or value may be wrong.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MetricLine {
     name: String,
@@ -21,32 +22,32 @@
     /// The line doesn't end with a space and a number.
     #[snafu(display("no numeric value at the end of `{line}`"))]
     NoValue {
-        /// The line.
+        /// Text of the line.
         line: String,
     },
-    /// A label isn't of the form `name="value"`.
+    /// The labels don't end with `}`, or one isn't of the form `name="value"`.
     #[snafu(display("malformed labels in `{line}`"))]
     BadLabels {
-        /// The line.
+        /// Text of the line.
         line: String,
     },
     /// A count is negative, fractional or above 2^53.
     #[snafu(display("the value of `{name}` isn't a whole number from 0 to 2^53"))]
     NotACount {
-        /// The metric.
+        /// Name of the metric.
         name: String,
     },
     /// A required label is missing, or its value can't be parsed.
     #[snafu(display("label `{label}` of `{name}` is missing or invalid"))]
     BadLabel {
-        /// The metric.
+        /// Name of the metric.
         name: String,
-        /// The label.
+        /// Name of the label.
         label: &'static str,
     },
 }
 
-/// Largest count up to which a 64-bit float is exact: 2^53.
+/// Largest count up to which every whole number is exact in a 64-bit float: 2^53.
 const EXACT_MAX: f64 = 9_007_199_254_740_992.0;
 
 impl MetricLine {
@@ -59,7 +60,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`MetricLineError::NotACount`] for any other value.
+    /// Returns [`MetricLineError::NotACount`] if the value isn't a whole number from 0
+    /// to 2^53.
     pub fn count(&self) -> Result<u64, MetricLineError> {
         let value = self.value;
         let is_count = (0.0..=EXACT_MAX).contains(&value) && value.fract() == 0.0;
@@ -124,6 +126,7 @@
     }
 }
 
+/// Returns the name and value of a label `name="value"`.
 fn parse_label(text: &str) -> Option<(String, String)> {
     let (name, value) = text.split_once('=')?;
     let value = value.strip_prefix('"')?.strip_suffix('"')?;
--- a/crates/burn/src/reading/node_reading.rs
+++ b/crates/burn/src/reading/node_reading.rs
@@ -1,4 +1,4 @@
-//! Request counts from one node's metrics page.
+//! Response counts from one node's metrics page.
 
 use std::collections::BTreeMap;
 
@@ -14,10 +14,12 @@
 const REQUESTS: &str = "geranium_requests_total";
 const LATENCY_BUCKET: &str = "geranium_request_seconds_bucket";
 const LATENCY_COUNT: &str = "geranium_request_seconds_count";
-/// Service label of requests that were rejected before a route was found.
+/// Service label of requests that the node rejected before it picked a service.
+///
+/// Their responses count for no service's budget.
 const NO_SERVICE: &str = "";
 
-/// Counts of one node from its start to the time of the reading.
+/// Response counts of one node from its start to the time of the reading.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeReading {
@@ -31,7 +33,7 @@
     pub started: u64,
     /// Version of the configuration in force at the node, or 0 without one.
     pub version: u64,
-    /// Counts by service and request kind.
+    /// Response counts by service and request kind.
     #[serde(with = "traffic_rows")]
     pub traffic: BTreeMap<TrafficKey, TrafficCounts>,
 }
@@ -69,6 +71,7 @@
         }
     }
 
+    /// Returns the counts added since `earlier`, or `None` if any decreased or is gone.
     fn added_since(&self, earlier: &Self) -> Option<BTreeMap<TrafficKey, TrafficCounts>> {
         let has_all = |key| self.traffic.contains_key(key);
         if !earlier.traffic.keys().all(has_all) {
@@ -119,6 +122,7 @@
     }
 }
 
+/// Returns the counts for the line's service and request kind.
 fn counts_of<'a>(
     traffic: &'a mut BTreeMap<TrafficKey, TrafficCounts>,
     line: &MetricLine,
@@ -130,6 +134,7 @@
     Ok(traffic.entry(key).or_default())
 }
 
+/// Adds the value of a line of [`REQUESTS`].
 fn add_responses(counts: &mut TrafficCounts, line: &MetricLine) -> Result<(), MetricLineError> {
     let result: RequestResult = line.label("result")?;
     let count = line.count()?;
@@ -141,6 +146,7 @@
     Ok(())
 }
 
+/// Adds the bucket of a line of [`LATENCY_BUCKET`], unless its bound is infinite.
 fn add_bucket(counts: &mut TrafficCounts, line: &MetricLine) -> Result<(), MetricLineError> {
     let bound_s: f64 = line.label("le")?;
     if bound_s.is_finite() {
--- a/crates/burn/src/reading/traffic_counts.rs
+++ b/crates/burn/src/reading/traffic_counts.rs
@@ -1,10 +1,10 @@
-//! Counts of the final responses to callers.
+//! Response counts by outcome and latency.
 
 use serde::{Deserialize, Serialize};
 
 use super::LatencyBucket;
 
-/// Counts of final responses by outcome and latency.
+/// Counts of final responses to callers, by outcome and latency.
 ///
 /// The counts of a metrics page run from the node's start;
 /// [`TrafficCounts::since`] returns those between two pages of one process.
@@ -15,7 +15,7 @@
     pub good: u64,
     /// Bad responses: those with result `failed`.
     pub bad: u64,
-    /// Responses with result `caller-fault`.
+    /// Responses to requests that were at fault themselves: result `caller-fault`.
     pub caller_faults: u64,
     /// Responses whose latency the node recorded; at present the good ones.
     pub timed: u64,
@@ -24,7 +24,9 @@
 }
 
 impl TrafficCounts {
-    /// Returns the counts added since `earlier`, or `None` if any decreased.
+    /// Returns the counts added since `earlier`.
+    ///
+    /// The result is `None` if any count decreased or the number of buckets changed.
     ///
     /// # Examples
     ///
--- a/crates/burn/src/reading/traffic_key.rs
+++ b/crates/burn/src/reading/traffic_key.rs
@@ -1,9 +1,9 @@
-//! Key of a node's request counts.
+//! Key of a node's response counts.
 
 use geranium_node::config::RequestKind;
 use serde::{Deserialize, Serialize};
 
-/// Service and kind of the requests to it.
+/// Service and request kind by which a node counts responses.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TrafficKey {
     /// Name of the service.
--- a/crates/burn/src/report/burn_picture.rs
+++ b/crates/burn/src/report/burn_picture.rs
@@ -48,13 +48,13 @@
         max: 100.0,
         value: |indicator| indicator.budget_left.map(|left| left * 100.0),
     };
-    draw_bars(&left, &services, &budget)?;
+    draw_panel(&left, &services, &budget)?;
     let burn = Panel {
         title: format!("Burn over the slow window{partial}"),
         max: BURN_MAX,
         value: |indicator| indicator.rules.first().and_then(|rule| rule.slow_burn),
     };
-    draw_bars(&right, &services, &burn)?;
+    draw_panel(&right, &services, &burn)?;
     root.present()?;
     Ok(())
 }
@@ -62,11 +62,14 @@
 /// Chart with two bars per service, in one half of the picture.
 struct Panel {
     title: String,
+    /// Highest value of the axis; higher values are drawn at this length.
     max: f64,
+    /// Returns the value that a bar shows, or `None` for no bar.
     value: fn(&IndicatorBurn) -> Option<f64>,
 }
 
-fn draw_bars<DB: DrawingBackend>(
+/// Draws a panel with caption, axes, service names and bars.
+fn draw_panel<DB: DrawingBackend>(
     area: &DrawingArea<DB, Shift>,
     services: &[&ServiceBurn],
     panel: &Panel,
@@ -92,13 +95,13 @@
         .label_style(TEXT)
         .y_label_formatter(&name)
         .draw()?;
-    let bar_rows = services.iter().enumerate().flat_map(|(row, service)| {
+    let bar_specs = services.iter().enumerate().flat_map(|(row, service)| {
         [
             (row, 4, 20, &service.availability, BLUE),
             (row, 20, 4, &service.latency, GREEN),
         ]
     });
-    let bars = bar_rows.filter_map(|(row, above, below, indicator, colour)| {
+    let bars = bar_specs.filter_map(|(row, above, below, indicator, colour)| {
         let value = (panel.value)(indicator)?.clamp(0.0, panel.max);
         let corners = [
             (0.0, SegmentValue::Exact(row)),
--- a/crates/burn/src/report/burn_report.rs
+++ b/crates/burn/src/report/burn_report.rs
@@ -17,25 +17,32 @@
     pub version: u64,
     /// Number of the report's result code: 0, or 504 for a partial report.
     pub code: u16,
-    /// Whether counts of some nodes are missing.
+    /// Whether `missing` lists any node.
+    ///
+    /// Nodes with earlier missing counts and restarted nodes make no report partial.
     pub partial: bool,
     /// Budget window in milliseconds.
     pub window_ms: u64,
     /// Milliseconds of the budget window that the samples cover.
     ///
-    /// All numbers of the report refer to this time.
+    /// Budgets, counts and breakdowns refer to this length of time, and the burn by
+    /// alert rule to the rule's windows.
     pub covered_ms: u64,
     /// Number of nodes read in the newest sample.
     pub nodes_read: usize,
-    /// Nodes with recently lost or unread counts.
+    /// Nodes with recently missing counts: lost, or not read.
+    ///
+    /// Recent means within the first rule's slow window, or within the newest
+    /// interval between samples if that is longer.
     pub missing: Vec<MissingNode>,
-    /// Number of further nodes with such a loss earlier in the budget window.
-    pub older_losses: usize,
+    /// Number of other nodes with missing counts earlier in the budget window.
+    #[serde(rename = "older_losses")]
+    pub older_missing: usize,
     /// Instances whose node restarted within the budget window.
     ///
-    /// The counts between the old process's last sample and its end are lost.
+    /// The counts between the old process's last reading and its end are lost.
     pub restarted: BTreeSet<String>,
-    /// Services that received requests but have no objective.
+    /// Services without an objective for which a node has counted responses.
     pub without_objective: BTreeSet<String>,
     /// Services with an objective, by falling urgency, then by falling burn.
     pub services: Vec<ServiceBurn>,
@@ -56,7 +63,7 @@
     fn from(tracker: &BurnTracker) -> Self {
         let history = tracker.history();
         let window = history.budget_window();
-        let (missing, older_losses) = tracker.losses();
+        let (missing, older_missing) = tracker.missing_nodes();
         let covered = history
             .within(window)
             .map(|interval| interval.end_ms - interval.start_ms);
@@ -82,7 +89,7 @@
             covered_ms: covered.sum(),
             nodes_read: tracker.nodes_read(),
             missing: missing.into_iter().cloned().collect(),
-            older_losses,
+            older_missing,
             restarted: BTreeSet::new(),
             without_objective: BTreeSet::new(),
             services,
--- a/crates/burn/src/report/indicator_burn.rs
+++ b/crates/burn/src/report/indicator_burn.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use super::RuleBurn;
-use crate::{ErrorBudget, Urgency};
+use crate::{BudgetTally, Urgency};
 
 /// Error budget and burn of a service's availability or latency.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -19,8 +19,9 @@
     pub total: u64,
     /// Share of the budget that is left; `null` without responses.
     ///
-    /// The budget is that of the counted responses. The share is below 0 when
-    /// the budget is overspent.
+    /// The budget is what the objective allows for the responses counted so far,
+    /// not for a whole window's traffic. The share is below 0 when the budget is
+    /// overspent.
     pub budget_left: Option<f64>,
     /// Burn by alert rule, the most urgent rule first.
     pub rules: Vec<RuleBurn>,
@@ -29,8 +30,10 @@
 }
 
 impl IndicatorBurn {
-    /// Combines the budget of an indicator with the burn by its rules.
-    pub fn new(target_share: f64, budget: ErrorBudget, rules: Vec<RuleBurn>) -> Self {
+    /// Combines the tally of an indicator with the burn by its rules.
+    ///
+    /// `budget` is the tally over the budget window.
+    pub fn new(target_share: f64, budget: BudgetTally, rules: Vec<RuleBurn>) -> Self {
         let most_urgent = rules.iter().map(|rule| rule.urgency).max();
         Self {
             target_share,
--- a/crates/burn/src/report/report_text.rs
+++ b/crates/burn/src/report/report_text.rs
@@ -25,9 +25,12 @@
                 writeln!(f, "  missing {node}")?;
             }
         }
-        if self.older_losses > 0 {
-            let count = self.older_losses;
-            writeln!(f, "nodes that lost counts earlier in the window: {count}")?;
+        if self.older_missing > 0 {
+            let count = self.older_missing;
+            writeln!(
+                f,
+                "nodes with missing counts earlier in the window: {count}"
+            )?;
         }
         if !self.restarted.is_empty() {
             writeln!(
@@ -53,8 +56,8 @@
         writeln!(f)?;
         if self.urgency > Urgency::NoTraffic {
             write_indicator(f, "availability", "bad", &self.availability)?;
-            let slow = format!("over {} ms", self.latency_ms);
-            write_indicator(f, "latency", &slow, &self.latency)?;
+            let slow_text = format!("over {} ms", self.latency_ms);
+            write_indicator(f, "latency", &slow_text, &self.latency)?;
             write_breakdown(f, "data centres", &self.worst_data_centres)?;
             write_breakdown(f, "kinds", &self.kinds)?;
         }
--- a/crates/burn/src/report/rule_burn.rs
+++ b/crates/burn/src/report/rule_burn.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::{AlertRule, ErrorBudget, Urgency};
+use crate::{AlertRule, BudgetTally, Urgency};
 
 /// Burn over the two windows of an alert rule, and the resulting urgency.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -19,7 +19,7 @@
     pub fast_ms: u64,
     /// Burn over the fast window; `null` without responses.
     pub fast_burn: Option<f64>,
-    /// Urgency by this rule.
+    /// Urgency by this rule: its own if it fires, otherwise `fine` or `no-traffic`.
     pub urgency: Urgency,
 }
 
@@ -27,12 +27,12 @@
     /// Evaluates a rule for an indicator.
     ///
     /// `budget_window` is the length of the budget window; `slow` and `fast` are the
-    /// error budgets over the rule's two windows.
+    /// tallies over the rule's two windows.
     pub fn new(
         rule: &AlertRule,
         budget_window: Duration,
-        slow: ErrorBudget,
-        fast: ErrorBudget,
+        slow: BudgetTally,
+        fast: BudgetTally,
     ) -> Self {
         let (slow_burn, fast_burn) = (slow.burn(), fast.burn());
         Self {
--- a/crates/burn/src/report/service_burn.rs
+++ b/crates/burn/src/report/service_burn.rs
@@ -6,7 +6,7 @@
 
 use super::{BreakdownRow, IndicatorBurn, RuleBurn};
 use crate::{
-    ALERT_RULES, AlertRule, BurnInterval, BurnTally, ErrorBudget, IntervalHistory,
+    ALERT_RULES, AlertRule, BudgetTally, BurnInterval, BurnTally, IntervalHistory,
     ServiceObjective, TallyKey, Urgency,
 };
 
@@ -31,7 +31,9 @@
     ///
     /// Responses count by the objective at the end of their interval.
     pub objective_changed: bool,
-    /// Responses excluded as caller faults.
+    /// Responses in neither budget, as the request itself was at fault.
+    ///
+    /// These are the responses with result `caller-fault`.
     pub caller_faults: u64,
     /// Availability: the share of good responses.
     pub availability: IndicatorBurn,
@@ -58,11 +60,11 @@
                 )
             })
             .collect();
-        let rule_burns = |budget_of: fn(&BurnTally) -> ErrorBudget| {
-            let evaluated = rules.iter().map(|(rule, slow, fast): &(&AlertRule, _, _)| {
+        let rule_burns = |budget_of: fn(&BurnTally) -> BudgetTally| {
+            let burns = rules.iter().map(|(rule, slow, fast): &(&AlertRule, _, _)| {
                 RuleBurn::new(rule, budget, budget_of(slow), budget_of(fast))
             });
-            evaluated.collect()
+            burns.collect()
         };
         let over_budget_window = tally(budget);
         let availability = IndicatorBurn::new(
@@ -92,6 +94,7 @@
     }
 }
 
+/// Returns the tallies of a service in the intervals.
 fn tallies_of<'a>(
     service: &'a str,
     intervals: impl Iterator<Item = &'a BurnInterval>,
@@ -100,6 +103,7 @@
     tallies.flatten()
 }
 
+/// Adds up the tallies of a service in the intervals.
 fn sum<'a>(service: &'a str, intervals: impl Iterator<Item = &'a BurnInterval>) -> BurnTally {
     let mut sum = BurnTally::default();
     for (_, tally) in tallies_of(service, intervals) {
@@ -108,6 +112,9 @@
     sum
 }
 
+/// Returns a service's burn by the name that `name` derives from a key.
+///
+/// The highest burn is first; names without responses are left out.
 fn breakdown<'a>(
     service: &'a str,
     intervals: impl Iterator<Item = &'a BurnInterval>,
--- a/crates/burn/src/report/window_length.rs
+++ b/crates/burn/src/report/window_length.rs
@@ -1,9 +1,10 @@
-//! Length of a window, as operators write it.
+//! Length of the budget window, as operators write it.
 
 use std::{fmt, str::FromStr, time::Duration};
 
 use snafu::{OptionExt, Snafu};
 
+/// Units of a length with their seconds, the largest first.
 const UNITS: [(&str, u64); 4] = [("d", 86_400), ("h", 3_600), ("m", 60), ("s", 1)];
 /// Shortest budget window; its shortest fast window, 1/8640 of it, is 7 ms.
 const MIN_SECONDS: u64 = 60;
@@ -40,7 +41,8 @@
 
     /// Formats milliseconds in the largest unit that divides them.
     ///
-    /// Parts of a second are written as a decimal fraction.
+    /// A length that isn't a whole number of seconds is written as a decimal
+    /// fraction of seconds, and 0 as `0s`.
     pub fn text(ms: u64) -> String {
         if !ms.is_multiple_of(1_000) || ms == 0 {
             return format!("{}s", ms as f64 / 1_000.0);
--- a/crates/burn/src/sampling/admin_client.rs
+++ b/crates/burn/src/sampling/admin_client.rs
@@ -20,7 +20,7 @@
 /// of all nodes.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Client of one node's admin address.
+/// Client of one node's admin address, for its metrics and its members.
 #[derive(Debug, Clone, Copy)]
 pub struct AdminClient {
     addr: SocketAddr,
--- a/crates/burn/src/sampling/fleet_sampler.rs
+++ b/crates/burn/src/sampling/fleet_sampler.rs
@@ -11,12 +11,12 @@
 use super::{AdminClient, FleetSample, MissingNode, ObjectiveSource};
 use crate::{BurnError, NodeReading};
 
-/// Number of nodes read at the same time.
+/// Largest number of nodes that are read at the same time.
 ///
 /// An unreachable node takes 1.5 s, so a failed rack of 40 takes two rounds.
 const CONCURRENT_READS: usize = 32;
 
-/// Takes samples of one fleet.
+/// Takes samples of the fleet.
 #[derive(Debug)]
 pub struct FleetSampler {
     seeds: Vec<SocketAddr>,
@@ -86,6 +86,7 @@
     }
 }
 
+/// Reads the metrics pages at these admin addresses concurrently.
 fn read_all(
     addrs: impl Iterator<Item = SocketAddr> + Send,
 ) -> BTreeMap<SocketAddr, Result<NodeReading, BurnError>> {
--- a/crates/burn/src/sampling/missing_node.rs
+++ b/crates/burn/src/sampling/missing_node.rs
@@ -1,4 +1,4 @@
-//! Node whose counts are missing from a sample.
+//! Node whose counts are missing from a sample or from a report.
 
 use std::{fmt, net::SocketAddr};
 
--- a/crates/burn/src/sampling/sample_file.rs
+++ b/crates/burn/src/sampling/sample_file.rs
@@ -11,7 +11,7 @@
 use super::FleetSample;
 use crate::{BurnError, burn_error::FileSnafu, json_text::json_text};
 
-/// File of samples, oldest first.
+/// File that stores samples, oldest first.
 #[derive(Debug, Clone)]
 pub struct SampleFile {
     path: PathBuf,
--- a/crates/burn/tests/all/histories.rs
+++ b/crates/burn/tests/all/histories.rs
@@ -1,4 +1,4 @@
-//! Tests of windows, lost counts and changed objectives.
+//! Tests of windows, missing counts and changed objectives.
 
 use std::time::Duration;
 
@@ -104,8 +104,8 @@
 
 /// A node is missing from the first of two samples, so its responses between them
 /// are unknown, and the other node is gone by the second, so its last counts are
-/// lost. The report must be partial for the next hour; after that, the loss only
-/// shows in a number, since instances fail daily.
+/// lost. The report must be partial for the next hour; after that, the nodes only
+/// show in a number, since instances fail daily.
 #[test]
 fn losses_make_the_report_partial_for_an_hour() {
     let mut tracker = BurnTracker::new(MONTH);
@@ -122,5 +122,5 @@
         tracker.add(sample(minute, [node("hofdi-2", 1, counts(50, 0, 0))]));
     }
     let report = BurnReport::from(&tracker);
-    assert_eq!((report.partial, report.older_losses), (false, 1));
+    assert_eq!((report.partial, report.older_missing), (false, 1));
 }
