--- a/crates/burn/src/burn_rate/burn_tracker.rs
+++ b/crates/burn/src/burn_rate/burn_tracker.rs
@@ -35,7 +35,7 @@
     at_ms: u64,
     version: u64,
     objectives: Objectives,
-    nodes: usize,
+    nodes_read: usize,
 }
 
 impl BurnTracker {
@@ -55,12 +55,12 @@
     pub fn add(&mut self, sample: FleetSample) {
         let before = self.newest.take();
         let start_ms = before.as_ref().map(|newest| newest.at_ms);
-        let previous = before.map(|newest| newest.objectives).unwrap_or_default();
+        let previous_objectives = before.map(|newest| newest.objectives).unwrap_or_default();
         let mut interval = BurnInterval {
             // The machine's clock may have been set back between two runs.
             start_ms: start_ms.unwrap_or(sample.at_ms).min(sample.at_ms),
             end_ms: sample.at_ms,
-            changed_objectives: changed_objectives(&previous, &sample.objectives),
+            changed_objectives: changed_objectives(&previous_objectives, &sample.objectives),
             ..BurnInterval::default()
         };
         self.drop_expired_missing_nodes(sample.at_ms);
@@ -68,11 +68,11 @@
         self.newest = Some(NewestSample {
             at_ms: sample.at_ms,
             version: sample.version,
-            nodes: sample.nodes.len(),
+            nodes_read: sample.nodes.len(),
             objectives: sample.objectives,
         });
         for reading in sample.nodes {
-            self.add_reading(&mut interval, reading, &previous);
+            self.add_reading(&mut interval, reading, &previous_objectives);
         }
         if start_ms.is_some() {
             self.history.push(interval);
@@ -104,7 +104,7 @@
 
     /// Returns the number of nodes read in the newest sample, or 0 before the first.
     pub fn nodes_read(&self) -> usize {
-        self.newest.as_ref().map_or(0, |newest| newest.nodes)
+        self.newest.as_ref().map_or(0, |newest| newest.nodes_read)
     }
 
     /// Returns the nodes with recently missing counts and the number of other ones.
@@ -175,12 +175,12 @@
 
     /// Adds the responses since the node's last reading to the interval.
     ///
-    /// `previous` holds the objectives of the sample before.
+    /// `previous_objectives` holds the objectives of the sample before.
     fn add_reading(
         &mut self,
         interval: &mut BurnInterval,
         reading: NodeReading,
-        previous: &Objectives,
+        previous_objectives: &Objectives,
     ) {
         let Some(earlier) = self.last_readings.get(&reading.instance) else {
             self.last_readings.insert(reading.instance.clone(), reading);
@@ -190,12 +190,15 @@
         if restarted {
             interval.restarted.insert(reading.instance.clone());
         }
-        let current = self.newest.as_ref().map(|newest| &newest.objectives);
+        let current_objectives = self.newest.as_ref().map(|newest| &newest.objectives);
         for (traffic, counts) in added {
-            let now = current.and_then(|objectives| objectives.get(&traffic.service));
+            let current_objective =
+                current_objectives.and_then(|objectives| objectives.get(&traffic.service));
             // The objective of a service that is no longer listed applied until
             // this sample.
-            let Some(objective) = now.or_else(|| previous.get(&traffic.service)) else {
+            let Some(objective) =
+                current_objective.or_else(|| previous_objectives.get(&traffic.service))
+            else {
                 interval.without_objective.insert(traffic.service);
                 continue;
             };
@@ -218,15 +221,20 @@
     }
 }
 
-/// Returns the services of `previous` whose objective differs in `current` or is absent.
-fn changed_objectives(previous: &Objectives, current: &Objectives) -> BTreeSet<String> {
+/// Returns the services whose previous objective differs from the current one.
+///
+/// The objective of a service that is no longer listed counts as different.
+fn changed_objectives(
+    previous_objectives: &Objectives,
+    current_objectives: &Objectives,
+) -> BTreeSet<String> {
     let differs = |name| {
-        let before = previous.get(name);
-        before.is_some() && before != current.get(name)
+        let before = previous_objectives.get(name);
+        before.is_some() && before != current_objectives.get(name)
     };
-    current
+    current_objectives
         .keys()
-        .chain(previous.keys())
+        .chain(previous_objectives.keys())
         .filter(|name| differs(*name))
         .cloned()
         .collect()
--- a/crates/burn/src/burn_rate/interval_history.rs
+++ b/crates/burn/src/burn_rate/interval_history.rs
@@ -61,10 +61,10 @@
     pub fn within(&self, window: Duration) -> impl Iterator<Item = &BurnInterval> + Clone {
         let newest = self.intervals.back();
         let window_start_ms = newest.map_or(0, |last| last.end_ms.saturating_sub(millis(window)));
-        let older = self.intervals.len().saturating_sub(1);
+        let older_count = self.intervals.len().saturating_sub(1);
         self.intervals
             .iter()
-            .take(older)
+            .take(older_count)
             .filter(move |interval| interval.start_ms >= window_start_ms)
             .chain(newest)
     }
--- a/crates/burn/src/report/burn_picture.rs
+++ b/crates/burn/src/report/burn_picture.rs
@@ -14,7 +14,7 @@
 /// Height in pixels of everything but the services' bars.
 const FRAME_HEIGHT: u32 = 120;
 /// Font family and size in pixels.
-const TEXT: (&str, u32) = ("sans-serif", 15);
+const LABEL_FONT: (&str, u32) = ("sans-serif", 15);
 /// Highest burn shown; the fastest rule pages from 14.4.
 const BURN_MAX: f64 = 20.0;
 
@@ -79,7 +79,7 @@
 {
     let rows = services.len().max(1);
     let mut chart = ChartBuilder::on(area)
-        .caption(&panel.title, TEXT)
+        .caption(&panel.title, LABEL_FONT)
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(120)
@@ -92,7 +92,7 @@
         .configure_mesh()
         .disable_y_mesh()
         .y_labels(rows)
-        .label_style(TEXT)
+        .label_style(LABEL_FONT)
         .y_label_formatter(&name)
         .draw()?;
     let bar_specs = services.iter().enumerate().flat_map(|(row, service)| {
--- a/crates/burn/src/report/indicator_burn.rs
+++ b/crates/burn/src/report/indicator_burn.rs
@@ -32,14 +32,14 @@
 impl IndicatorBurn {
     /// Combines the tally of an indicator with the burn by its rules.
     ///
-    /// `budget` is the tally over the budget window.
-    pub fn new(target_share: f64, budget: BudgetTally, rules: Vec<RuleBurn>) -> Self {
+    /// `tally` covers the budget window.
+    pub fn new(target_share: f64, tally: BudgetTally, rules: Vec<RuleBurn>) -> Self {
         let most_urgent = rules.iter().map(|rule| rule.urgency).max();
         Self {
             target_share,
-            violations: budget.violations,
-            total: budget.total,
-            budget_left: budget.budget_left(),
+            violations: tally.violations,
+            total: tally.total,
+            budget_left: tally.budget_left(),
             rules,
             urgency: most_urgent.unwrap_or(Urgency::NoTraffic),
         }
--- a/crates/burn/src/report/service_burn.rs
+++ b/crates/burn/src/report/service_burn.rs
@@ -48,25 +48,27 @@
 impl ServiceBurn {
     /// Computes the entry of a service from its intervals.
     pub fn new(service: &str, objective: &ServiceObjective, history: &IntervalHistory) -> Self {
-        let budget = history.budget_window();
+        let budget_window = history.budget_window();
         let tally = |window: Duration| sum(service, history.within(window));
-        let rules: Vec<_> = ALERT_RULES
+        let rule_tallies: Vec<_> = ALERT_RULES
             .iter()
             .map(|rule| {
                 (
                     rule,
-                    tally(rule.slow_window(budget)),
-                    tally(rule.fast_window(budget)),
+                    tally(rule.slow_window(budget_window)),
+                    tally(rule.fast_window(budget_window)),
                 )
             })
             .collect();
         let rule_burns = |budget_of: fn(&BurnTally) -> BudgetTally| {
-            let burns = rules.iter().map(|(rule, slow, fast): &(&AlertRule, _, _)| {
-                RuleBurn::new(rule, budget, budget_of(slow), budget_of(fast))
-            });
+            let burns = rule_tallies
+                .iter()
+                .map(|(rule, slow, fast): &(&AlertRule, _, _)| {
+                    RuleBurn::new(rule, budget_window, budget_of(slow), budget_of(fast))
+                });
             burns.collect()
         };
-        let over_budget_window = tally(budget);
+        let over_budget_window = tally(budget_window);
         let availability = IndicatorBurn::new(
             objective.availability,
             over_budget_window.availability,
@@ -77,19 +79,20 @@
             over_budget_window.latency,
             rule_burns(|tally| tally.latency),
         );
-        let all = || history.within(budget);
-        let mut worst = breakdown(service, all(), |key| key.data_centre.clone());
+        let all_intervals = || history.within(budget_window);
+        let mut worst = breakdown(service, all_intervals(), |key| key.data_centre.clone());
         worst.truncate(DATA_CENTRES_SHOWN);
         Self {
             service: service.to_owned(),
             urgency: availability.urgency.max(latency.urgency),
             latency_ms: objective.latency_ms,
-            objective_changed: all().any(|interval| interval.changed_objectives.contains(service)),
+            objective_changed: all_intervals()
+                .any(|interval| interval.changed_objectives.contains(service)),
             caller_faults: over_budget_window.caller_faults,
             availability,
             latency,
             worst_data_centres: worst,
-            kinds: breakdown(service, all(), |key| key.kind.to_string()),
+            kinds: breakdown(service, all_intervals(), |key| key.kind.to_string()),
         }
     }
 }
--- a/crates/burn/src/report/window_length.rs
+++ b/crates/burn/src/report/window_length.rs
@@ -49,8 +49,8 @@
         }
         let seconds = ms / 1_000;
         let fits = |unit: &&(&str, u64)| seconds.is_multiple_of(unit.1);
-        let (unit, length) = UNITS.iter().find(fits).unwrap_or(&("s", 1));
-        format!("{}{unit}", seconds / length)
+        let (unit, unit_seconds) = UNITS.iter().find(fits).unwrap_or(&("s", 1));
+        format!("{}{unit}", seconds / unit_seconds)
     }
 }
 
@@ -59,9 +59,9 @@
 
     fn from_str(text: &str) -> Result<Self, WindowLengthError> {
         let unit = UNITS.iter().find(|(unit, _)| text.ends_with(unit));
-        let seconds = unit.and_then(|(unit, length)| {
+        let seconds = unit.and_then(|(unit, unit_seconds)| {
             let count: u64 = text.strip_suffix(unit)?.parse().ok()?;
-            count.checked_mul(*length)
+            count.checked_mul(*unit_seconds)
         });
         let in_range = seconds.filter(|seconds| (MIN_SECONDS..=MAX_SECONDS).contains(seconds));
         let seconds = in_range.context(WindowLengthSnafu { text })?;
--- a/crates/burn/src/sampling/fleet_sampler.rs
+++ b/crates/burn/src/sampling/fleet_sampler.rs
@@ -14,7 +14,7 @@
 /// Largest number of nodes that are read at the same time.
 ///
 /// An unreachable node takes 1.5 s, so a failed rack of 40 takes two rounds.
-const CONCURRENT_READS: usize = 32;
+const CONCURRENT_READS_MAX: usize = 32;
 
 /// Takes samples of the fleet.
 #[derive(Debug)]
@@ -94,7 +94,7 @@
     let results = Mutex::new(BTreeMap::new());
     let next = || remaining.lock().expect("no reader panics").next();
     thread::scope(|scope| {
-        for _ in 0..CONCURRENT_READS {
+        for _ in 0..CONCURRENT_READS_MAX {
             scope.spawn(|| {
                 while let Some(addr) = next() {
                     let result = AdminClient::new(addr).reading();
--- a/crates/burn/src/sampling/sample_file.rs
+++ b/crates/burn/src/sampling/sample_file.rs
@@ -23,7 +23,7 @@
         Self { path: path.into() }
     }
 
-    /// Passes each stored sample to `take`, oldest first.
+    /// Passes each stored sample to `on_sample`, oldest first.
     ///
     /// A killed run or a full disk can leave an incomplete last line. The file is
     /// truncated before that line, since a sample appended to it would make both
@@ -33,7 +33,7 @@
     ///
     /// Returns [`BurnError::File`] when the file can't be read or truncated, or
     /// [`BurnError::BadSample`] with the number of an invalid line.
-    pub fn read(&self, mut take: impl FnMut(FleetSample)) -> Result<(), BurnError> {
+    pub fn read(&self, mut on_sample: impl FnMut(FleetSample)) -> Result<(), BurnError> {
         let path = &self.path;
         let file = match File::open(path) {
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(()),
@@ -59,7 +59,7 @@
                 line,
                 source,
             })?;
-            take(sample);
+            on_sample(sample);
         }
         Ok(())
     }
--- a/crates/ctl/src/commands/explain_command.rs
+++ b/crates/ctl/src/commands/explain_command.rs
@@ -29,10 +29,10 @@
 pub fn explain(request: &str, files: &[PathBuf]) -> Result<RequestTimeline, CtlError> {
     let mut scanner = LogScanner::new(request);
     if files.is_empty() {
-        read(&mut scanner, Path::new(STDIN))?;
+        read_log(&mut scanner, Path::new(STDIN))?;
     }
     for path in files {
-        read(&mut scanner, path)?;
+        read_log(&mut scanner, path)?;
     }
     let timeline = scanner.finish();
     if !timeline.events.is_empty() {
@@ -45,7 +45,8 @@
     UnknownRequestSnafu { request }.fail()
 }
 
-fn read(scanner: &mut LogScanner, path: &Path) -> Result<(), CtlError> {
+/// Reads the log at `path`, or standard input if the path is [`STDIN`].
+fn read_log(scanner: &mut LogScanner, path: &Path) -> Result<(), CtlError> {
     let result = if path == Path::new(STDIN) {
         scanner.read(io::stdin().lock())
     } else {
--- a/crates/ctl/src/commands/status_command.rs
+++ b/crates/ctl/src/commands/status_command.rs
@@ -16,7 +16,7 @@
 };
 
 /// Version in force and addresses of the nodes, from the store or from a node.
-struct StoreView {
+struct FleetView {
     /// Version in force; 0 if the view is from a node or there is no configuration.
     version: ConfigVersion,
     peer_addrs: Vec<SocketAddr>,
@@ -47,7 +47,7 @@
 }
 
 /// Reads the version in force and the announced nodes from the store.
-async fn read_store(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
+async fn read_store(session: &Session<impl MetaStore>) -> Result<FleetView, CtlError> {
     let store = session.store()?;
     let source = session.codec.source;
     let read = store
@@ -67,7 +67,7 @@
         .list(MEMBER_PREFIX, ReadConsistency::Linearizable)
         .await
         .context(StoreSnafu)?;
-    Ok(StoreView {
+    Ok(FleetView {
         version,
         peer_addrs: members.items.iter().filter_map(peer_addr_of).collect(),
     })
@@ -76,7 +76,7 @@
 /// Reads the known members from the first node of the command line that responds.
 ///
 /// Returns the last node's error if none responds.
-fn read_members_from_nodes(session: &Session<impl MetaStore>) -> Result<StoreView, CtlError> {
+fn read_members_from_nodes(session: &Session<impl MetaStore>) -> Result<FleetView, CtlError> {
     let mut failure = CtlError::NoStore;
     for &addr in &session.nodes {
         match AdminClient::new(addr)
@@ -84,7 +84,7 @@
             .context(NodePageSnafu { addr })
         {
             Ok(members) => {
-                return Ok(StoreView {
+                return Ok(FleetView {
                     version: ConfigVersion(0),
                     peer_addrs: members.iter().map(|member| member.peer_addr).collect(),
                 });
--- a/crates/ctl/src/ctl_error.rs
+++ b/crates/ctl/src/ctl_error.rs
@@ -82,7 +82,7 @@
         source: StoreError,
     },
     /// Another activation came first, or another version is in force.
-    #[snafu(display("not activated: version {in_force} is in force{}", by_activation(last.as_deref())))]
+    #[snafu(display("not activated: version {in_force} is in force{}", activation_suffix(last.as_deref())))]
     NotActivated {
         /// Version in force, or the lowest that can be if the store couldn't be read.
         in_force: ConfigVersion,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Returns the activation in parentheses after a space, or nothing without one.
-fn by_activation(last: Option<&ActivationRecord>) -> String {
+/// Returns the activation in parentheses after a space, or an empty text without one.
+fn activation_suffix(last: Option<&ActivationRecord>) -> String {
     last.map_or_else(String::new, |record| format!(" ({record})"))
 }
--- a/crates/ctl/src/fleet/fleet_status.rs
+++ b/crates/ctl/src/fleet/fleet_status.rs
@@ -22,7 +22,7 @@
     #[serde(rename = "following")]
     pub up_to_date: usize,
     /// Number of nodes that use each version, newest version first.
-    pub versions: Vec<VersionShare>,
+    pub versions: Vec<VersionCount>,
     /// Nodes that use an older version.
     pub lagging: Vec<LaggingNode>,
     /// Instances of the nodes that don't accept callers' requests.
@@ -33,7 +33,7 @@
 
 /// Number of nodes that use one version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct VersionShare {
+pub struct VersionCount {
     /// Version that the nodes use; 0 for nodes without a configuration.
     pub version: u64,
     /// Number of nodes that use it.
@@ -75,13 +75,13 @@
             store_age_ms: status.store_age_ms,
         });
         let unready = statuses.iter().filter(|status| !status.ready);
-        let share = |(&version, &nodes): (&u64, &usize)| VersionShare { version, nodes };
+        let version_count = |(&version, &nodes): (&u64, &usize)| VersionCount { version, nodes };
         Self {
             version,
             store_error,
             responded: statuses.len(),
             up_to_date: counts.range(version.0..).map(|(_, nodes)| nodes).sum(),
-            versions: counts.iter().rev().map(share).collect(),
+            versions: counts.iter().rev().map(version_count).collect(),
             lagging: lagging.collect(),
             unready: unready.map(|status| status.instance.clone()).collect(),
             silent: survey.silent,
@@ -103,8 +103,12 @@
             "{} of {} nodes follow it",
             self.up_to_date, self.responded
         )?;
-        for share in &self.versions {
-            writeln!(f, "  version {}: {} nodes", share.version, share.nodes)?;
+        for version_count in &self.versions {
+            writeln!(
+                f,
+                "  version {}: {} nodes",
+                version_count.version, version_count.nodes
+            )?;
         }
         for node in &self.lagging {
             writeln!(
--- a/crates/ctl/src/fleet/fleet_survey.rs
+++ b/crates/ctl/src/fleet/fleet_survey.rs
@@ -10,7 +10,7 @@
 /// Largest number of nodes whose status is read at the same time.
 ///
 /// An unreachable node takes 1.5 s, so a failed rack of 40 nodes takes two rounds.
-const CONCURRENT_REQUESTS_MAX: usize = 32;
+const CONCURRENT_READS_MAX: usize = 32;
 
 /// Results of reading the status of every node.
 #[derive(Debug, Default)]
@@ -37,24 +37,24 @@
 /// Panics if a worker thread panicked, which is a bug.
 pub fn survey(addrs: impl IntoIterator<Item = SocketAddr>) -> FleetSurvey {
     let addrs: Vec<SocketAddr> = addrs.into_iter().collect();
-    let workers = addrs.len().min(CONCURRENT_REQUESTS_MAX);
-    let waiting = Mutex::new(addrs.into_iter());
-    let responses = Mutex::new(BTreeMap::new());
-    let next = || waiting.lock().expect("no worker thread panics").next();
+    let workers = addrs.len().min(CONCURRENT_READS_MAX);
+    let remaining = Mutex::new(addrs.into_iter());
+    let results = Mutex::new(BTreeMap::new());
+    let next = || remaining.lock().expect("no worker thread panics").next();
     thread::scope(|scope| {
         for _ in 0..workers {
             scope.spawn(|| {
                 while let Some(addr) = next() {
-                    let response = AdminClient::new(addr).status();
-                    let mut responses = responses.lock().expect("no worker thread panics");
-                    responses.insert(addr, response);
+                    let result = AdminClient::new(addr).status();
+                    let mut results = results.lock().expect("no worker thread panics");
+                    results.insert(addr, result);
                 }
             });
         }
     });
     let mut survey = FleetSurvey::default();
-    for (addr, response) in responses.into_inner().expect("no worker thread panics") {
-        match response {
+    for (addr, result) in results.into_inner().expect("no worker thread panics") {
+        match result {
             Ok(status) => survey.statuses.push(status),
             Err(error) => survey.silent.push(SilentNode {
                 addr,
--- a/crates/ctl/src/presets/activation.rs
+++ b/crates/ctl/src/presets/activation.rs
@@ -81,11 +81,11 @@
         era,
     };
     let slot = read_slot(store, version).await?;
-    let entry = record::to_bytes(&new_record);
-    let config = (codec.write)(&preset.document.into_input(version));
+    let record_bytes = record::to_bytes(&new_record);
+    let config_bytes = (codec.write)(&preset.document.into_input(version));
     let writes = [
-        StoreWrite::put(codec.source.key, &config, revision),
-        StoreWrite::put(&slot.key, &entry, slot.revision),
+        StoreWrite::put(codec.source.key, &config_bytes, revision),
+        StoreWrite::put(&slot.key, &record_bytes, slot.revision),
     ];
     match write_with_retries(store, &writes, retry_schedule).await {
         Ok(WriteOutcome::Done(_)) => Ok(Activation {
@@ -152,18 +152,18 @@
 
 /// Returns the error for an activation that another one preceded.
 ///
-/// It names the version now in force, or `version`, which this activation would have had, if
-/// the store can't be read. `version` is the lowest that can be in force now.
+/// The error names the version now in force. If the store can't be read, it names `version`,
+/// which this activation would have had and which is the lowest that can be in force now.
 async fn lost_race_error(
     store: &impl MetaStore,
     codec: ConfigCodec,
     version: ConfigVersion,
 ) -> CtlError {
-    let now = match in_force(store, codec).await {
-        Ok((_, now)) => now,
+    let version_now = match in_force(store, codec).await {
+        Ok((_, version_now)) => version_now,
         Err(_) => version,
     };
-    not_activated_error(store, now).await
+    not_activated_error(store, version_now).await
 }
 
 /// Returns the revision of the configuration's key and the version in force.
--- a/crates/ctl/src/utc_time.rs
+++ b/crates/ctl/src/utc_time.rs
@@ -10,15 +10,17 @@
 /// The calculation starts years in March, so that a leap day is the last day of its year.
 pub fn utc_time(ms: u64) -> String {
     let days = ms / MS_PER_DAY + EPOCH_DAYS;
-    let (cycle, day) = (days / DAYS_PER_CYCLE, days % DAYS_PER_CYCLE);
-    let year = (day - day / 1_460 + day / 36_524 - day / 146_096) / 365;
-    let day_of_year = day - (365 * year + year / 4 - year / 100);
-    let shifted = (5 * day_of_year + 2) / 153;
-    let day_of_month = day_of_year - (153 * shifted + 2) / 5 + 1;
-    let month = if shifted < 10 {
-        shifted + 3
+    let (cycle, day_of_cycle) = (days / DAYS_PER_CYCLE, days % DAYS_PER_CYCLE);
+    let year = (day_of_cycle - day_of_cycle / 1_460 + day_of_cycle / 36_524
+        - day_of_cycle / 146_096)
+        / 365;
+    let day_of_year = day_of_cycle - (365 * year + year / 4 - year / 100);
+    let months_since_march = (5 * day_of_year + 2) / 153;
+    let day_of_month = day_of_year - (153 * months_since_march + 2) / 5 + 1;
+    let month = if months_since_march < 10 {
+        months_since_march + 3
     } else {
-        shifted - 9
+        months_since_march - 9
     };
     let year = cycle * 400 + year + u64::from(month <= 2);
     let seconds = ms % MS_PER_DAY / 1_000;
