--- a/crates/burn/src/burn_rate/burn_tracker.rs
+++ b/crates/burn/src/burn_rate/burn_tracker.rs
@@ -8,7 +8,10 @@
 use super::{ALERT_RULES, BurnInterval, BurnTally, IntervalHistory, TallyKey};
 use crate::{FleetSample, MissingNode, NodeReading, Objectives};
 
-/// Reason for an instance that was read before and isn't in the newest sample at all.
+/// Reason recorded for an instance that left the fleet.
+///
+/// The instance was read before; the newest sample neither contains it nor lists it
+/// as missing.
 const LEFT_FLEET_REASON: &str = "left the fleet; its counts since its last sample are lost";
 
 /// State from which reports are built: intervals, last readings and missing nodes.
@@ -102,7 +105,7 @@
         self.newest.as_ref().map(|newest| &newest.objectives)
     }
 
-    /// Returns the number of nodes read in the newest sample, or 0 before the first.
+    /// Returns the number of nodes in the newest sample, or 0 before the first.
     pub fn nodes_read(&self) -> usize {
         self.newest.as_ref().map_or(0, |newest| newest.nodes_read)
     }
--- a/crates/burn/src/burn_rate/mod.rs
+++ b/crates/burn/src/burn_rate/mod.rs
@@ -1,4 +1,6 @@
-//! Calculation of the burn of error budgets from samples, without I/O or reading a clock.
+//! Calculation of the burn of error budgets from samples.
+//!
+//! The code does no I/O and reads no clock.
 
 mod alert_rule;
 mod burn_interval;
--- a/crates/burn/src/burn_rate/urgency.rs
+++ b/crates/burn/src/burn_rate/urgency.rs
@@ -3,7 +3,9 @@
 use serde::Serialize;
 use strum::{Display, IntoStaticStr};
 
-/// Urgency of the burn by a rule, of an indicator or of a service, in rising order.
+/// Urgency of the burn of an error budget, in rising order.
+///
+/// An alert rule has an urgency, and so do each indicator and service in a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
--- a/crates/burn/src/burn_run.rs
+++ b/crates/burn/src/burn_run.rs
@@ -91,7 +91,9 @@
         result
     }
 
-    /// Takes, stores and adds one sample, and returns the result code of a report then.
+    /// Takes one sample, stores it if due, and adds it to the tracker.
+    ///
+    /// Returns the result code of a report on the samples so far.
     fn sample(&mut self, is_first_or_last: bool) -> Result<ResultCode, BurnError> {
         let sample = self.sampler.sample()?;
         self.append_if_due(&sample, is_first_or_last)?;
@@ -104,7 +106,7 @@
         })
     }
 
-    /// Appends the sample to the sample file, if there is one and an append is due.
+    /// Appends the sample to the sample file, if one is given and it is due.
     ///
     /// The first and the last sample of a run are always appended.
     fn append_if_due(
@@ -127,7 +129,7 @@
         Ok(())
     }
 
-    /// Builds a report, writes its picture if one is wanted, and passes it to `show`.
+    /// Builds a report, writes its picture if requested, and calls `show`.
     fn report(&self, show: &mut impl FnMut(&BurnReport)) -> Result<(), BurnError> {
         let report = BurnReport::from(&self.tracker);
         if let Some(path) = &self.invocation.picture {
--- a/crates/burn/src/reading/metric_line.rs
+++ b/crates/burn/src/reading/metric_line.rs
@@ -47,7 +47,7 @@
     },
 }
 
-/// Largest count up to which every whole number is exact in a 64-bit float: 2^53.
+/// Largest accepted count, 2^53; a 64-bit float is exact up to it.
 const EXACT_MAX: f64 = 9_007_199_254_740_992.0;
 
 impl MetricLine {
--- a/crates/burn/src/sampling/admin_client.rs
+++ b/crates/burn/src/sampling/admin_client.rs
@@ -16,8 +16,9 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Timeout of a single read; a node normally responds within milliseconds.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// Timeout of the whole call; a page that arrives slowly would delay the sample
-/// of all nodes.
+/// Timeout of the whole call.
+///
+/// A page that arrives slowly would delay the sample of all nodes.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Client of one node's admin address, for its metrics and its members.
--- a/crates/ctl/src/commands/explain_command.rs
+++ b/crates/ctl/src/commands/explain_command.rs
@@ -17,9 +17,9 @@
 /// File name that means standard input.
 const STDIN: &str = "-";
 
-/// Returns the timeline of a request from log files, or from standard input without any.
+/// Returns the timeline of a request from log files.
 ///
-/// `request` is the identifier of the caller's attempt.
+/// Without a file, standard input is read. `request` is the identifier of the caller's attempt.
 ///
 /// # Errors
 ///
--- a/crates/ctl/src/commands/status_command.rs
+++ b/crates/ctl/src/commands/status_command.rs
@@ -15,16 +15,16 @@
     fleet,
 };
 
-/// Version in force and addresses of the nodes, from the store or from a node.
+/// Version in force and nodes' addresses, from the store or from a node.
 struct FleetView {
-    /// Version in force; 0 if the view is from a node or there is no configuration.
+    /// Version in force; 0 without a configuration, or if a node supplied the view.
     version: ConfigVersion,
     peer_addrs: Vec<SocketAddr>,
 }
 
-/// Reads the status of every node that is announced in the store or given on the command line.
+/// Reads the status of every node.
 ///
-/// If the store can't be read, a node given on the command line names the others.
+/// The nodes are those announced in the store and those given on the command line. If the store can't be read, a node given on the command line names the others.
 pub async fn status(session: &Session<impl MetaStore>) -> Result<FleetStatus, CtlError> {
     let store_result = read_store(session).await;
     if let (Err(_), true) = (&store_result, session.nodes.is_empty()) {
--- a/crates/ctl/src/ctl_error.rs
+++ b/crates/ctl/src/ctl_error.rs
@@ -84,7 +84,7 @@
     /// Another activation came first, or another version is in force.
     #[snafu(display("not activated: version {in_force} is in force{}", activation_suffix(last.as_deref())))]
     NotActivated {
-        /// Version in force, or the lowest that can be if the store couldn't be read.
+        /// Version in force, or the lowest possible if it couldn't be read.
         in_force: ConfigVersion,
         /// Activation of that version, if the history has its record.
         last: Option<Box<ActivationRecord>>,
@@ -95,7 +95,7 @@
         /// Record that the store has now.
         current: Box<PresetRecord>,
     },
-    /// It isn't known whether a write took effect.
+    /// Whether a write took effect isn't known.
     #[snafu(display(
         "it isn't known whether operation {write_id} took effect ({source}); \
          look for it with `history` or `show`"
--- a/crates/ctl/src/explain/log_scanner.rs
+++ b/crates/ctl/src/explain/log_scanner.rs
@@ -9,16 +9,17 @@
 
 use super::{RequestTimeline, TimelineEvent};
 
-/// Messages about a member, which may explain why a node sent a request to it.
+/// Messages about a member, which may explain why it was sent a request.
 const MEMBER_MESSAGES: [&str; 3] = ["member announced", "announcement missing", "member gone"];
 
-/// Collects the log events of one request from the logs of any number of nodes.
+/// Collects the log events of one request from several nodes' logs.
 #[derive(Debug)]
 pub struct LogScanner {
     request: String,
     events: Vec<TimelineEvent>,
-    /// Last event about each member, by the instance of the node that logged it and the
-    /// member's address.
+    /// Last event about each member, by logging node and member.
+    ///
+    /// The key is the instance of the node that logged it and the member's address.
     member_events: HashMap<(String, String), TimelineEvent>,
     /// Number of lines that the nodes dropped or withheld under load.
     missing_lines: u64,
--- a/crates/ctl/src/presets/activation.rs
+++ b/crates/ctl/src/presets/activation.rs
@@ -27,9 +27,9 @@
     pub stamp: WriteStamp,
 }
 
-/// Step from the version in force to the next if the store was restored from an older copy.
+/// Step to the next version if the store was restored from an older copy.
 ///
-/// The store may have lost the versions written in the seconds before the restore, far fewer
+/// The step is added to the version in force. The store may have lost the versions written in the seconds before the restore, far fewer
 /// than this.
 const VERSION_STEP_AFTER_RESTORE: u64 = 1_000;
 
--- a/crates/ctl/src/presets/activation_history.rs
+++ b/crates/ctl/src/presets/activation_history.rs
@@ -9,7 +9,7 @@
 use super::{ActivationRecord, record};
 use crate::{CtlError, ctl_error::StoreSnafu};
 
-/// Prefix of the keys that hold the history; the number of a slot follows it.
+/// Prefix of the history's keys; the number of a slot follows the prefix.
 const HISTORY_PREFIX: &str = "geranium-operator/history/";
 /// Number of slots of the history, which are reused in turn.
 ///
@@ -62,6 +62,8 @@
     pub(super) key: String,
     /// Revision of the key; 0 while the slot is empty.
     pub(super) revision: Revision,
-    /// Record in the slot: of the version asked for, or of one that used the slot before.
+    /// Record in the slot, if any.
+    ///
+    /// The record is of the version asked for, or of an older one that used the same slot.
     pub(super) record: Option<ActivationRecord>,
 }
--- a/crates/ctl/src/presets/preset_name.rs
+++ b/crates/ctl/src/presets/preset_name.rs
@@ -13,7 +13,7 @@
 #[serde(try_from = "String", into = "String")]
 pub struct PresetName(String);
 
-/// Error for a name that is empty or too long, or that contains a disallowed character.
+/// Error for a name that is empty, too long or contains disallowed characters.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
     "invalid preset name `{name}`: a name has 1 to {NAME_BYTES_MAX} lower-case letters, digits, `-` and `.`"
--- a/crates/ctl/src/presets/record.rs
+++ b/crates/ctl/src/presets/record.rs
@@ -6,7 +6,7 @@
 
 use crate::{CtlError, ctl_error::StoreSnafu};
 
-/// Reads the record at `key` and its revision, which is 0 if there is no record.
+/// Reads the record at `key` and its revision, 0 if there is none.
 pub(super) async fn read<T: DeserializeOwned>(
     store: &impl MetaStore,
     key: &str,
--- a/crates/ctl/src/session.rs
+++ b/crates/ctl/src/session.rs
@@ -18,7 +18,9 @@
     pub codec: ConfigCodec,
     /// Name of the operator; `None` if it wasn't given.
     pub operator: Option<String>,
-    /// Admin addresses of some nodes, which name the others if the store can't be read.
+    /// Admin addresses of some nodes.
+    ///
+    /// These nodes name the others if the store can't be read.
     pub nodes: Vec<SocketAddr>,
     /// Port of the nodes' admin addresses; the IP address is that of each node.
     pub status_port: u16,
--- a/crates/ctl/src/write_outcome.rs
+++ b/crates/ctl/src/write_outcome.rs
@@ -17,7 +17,9 @@
         /// Whether an earlier try got no response.
         response_lost: bool,
     },
-    /// It isn't known whether the write took effect; the error is that of one of the tries.
+    /// Whether the write took effect isn't known.
+    ///
+    /// The error is that of one of the tries.
     Unknown(StoreError),
 }
 
