--- a/crates/burn/src/report/window_length.rs
+++ b/crates/burn/src/report/window_length.rs
@@ -1,9 +1,10 @@
-//! Length of a window, as operators write it.
+//! Length of the budget window, as operators write it.
 
 use std::{fmt, str::FromStr, time::Duration};
 
 use snafu::{OptionExt, Snafu};
 
+/// Units of a length with their seconds, the largest first.
 const UNITS: [(&str, u64); 4] = [("d", 86_400), ("h", 3_600), ("m", 60), ("s", 1)];
 /// Shortest budget window; its shortest fast window, 1/8640 of it, is 7 ms.
 const MIN_SECONDS: u64 = 60;
@@ -40,15 +41,16 @@
 
     /// Formats milliseconds in the largest unit that divides them.
     ///
-    /// Parts of a second are written as a decimal fraction.
+    /// A length that isn't a whole number of seconds is written as a decimal
+    /// fraction of seconds, and 0 as `0s`.
     pub fn text(ms: u64) -> String {
         if !ms.is_multiple_of(1_000) || ms == 0 {
             return format!("{}s", ms as f64 / 1_000.0);
         }
         let seconds = ms / 1_000;
         let fits = |unit: &&(&str, u64)| seconds.is_multiple_of(unit.1);
-        let (unit, length) = UNITS.iter().find(fits).unwrap_or(&("s", 1));
-        format!("{}{unit}", seconds / length)
+        let (unit, unit_seconds) = UNITS.iter().find(fits).unwrap_or(&("s", 1));
+        format!("{}{unit}", seconds / unit_seconds)
     }
 }
 
@@ -57,9 +59,9 @@
 
     fn from_str(text: &str) -> Result<Self, WindowLengthError> {
         let unit = UNITS.iter().find(|(unit, _)| text.ends_with(unit));
-        let seconds = unit.and_then(|(unit, length)| {
+        let seconds = unit.and_then(|(unit, unit_seconds)| {
             let count: u64 = text.strip_suffix(unit)?.parse().ok()?;
-            count.checked_mul(*length)
+            count.checked_mul(*unit_seconds)
         });
         let in_range = seconds.filter(|seconds| (MIN_SECONDS..=MAX_SECONDS).contains(seconds));
         let seconds = in_range.context(WindowLengthSnafu { text })?;
--- a/crates/ctl/src/commands/explain_command.rs
+++ b/crates/ctl/src/commands/explain_command.rs
@@ -17,29 +17,36 @@
 /// File name that means standard input.
 const STDIN: &str = "-";
 
-/// Returns the timeline of a request from log files, or from standard input without any.
+/// Returns the timeline of a request from log files.
 ///
-/// Fails if no line names the request.
+/// Without a file, standard input is read. `request` is the identifier of the caller's attempt.
+///
+/// # Errors
+///
+/// Returns [`CtlError::File`] if a file can't be read. If no line names the request, returns
+/// [`CtlError::LogIncomplete`] if the nodes dropped or withheld lines, and otherwise
+/// [`CtlError::UnknownRequest`].
 pub fn explain(request: &str, files: &[PathBuf]) -> Result<RequestTimeline, CtlError> {
     let mut scanner = LogScanner::new(request);
     if files.is_empty() {
-        read(&mut scanner, Path::new(STDIN))?;
+        read_log(&mut scanner, Path::new(STDIN))?;
     }
     for path in files {
-        read(&mut scanner, path)?;
+        read_log(&mut scanner, path)?;
     }
     let timeline = scanner.finish();
     if !timeline.events.is_empty() {
         return Ok(timeline);
     }
-    let lines = timeline.dropped_lines;
+    let lines = timeline.missing_lines;
     if lines > 0 {
         return LogIncompleteSnafu { request, lines }.fail();
     }
     UnknownRequestSnafu { request }.fail()
 }
 
-fn read(scanner: &mut LogScanner, path: &Path) -> Result<(), CtlError> {
+/// Reads the log at `path`, or standard input if the path is [`STDIN`].
+fn read_log(scanner: &mut LogScanner, path: &Path) -> Result<(), CtlError> {
     let result = if path == Path::new(STDIN) {
         scanner.read(io::stdin().lock())
     } else {
