--- a/crates/burn/src/burn_rate/alert_rule.rs
+++ b/crates/burn/src/burn_rate/alert_rule.rs
@@ -92,7 +92,7 @@
         let Some(slow) = slow else {
             return Urgency::NoTraffic;
         };
-        let holds = slow >= self.threshold && fast.is_some_and(|fast| fast >= self.threshold);
-        if holds { self.urgency } else { Urgency::Fine }
+        let fires = slow >= self.threshold && fast.is_some_and(|fast| fast >= self.threshold);
+        if fires { self.urgency } else { Urgency::Fine }
     }
 }
--- a/crates/burn/src/burn_rate/burn_tracker.rs
+++ b/crates/burn/src/burn_rate/burn_tracker.rs
@@ -60,7 +60,8 @@
         let start_ms = before.as_ref().map(|newest| newest.at_ms);
         let previous_objectives = before.map(|newest| newest.objectives).unwrap_or_default();
         let mut interval = BurnInterval {
-            // The machine's clock may have been set back between two runs.
+            // The machine's clock may have been set back between two runs, but an interval
+            // must not end before it starts.
             start_ms: start_ms.unwrap_or(sample.at_ms).min(sample.at_ms),
             end_ms: sample.at_ms,
             changed_objectives: changed_objectives(&previous_objectives, &sample.objectives),
--- a/crates/burn/src/reading/node_reading.rs
+++ b/crates/burn/src/reading/node_reading.rs
@@ -44,7 +44,7 @@
     /// A line is malformed.
     #[snafu(transparent)]
     Line {
-        /// Reason from the parser of the line.
+        /// Error of the line's parser.
         source: MetricLineError,
     },
     /// A metric that every node exports is absent.
--- a/crates/burn/src/sampling/fleet_sampler.rs
+++ b/crates/burn/src/sampling/fleet_sampler.rs
@@ -75,8 +75,8 @@
         for seed in &self.seeds {
             match AdminClient::new(*seed).members() {
                 Ok(members) => {
-                    let addrs = members.iter().map(|member| member.peer_addr.ip());
-                    let admin_addrs = addrs.map(|ip| SocketAddr::new(ip, seed.port()));
+                    let ips = members.iter().map(|member| member.peer_addr.ip());
+                    let admin_addrs = ips.map(|ip| SocketAddr::new(ip, seed.port()));
                     return Ok(admin_addrs.chain(self.seeds.iter().copied()).collect());
                 }
                 Err(error) => failure = error,
--- a/crates/ctl/src/commands/activate_command.rs
+++ b/crates/ctl/src/commands/activate_command.rs
@@ -7,7 +7,7 @@
 
 use crate::{ActivationRecord, ActivationRequest, CtlError, PresetName, Session, activate};
 
-/// Output of `activate`.
+/// Output of the command `activate`.
 #[derive(Debug, Serialize)]
 pub struct ActivateReport {
     activated: ActivationRecord,
--- a/crates/ctl/src/commands/history_command.rs
+++ b/crates/ctl/src/commands/history_command.rs
@@ -7,7 +7,7 @@
 
 use crate::{ActivationRecord, CtlError, Session, activation_history};
 
-/// Output of `history`.
+/// Output of the command `history`.
 #[derive(Debug, Serialize)]
 pub struct HistoryReport {
     activations: Vec<ActivationRecord>,
--- a/crates/ctl/src/commands/preset_commands.rs
+++ b/crates/ctl/src/commands/preset_commands.rs
@@ -10,25 +10,25 @@
     Session,
 };
 
-/// Output of `check`.
+/// Output of the command `check`.
 #[derive(Debug, Serialize)]
 pub struct CheckReport {
     services: usize,
     routes: usize,
 }
 
-/// Output of `put`.
+/// Output of the command `put`.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 pub struct PutReport(PresetRecord);
 
-/// Output of `list`.
+/// Output of the command `list`.
 #[derive(Debug, Serialize)]
 pub struct ListReport {
     presets: Vec<PresetRecord>,
 }
 
-/// Output of `show`.
+/// Output of the command `show`.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 pub struct ShowReport(PresetRecord);
--- a/crates/ctl/src/explain/timeline_event.rs
+++ b/crates/ctl/src/explain/timeline_event.rs
@@ -16,8 +16,9 @@
     pub text: String,
     /// Time and text of the node's last event about the member concerned.
     ///
-    /// The member is the one that this event names. `None` if no such event was read from the logs before this one. The order is that of
-    /// the lines that were read, not that of their times.
+    /// The member is the one that this event names. `None` if no such event was read from
+    /// the logs before this one. The order is that of the lines that were read, not that of
+    /// their times.
     #[serde(rename = "belief")]
     pub last_member_event: Option<String>,
 }
--- a/crates/ctl/src/presets/activation.rs
+++ b/crates/ctl/src/presets/activation.rs
@@ -29,8 +29,8 @@
 
 /// Step to the next version if the store was restored from an older copy.
 ///
-/// The step is added to the version in force. The store may have lost the versions written in the seconds before the restore, far fewer
-/// than this.
+/// The step is added to the version in force. The store may have lost the versions written
+/// in the seconds before the restore, far fewer than this.
 const VERSION_STEP_AFTER_RESTORE: u64 = 1_000;
 
 /// An activation that took effect.
--- a/crates/rig/src/demo/demo_run.rs
+++ b/crates/rig/src/demo/demo_run.rs
@@ -68,7 +68,7 @@
         nodes: callers.map(|node| node.machine().addrs.callers).collect(),
         rate: options.rate,
         seed: 1,
-        crashes: false,
+        crashing_requests: false,
     });
     sleep(step).await;
     println!("two nodes killed, one backend server crashed, one draining");
--- a/crates/rig/src/link_proxy.rs
+++ b/crates/rig/src/link_proxy.rs
@@ -133,11 +133,11 @@
     ];
     let (client_in, client_out) = client.into_split();
     let (server_in, server_out) = server.into_split();
-    let towards = forward_bytes(client_in, server_out, Direction::Towards, number, &shared);
-    let from = forward_bytes(server_in, client_out, Direction::From, number, &shared);
+    let towards_server = forward_bytes(client_in, server_out, Direction::Towards, number, &shared);
+    let from_server = forward_bytes(server_in, client_out, Direction::From, number, &shared);
     let reset = fault.wait_for(|fault| *fault == LinkFault::Reset);
     tokio::select! {
-        _ = async { tokio::join!(towards, from) } => {}
+        _ = async { tokio::join!(towards_server, from_server) } => {}
         _ = reset => {
             for handle in handles.iter().flatten() {
                 make_reset(handle);
--- a/crates/rig/src/load/caller_load.rs
+++ b/crates/rig/src/load/caller_load.rs
@@ -47,7 +47,7 @@
     /// Seed of intervals and kinds.
     pub seed: u64,
     /// Whether one caller sends requests that crash the backend servers running them.
-    pub crashes: bool,
+    pub crashing_requests: bool,
 }
 
 /// A load that runs until it is ended.
@@ -69,14 +69,14 @@
         let numbers = Arc::new(AtomicU64::new(0));
         let nodes = plan.nodes.iter().enumerate();
         let mut tasks: Vec<JoinHandle<()>> = Vec::new();
-        if plan.crashes {
+        if plan.crashing_requests {
             let caller = CrashCaller {
                 senders: plan.nodes.iter().copied().map(CallSender::new).collect(),
                 records: Arc::clone(&records),
             };
             tasks.push(tokio::spawn(caller.run(stop.subscribe())));
         }
-        let streams = nodes.map(|(node, addr)| {
+        let stream_tasks = nodes.map(|(node, addr)| {
             let stream = CallStream {
                 node,
                 sender: CallSender::new(*addr),
@@ -87,7 +87,7 @@
             };
             tokio::spawn(stream.run(stop.subscribe()))
         });
-        tasks.extend(streams);
+        tasks.extend(stream_tasks);
         Self {
             records,
             stop,
--- a/crates/rig/src/rig_endpoint.rs
+++ b/crates/rig/src/rig_endpoint.rs
@@ -174,8 +174,13 @@
     /// Returns all recorded runs, across restarts.
     pub fn runs(&self) -> Vec<RunRecord> {
         let state = self.state();
-        let current = state.server.iter().flat_map(EndpointServer::runs);
-        state.past_runs.iter().cloned().chain(current).collect()
+        let current_runs = state.server.iter().flat_map(EndpointServer::runs);
+        state
+            .past_runs
+            .iter()
+            .cloned()
+            .chain(current_runs)
+            .collect()
     }
 
     /// Returns the drains and deregistrations that its node acknowledged.
--- a/crates/rig/src/soak/fault_injector.rs
+++ b/crates/rig/src/soak/fault_injector.rs
@@ -133,11 +133,11 @@
     }
 
     /// Whether a process that was asked to terminate hasn't been restarted yet.
-    pub(super) fn is_terminating(&self) -> bool {
+    pub(super) fn has_terminating_nodes(&self) -> bool {
         !self.terminating.is_empty()
     }
 
-    /// Waits for backend servers that are draining.
+    /// Waits for the tasks that drain backend servers or post foreign heartbeats.
     pub(super) async fn finish(&mut self) {
         for task in self.tasks.drain(..) {
             // A panic in a task shows in the recovery check.
--- a/crates/rig/src/soak/soak_plan.rs
+++ b/crates/rig/src/soak/soak_plan.rs
@@ -20,7 +20,8 @@
 const OVERLAY_GAP_MS: u64 = 2_000;
 /// Mixed into the seed of overlaid faults.
 const OVERLAY_SEED: u64 = 0x6f76_6572;
-/// Mean time between two starts of the last overlay's faults.
+/// Mean time between two starts of the last overlay's faults, which are restores of the
+/// store.
 const LAST_OVERLAY_GAP_MS: u64 = 6_000;
 /// Mixed into the seed of the last overlay, so that its draws differ from the
 /// others'.
@@ -64,7 +65,7 @@
 }
 
 impl SoakPlan {
-    /// Draws a base plan for a fleet of `nodes` instances.
+    /// Draws a plan without overlaid faults for a fleet of `nodes` instances.
     ///
     /// # Examples
     ///
--- a/crates/rig/src/soak/soak_report.rs
+++ b/crates/rig/src/soak/soak_report.rs
@@ -26,7 +26,8 @@
     /// Number of requests that were reported as not run.
     pub refused: usize,
     /// Number of requests whose caller disconnected early on purpose.
-    pub left: usize,
+    #[serde(rename = "left")]
+    pub caller_left: usize,
     /// Time to a good response, 50th and 99th percentile, in milliseconds.
     pub good_ms: [u64; 2],
     /// Time to a refusal, 99th percentile, in milliseconds.
@@ -59,7 +60,7 @@
         };
         let (good_times, refused_times) = (times(&good), times(&refused));
         let drains = evidence.observe_drains();
-        let drains = drains.iter().filter_map(|drain| drain.last_run_after);
+        let last_run_times = drains.iter().filter_map(|drain| drain.last_run_after);
         Self {
             seed,
             nodes: evidence.events.len(),
@@ -68,18 +69,18 @@
             requests: calls.len(),
             good: good.len(),
             refused: refused.len(),
-            left: left.count(),
+            caller_left: left.count(),
             good_ms: [0.5, 0.99].map(|part| good_times.value_at_quantile(part)),
             refused_ms: refused_times.value_at_quantile(0.99),
             version_ms: [0, 0],
-            drain_ms: drains.max().unwrap_or_default().as_millis() as u64,
+            drain_ms: last_run_times.max().unwrap_or_default().as_millis() as u64,
             recovery_ms: 0,
             breaches: Vec::new(),
         }
     }
 }
 
-/// Collects latencies in milliseconds.
+/// Returns a histogram of latencies in milliseconds.
 pub(super) fn latency_histogram(times: impl IntoIterator<Item = u64>) -> Histogram<u64> {
     let mut histogram = Histogram::new(3).expect("three significant digits are valid");
     for time in times {
@@ -99,7 +100,7 @@
         writeln!(
             f,
             "  {} requests: {} good, {} refused, {} abandoned by their callers",
-            self.requests, self.good, self.refused, self.left
+            self.requests, self.good, self.refused, self.caller_left
         )?;
         writeln!(
             f,
--- a/crates/rig/src/soak/soak_run.rs
+++ b/crates/rig/src/soak/soak_run.rs
@@ -79,7 +79,7 @@
         nodes: callers.map(|node| node.machine().addrs.callers).collect(),
         rate: options.rate,
         seed: plan.seed,
-        crashes: !options.plain && !options.without_last,
+        crashing_requests: !options.plain && !options.without_last,
     });
     let mut injector = FaultInjector::new(options.nodes, Arc::clone(&records));
     execute_plan(plan, &mut fleet, &mut injector, &records).await?;
@@ -181,7 +181,8 @@
     injector.finish().await;
     // A node takes some seconds to terminate. One that was asked to shortly before the
     // last fault ended may still be running, and has to be restarted after it exits.
-    while injector.is_terminating() || fleet.nodes.iter_mut().any(|node| !node.is_running()) {
+    while injector.has_terminating_nodes() || fleet.nodes.iter_mut().any(|node| !node.is_running())
+    {
         injector.advance(fleet)?;
         sleep(POLL_INTERVAL).await;
     }
--- a/crates/standins/src/endpoint_server.rs
+++ b/crates/standins/src/endpoint_server.rs
@@ -79,9 +79,9 @@
             options: Mutex::new(options),
             runs: Mutex::default(),
         });
-        let served = Arc::clone(&shared);
+        let handler_shared = Arc::clone(&shared);
         let thread = ServerThread::start(vec![listen(addr)], move |_, request| {
-            serve(Arc::clone(&served), request)
+            serve(Arc::clone(&handler_shared), request)
         });
         Self { shared, thread }
     }
@@ -237,25 +237,25 @@
 fn run_response(fault: EndpointFault, bytes: usize, id: &str, body: &Bytes) -> Reply {
     let signature = ("x-geraniumspring-response-signature", "3e1b.07");
     let echo = ("x-geraniumspring-request-id", id);
-    let mut answer = body.to_vec();
-    answer.resize(body.len() + bytes, b'a');
-    let answer = Bytes::from(answer);
+    let mut response_body = body.to_vec();
+    response_body.resize(body.len() + bytes, b'a');
+    let response_body = Bytes::from(response_body);
     match fault {
         EndpointFault::LosesAnswer => Reply::Hangup,
         EndpointFault::CrossesAnswer => {
             let other = ("x-geraniumspring-request-id", "another-request");
-            reply(StatusCode::OK, &[signature, other], answer)
+            reply(StatusCode::OK, &[signature, other], response_body)
         }
-        EndpointFault::Unsigned => reply(StatusCode::OK, &[echo], answer),
+        EndpointFault::Unsigned => reply(StatusCode::OK, &[echo], response_body),
         EndpointFault::Encoded => reply(
             StatusCode::OK,
             &[signature, echo, ("content-encoding", "gzip")],
-            answer,
+            response_body,
         ),
         EndpointFault::Chunks => reply(
             StatusCode::OK,
             &[signature, echo, ("transfer-encoding", "chunked")],
-            answer,
+            response_body,
         ),
         EndpointFault::Fails => reply(
             StatusCode::INTERNAL_SERVER_ERROR,
@@ -265,7 +265,9 @@
         EndpointFault::Sound
         | EndpointFault::Sheds
         | EndpointFault::CrashesOnRequest
-        | EndpointFault::RestartsOnRequest => reply(StatusCode::OK, &[signature, echo], answer),
+        | EndpointFault::RestartsOnRequest => {
+            reply(StatusCode::OK, &[signature, echo], response_body)
+        }
     }
 }
 
--- a/crates/standins/src/heartbeat.rs
+++ b/crates/standins/src/heartbeat.rs
@@ -45,11 +45,11 @@
             HeartbeatState::Ready => "ready",
             HeartbeatState::Draining => "draining",
         };
-        let born = self
+        let born_field = self
             .born_ms
             .map_or(String::new(), |born_ms| format!(r#","born":{born_ms}"#));
         format!(
-            r#"{{"Service":"{}","Address":"{}","Zone":"{}","Version":"v1","Slots":{},"State":"{state}","ColdRemainingS":0.5,"Seq":{},"New":1{born}}}"#,
+            r#"{{"Service":"{}","Address":"{}","Zone":"{}","Version":"v1","Slots":{},"State":"{state}","ColdRemainingS":0.5,"Seq":{},"New":1{born_field}}}"#,
             self.service, self.address, self.data_centre, self.slots, self.sequence
         )
     }
--- a/crates/standins/src/http_server.rs
+++ b/crates/standins/src/http_server.rs
@@ -61,7 +61,7 @@
                     tokio::spawn(accept(number, listener, handler, crash));
                 }
                 let mut stopped = stopped;
-                let _closed = stopped.wait_for(|stopped| *stopped).await;
+                let _stopped = stopped.wait_for(|stopped| *stopped).await;
             });
         });
         Self {
--- a/crates/standins/src/kv_server.rs
+++ b/crates/standins/src/kv_server.rs
@@ -58,9 +58,9 @@
             .lock()
             .expect("not poisoned")
             .resize(ports + 1, KvFault::Sound);
-        let served = Arc::clone(&shared);
-        let thread = ServerThread::start(listeners, move |port, request| {
-            serve(Arc::clone(&served), port, request)
+        let handler_shared = Arc::clone(&shared);
+        let thread = ServerThread::start(listeners, move |port_index, request| {
+            serve(Arc::clone(&handler_shared), port_index, request)
         });
         Self {
             shared,
@@ -70,8 +70,8 @@
     }
 
     /// Returns the address of a port for nodes.
-    pub fn addr(&self, port: usize) -> SocketAddr {
-        self.addrs[port]
+    pub fn addr(&self, port_index: usize) -> SocketAddr {
+        self.addrs[port_index]
     }
 
     /// Returns the address of the operators' port. Only on this port may keys under
@@ -98,8 +98,8 @@
     /// # Panics
     ///
     /// Panics if there is no such port.
-    pub fn set_fault(&self, port: usize, fault: KvFault) {
-        self.shared.faults.lock().expect("not poisoned")[port] = fault;
+    pub fn set_fault(&self, port_index: usize, fault: KvFault) {
+        self.shared.faults.lock().expect("not poisoned")[port_index] = fault;
     }
 
     /// Sets the same fault for every node port.
@@ -119,18 +119,18 @@
         self.state.lock().expect("not poisoned")
     }
 
-    fn is_operator(&self, port: usize) -> bool {
-        port + 1 == self.faults.lock().expect("not poisoned").len()
+    fn is_operator(&self, port_index: usize) -> bool {
+        port_index + 1 == self.faults.lock().expect("not poisoned").len()
     }
 
-    fn fault(&self, port: usize) -> KvFault {
-        self.faults.lock().expect("not poisoned")[port]
+    fn fault(&self, port_index: usize) -> KvFault {
+        self.faults.lock().expect("not poisoned")[port_index]
     }
 }
 
 /// Executes a call and adds the store's era to its response.
-async fn serve(shared: Arc<KvShared>, port: usize, request: Request<Incoming>) -> Reply {
-    let mut outcome = serve_call(Arc::clone(&shared), port, request).await;
+async fn serve(shared: Arc<KvShared>, port_index: usize, request: Request<Incoming>) -> Reply {
+    let mut outcome = serve_call(Arc::clone(&shared), port_index, request).await;
     if let Reply::Response(response) = &mut outcome {
         let era = HeaderValue::from(shared.state().era());
         response.headers_mut().insert("store-era", era);
@@ -138,20 +138,20 @@
     outcome
 }
 
-async fn serve_call(shared: Arc<KvShared>, port: usize, request: Request<Incoming>) -> Reply {
+async fn serve_call(shared: Arc<KvShared>, port_index: usize, request: Request<Incoming>) -> Reply {
     let (head, body) = request.into_parts();
     let Ok(body) = body.collect().await else {
         return Reply::Hangup;
     };
     let call = KvCall {
         write: head.method != Method::GET,
-        operator: shared.is_operator(port),
+        operator: shared.is_operator(port_index),
         path: head.uri.path().to_owned(),
         query: head.uri.query().unwrap_or_default().to_owned(),
         body: serde_json::from_slice(&body.to_bytes()).unwrap_or(Value::Null),
     };
     shared.state().count(&call.kind());
-    let fault = shared.fault(port);
+    let fault = shared.fault(port_index);
     match fault {
         KvFault::Busy => return reply((503, Value::Null)),
         KvFault::Limited => return reply((429, Value::Null)),
@@ -168,7 +168,7 @@
         _ => {}
     }
     let done = if call.path == "/kv-watch" {
-        call.watch(&shared, port).await
+        call.watch(&shared, port_index).await
     } else {
         call.apply(&mut shared.state())
     };
@@ -247,12 +247,12 @@
 
     /// Waits for events after the given revision. A fault that starts meanwhile ends
     /// the watch with status 503.
-    async fn watch(&self, shared: &KvShared, port: usize) -> (u16, Value) {
+    async fn watch(&self, shared: &KvShared, port_index: usize) -> (u16, Value) {
         let after = self.query("after").parse().unwrap_or(0);
         let wait = Duration::from_millis(self.query("WaitMs").parse().unwrap_or(0));
         let begun = Instant::now();
         while begun.elapsed() < wait {
-            let fault = shared.fault(port);
+            let fault = shared.fault(port_index);
             if !matches!(fault, KvFault::Sound | KvFault::SilentWatches) {
                 return (503, Value::Null);
             }
--- a/crates/standins/src/kv_state.rs
+++ b/crates/standins/src/kv_state.rs
@@ -113,7 +113,7 @@
         self.era
     }
 
-    /// Copies the contents.
+    /// Copies the items and leases, for a later restore.
     pub fn copy(&self) -> KvCopy {
         KvCopy {
             revision: self.revision,
@@ -227,8 +227,10 @@
         (200, self.with_revision(page))
     }
 
-    /// Returns the events after a revision, or `None` if there are none yet. The result
-    /// is status 410 if that part of the history is gone.
+    /// Returns the events under a prefix after a revision, or `None` if there are none yet.
+    ///
+    /// The result is status 410 if that part of the history is gone or the revision is newer
+    /// than the store's.
     pub(crate) fn watch(&self, prefix: &str, after: u64) -> Option<(u16, Value)> {
         if after < self.compacted || after > self.revision {
             return Some((410, json!({"Error": "history gone"})));
@@ -251,16 +253,16 @@
 
     pub(crate) fn transact(&mut self, txn: &Value, operator: bool) -> (u16, Value) {
         let rows = |name: &str| txn[name].as_array().cloned().unwrap_or_default();
-        let mut failed = Vec::new();
+        let mut failed_keys = Vec::new();
         for row in rows("Precondition") {
             let key = row["Key"].as_str().unwrap_or_default();
             let current = self.items.get(key).map_or(0, |item| item.revision);
             if row["Revision"].as_u64() != Some(current) {
-                failed.push(key.to_owned());
+                failed_keys.push(key.to_owned());
             }
         }
-        if !failed.is_empty() {
-            let items = failed.iter().filter_map(|key| {
+        if !failed_keys.is_empty() {
+            let items = failed_keys.iter().filter_map(|key| {
                 let item = self.items.get(key)?;
                 Some(item_json(key, item))
             });
--- a/crates/standins/src/machine.rs
+++ b/crates/standins/src/machine.rs
@@ -12,17 +12,17 @@
 /// Addresses of one machine's listeners.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineAddrs {
-    /// Listener of the node for other nodes.
+    /// Address on which the node listens for other nodes.
     pub peer_addr: SocketAddr,
-    /// Listener of the node for callers.
+    /// Address on which the node listens for callers.
     pub callers: SocketAddr,
-    /// Listener of the node for readiness checks.
+    /// Address on which the node listens for readiness checks.
     pub readiness: SocketAddr,
-    /// Listener of the node for heartbeats and deregistrations.
+    /// Address on which the node listens for heartbeats and deregistrations.
     pub admin: SocketAddr,
-    /// Listener of the node for metrics.
+    /// Address on which the node listens for metrics requests.
     pub metrics: SocketAddr,
-    /// Listener of the backend server.
+    /// Address on which the backend server listens.
     pub endpoint: SocketAddr,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Machine {
-    /// Returns the name of the node.
+    /// Returns the name of the instance: `sidecar-` and its IP address.
     pub fn name(&self) -> String {
         format!("sidecar-{}", self.addrs.peer_addr.ip())
     }
