--- a/crates/rig/src/link_proxy.rs
+++ b/crates/rig/src/link_proxy.rs
@@ -26,8 +26,8 @@
 
 /// A proxy on loopback that forwards bytes as its fault allows.
 ///
-/// Muted connections lose all bytes for good, while new ones work. The ends notice
-/// this only by a timeout of their own.
+/// Muted connections lose all further bytes, while new connections work. Client and
+/// server notice this only by a timeout of their own.
 #[derive(Debug)]
 pub struct LinkProxy {
     addr: SocketAddr,
@@ -38,11 +38,13 @@
 #[derive(Debug)]
 struct LinkShared {
     fault: watch::Sender<LinkFault>,
+    /// Number of connections that have been accepted; the next one gets it as its number.
     opened: AtomicU64,
     /// Connections with a lower number are muted.
     muted: AtomicU64,
 }
 
+/// Direction of bytes, as seen from the client: towards or from the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
     Towards,
@@ -102,11 +104,11 @@
             sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let number = shared.opened.fetch_add(1, Ordering::Relaxed);
+        let connection_number = shared.opened.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(forward_connection(
             stream,
             target,
-            number,
+            connection_number,
             Arc::clone(&shared),
         ));
     }
@@ -115,7 +117,7 @@
 async fn forward_connection(
     client: TcpStream,
     target: SocketAddr,
-    number: u64,
+    connection_number: u64,
     shared: Arc<LinkShared>,
 ) {
     let mut fault = shared.fault.subscribe();
@@ -133,8 +135,20 @@
     ];
     let (client_in, client_out) = client.into_split();
     let (server_in, server_out) = server.into_split();
-    let towards_server = forward_bytes(client_in, server_out, Direction::Towards, number, &shared);
-    let from_server = forward_bytes(server_in, client_out, Direction::From, number, &shared);
+    let towards_server = forward_bytes(
+        client_in,
+        server_out,
+        Direction::Towards,
+        connection_number,
+        &shared,
+    );
+    let from_server = forward_bytes(
+        server_in,
+        client_out,
+        Direction::From,
+        connection_number,
+        &shared,
+    );
     let reset = fault.wait_for(|fault| *fault == LinkFault::Reset);
     tokio::select! {
         _ = async { tokio::join!(towards_server, from_server) } => {}
@@ -151,13 +165,13 @@
     mut input: OwnedReadHalf,
     mut output: OwnedWriteHalf,
     direction: Direction,
-    number: u64,
+    connection_number: u64,
     shared: &LinkShared,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(count @ 1..) = input.read(&mut buffer).await {
         let fault = *shared.fault.borrow();
-        let muted = number < shared.muted.load(Ordering::Relaxed);
+        let muted = connection_number < shared.muted.load(Ordering::Relaxed);
         let lost = match fault {
             LinkFault::Cut => true,
             LinkFault::CutTowards => direction == Direction::Towards,
--- a/crates/rig/src/load/call_sender.rs
+++ b/crates/rig/src/load/call_sender.rs
@@ -54,9 +54,10 @@
         }
     }
 
-    /// Sends a request and waits for the response. The caller disconnects early, after
-    /// `leave_after`, if that is given. A good response starts with the body of the
-    /// request.
+    /// Sends a request and waits for the response.
+    ///
+    /// The caller disconnects early, after `leave_after`, if that is given. A good response
+    /// starts with the body of the request.
     pub async fn send(
         &self,
         call: &CallerRequest,
@@ -67,10 +68,10 @@
         let was_kept = kept.is_some();
         let sent = Instant::now();
         let end = tokio::time::Instant::now() + call.deadline + RESPONSE_GRACE;
-        let exchange = timeout_at(end, self.exchange(call, kept));
+        let exchanged = timeout_at(end, self.exchange(call, kept));
         let outcome = match leave_after {
-            None => exchange.await.unwrap_or(CallOutcome::Silent),
-            Some(leave_after) => match timeout(leave_after, exchange).await {
+            None => exchanged.await.unwrap_or(CallOutcome::Silent),
+            Some(leave_after) => match timeout(leave_after, exchanged).await {
                 Ok(ended) => ended.unwrap_or(CallOutcome::Silent),
                 Err(_left) => CallOutcome::Left,
             },
@@ -82,6 +83,7 @@
         }
     }
 
+    /// Sends the request and reads the whole response.
     async fn exchange(&self, call: &CallerRequest, kept: Option<Sender>) -> CallOutcome {
         let sender = match kept {
             Some(sender) => Some(sender),
@@ -140,8 +142,8 @@
 fn matches_request(call: &CallerRequest, answer: &CallerResponse, body: &[u8]) -> bool {
     let named = answer.id.as_deref() == Some(&*call.id);
     let echoed = body.starts_with(call.body.as_bytes());
-    let asked = call.path.split_once("bytes=").map(|(_, text)| text);
-    let asked = asked.and_then(|text| text.split('&').next()?.parse::<usize>().ok());
-    let whole = asked.is_none_or(|bytes| body.len() == call.body.len() + bytes);
+    let requested = call.path.split_once("bytes=").map(|(_, text)| text);
+    let requested = requested.and_then(|text| text.split('&').next()?.parse::<usize>().ok());
+    let whole = requested.is_none_or(|bytes| body.len() == call.body.len() + bytes);
     answer.signed && named && echoed && whole
 }
--- a/crates/rig/src/soak/fault_kind.rs
+++ b/crates/rig/src/soak/fault_kind.rs
@@ -82,18 +82,19 @@
 }
 
 impl FaultKind {
-    /// Kinds that are overlaid on a base plan. They are drawn separately: as base kinds
+    /// Kinds of faults that are overlaid on a plan. They are drawn separately: as base kinds
     /// they would change the plan of every seed, and seeds that once found a fault must
     /// replay the same plan.
     pub const OVERLAY_KINDS: [Self; 2] = [Self::EndpointReturn, Self::ForeignWriter];
 
-    /// Kinds that are overlaid on both, drawn separately for the same reason.
+    /// Kinds of the last overlay, on top of [`Self::OVERLAY_KINDS`] and drawn separately for
+    /// the same reason.
     pub const LAST_OVERLAY_KINDS: [Self; 1] = [Self::StoreCopy];
 
-    /// Kinds from which a base plan is drawn.
+    /// Returns the kinds from which a plan without overlaid faults is drawn.
     pub fn base_kinds() -> &'static [Self] {
-        let laid = Self::OVERLAY_KINDS.len() + Self::LAST_OVERLAY_KINDS.len();
-        &Self::VARIANTS[..Self::VARIANTS.len() - laid]
+        let overlay_count = Self::OVERLAY_KINDS.len() + Self::LAST_OVERLAY_KINDS.len();
+        &Self::VARIANTS[..Self::VARIANTS.len() - overlay_count]
     }
 
     /// Whether the fault affects single instances rather than the whole fleet.
--- a/crates/rig/src/soak/soak_plan.rs
+++ b/crates/rig/src/soak/soak_plan.rs
@@ -18,7 +18,8 @@
 const SERIES_PROBABILITY: f64 = 0.25;
 /// Mean time between two starts of overlaid faults.
 const OVERLAY_GAP_MS: u64 = 2_000;
-/// Mixed into the seed of overlaid faults.
+/// Mixed into the seed of overlaid faults, so that their draws differ from the
+/// plan's.
 const OVERLAY_SEED: u64 = 0x6f76_6572;
 /// Mean time between two starts of the last overlay's faults, which are restores of the
 /// store.
--- a/crates/standins/src/endpoint_fault.rs
+++ b/crates/standins/src/endpoint_fault.rs
@@ -6,7 +6,7 @@
     /// No fault.
     #[default]
     Sound,
-    /// Answers 503 without running the request, and says so in a header.
+    /// Responds with 503 without running the request, and says so in a header.
     Sheds,
     /// Runs the request and closes the connection without a response.
     LosesAnswer,
@@ -18,11 +18,13 @@
     Encoded,
     /// Runs the request and sends a chunked response without a length.
     Chunks,
-    /// Runs the request and answers 500.
+    /// Runs the request and responds with 500.
     Fails,
     /// Crashes when it runs a request whose path contains `crash`.
     CrashesOnRequest,
-    /// Crashes on such a request, and serves again at once: same identifier, later
-    /// start time.
+    /// Appears to restart when it runs a request whose path contains `crash`.
+    ///
+    /// The connection closes without a response, and the server goes on under the same
+    /// identifier with a later start time.
     RestartsOnRequest,
 }
--- a/crates/standins/src/http_server.rs
+++ b/crates/standins/src/http_server.rs
@@ -25,7 +25,7 @@
     Crash,
 }
 
-/// A thread with its own async runtime; it stops when dropped.
+/// A server's thread with its own async runtime. Dropping this value stops the thread.
 #[derive(Debug)]
 pub(crate) struct ServerThread {
     stop: Arc<watch::Sender<bool>>,
@@ -55,10 +55,10 @@
                 .build()
                 .expect("a runtime can be created");
             runtime.block_on(async move {
-                for (number, listener) in listeners.into_iter().enumerate() {
+                for (listener_index, listener) in listeners.into_iter().enumerate() {
                     let handler = Arc::clone(&handler);
                     let crash = Arc::clone(&crash);
-                    tokio::spawn(accept(number, listener, handler, crash));
+                    tokio::spawn(accept(listener_index, listener, handler, crash));
                 }
                 let mut stopped = stopped;
                 let _stopped = stopped.wait_for(|stopped| *stopped).await;
@@ -106,7 +106,7 @@
 }
 
 async fn accept<F>(
-    number: usize,
+    listener_index: usize,
     listener: TcpListener,
     handler: Arc<impl Fn(usize, Request<Incoming>) -> F + Send + Sync + 'static>,
     crash: Arc<watch::Sender<bool>>,
@@ -124,7 +124,7 @@
         let service = service_fn(move |request| {
             let (handler, crash) = (Arc::clone(&handler), Arc::clone(&crash));
             async move {
-                match handler(number, request).await {
+                match handler(listener_index, request).await {
                     Reply::Response(response) => Ok::<_, Hangup>(response),
                     Reply::Hangup => Err(Hangup),
                     Reply::Crash => {
--- a/crates/standins/src/kv_server.rs
+++ b/crates/standins/src/kv_server.rs
@@ -40,8 +40,9 @@
 }
 
 impl KvServer {
-    /// Starts a store on free addresses. It has `ports` ports for nodes and one more
-    /// for operators.
+    /// Starts a store on free addresses.
+    ///
+    /// The store has `ports` ports for nodes and one more for operators.
     ///
     /// # Panics
     ///
@@ -69,7 +70,11 @@
         }
     }
 
-    /// Returns the address of a port for nodes.
+    /// Returns the address of the port with this index.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there is no such port.
     pub fn addr(&self, port_index: usize) -> SocketAddr {
         self.addrs[port_index]
     }
@@ -93,7 +98,7 @@
         self.shared.state.lock().expect("not poisoned")
     }
 
-    /// Sets the fault of one port.
+    /// Sets the fault of the port with this index.
     ///
     /// # Panics
     ///
