--- a/crates/ctl/src/commands/status_command.rs
+++ b/crates/ctl/src/commands/status_command.rs
@@ -24,7 +24,8 @@
 
 /// Reads the status of every node.
 ///
-/// The nodes are those announced in the store and those given on the command line. If the store can't be read, a node given on the command line names the others.
+/// The nodes are those announced in the store and those given on the command line. If the
+/// store can't be read, a node given on the command line names the others.
 pub async fn status(session: &Session<impl MetaStore>) -> Result<FleetStatus, CtlError> {
     let store_result = read_store(session).await;
     if let (Err(_), true) = (&store_result, session.nodes.is_empty()) {
