--- a/crates/node/src/admin/admin_handler.rs
+++ b/crates/node/src/admin/admin_handler.rs
@@ -36,14 +36,14 @@
     /// Returns the page at the path of a request, or a 404 response.
     pub fn handle(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
-            METRICS_PATH => self.metrics(),
-            STATUS_PATH => self.status(),
-            MEMBERS_PATH => self.members(),
+            METRICS_PATH => self.metrics_page(),
+            STATUS_PATH => self.status_page(),
+            MEMBERS_PATH => self.members_page(),
             _ => text_response(StatusCode::NOT_FOUND, "text/plain", Vec::new()),
         }
     }
 
-    fn metrics(&self) -> Response<ResponseBody> {
+    fn metrics_page(&self) -> Response<ResponseBody> {
         let load = self.core.inbound.load(0);
         let metrics = &self.core.metrics;
         metrics.set_members(self.core.fleet.borrow().len());
@@ -55,7 +55,7 @@
         }
     }
 
-    fn status(&self) -> Response<ResponseBody> {
+    fn status_page(&self) -> Response<ResponseBody> {
         let settings = &self.core.settings;
         let load = self.core.inbound.load(0);
         let tracker = self.core.inbound.tracker().borrow();
@@ -78,7 +78,7 @@
         self.json_page("status", &status)
     }
 
-    fn members(&self) -> Response<ResponseBody> {
+    fn members_page(&self) -> Response<ResponseBody> {
         let fleet = self.core.fleet.borrow();
         let records: Vec<&MemberRecord> = fleet.records().collect();
         self.json_page("members", &records)
--- a/crates/node/src/crash/crash_broadcast.rs
+++ b/crates/node/src/crash/crash_broadcast.rs
@@ -111,7 +111,7 @@
     let begun = Instant::now();
     while begun.elapsed() < STORE_RETRY_TIME {
         core.until_store_back().await;
-        match write(&core, &*store, &records).await {
+        match write_crashes(&core, &*store, &records).await {
             Ok(revision) => {
                 info!(core.log.logger(), "crash told"; "revision" => revision.0);
                 let now = core.clock.now();
@@ -129,7 +129,7 @@
     }
 }
 
-async fn write(
+async fn write_crashes(
     core: &NodeCore,
     store: &impl MetaStore,
     records: &[CrashRecord],
--- a/crates/node/src/crash/crash_history.rs
+++ b/crates/node/src/crash/crash_history.rs
@@ -10,7 +10,7 @@
 /// Crashes after which a request is refused. A service may have no more than this number
 /// of backend servers. Requests that only ran beside the one that crashes them are cleared
 /// by successful completions, or refused for a short time.
-const CRASHES_MAX: u32 = 2;
+const REFUSAL_CRASHES: u32 = 2;
 /// Time for which a request stays refused. Callers' automatic resends end by then.
 const REFUSAL_TIME: Duration = Duration::from_secs(600);
 /// Maximum number of records that are kept for nodes that ask for updates.
@@ -26,7 +26,7 @@
 impl Default for CrashHistory {
     fn default() -> Self {
         let limits = PoisonLimits {
-            crashes: CRASHES_MAX,
+            crashes: REFUSAL_CRASHES,
             refusal_time: REFUSAL_TIME,
         };
         Self {
@@ -73,7 +73,7 @@
     /// offset a crash more likely only ran beside the cause, and isn't a suspect.
     pub fn is_suspect(&self, now: Duration, fingerprint: u64) -> bool {
         let status = self.registry.status(now, fingerprint);
-        status == PoisonStatus::Suspect && !self.registry.was_forgiven(fingerprint)
+        status == PoisonStatus::Suspect && !self.registry.has_offset_crash(fingerprint)
     }
 
     /// Returns the records after a revision, each with its own revision, for another node.
--- a/crates/node/src/crash/crash_record.rs
+++ b/crates/node/src/crash/crash_record.rs
@@ -4,7 +4,7 @@
 
 use crate::member::EndpointStart;
 
-/// Start of a backend server that crashed while it ran a request.
+/// A request that was running when a backend server crashed, and that server's start.
 ///
 /// Every node gets each record, and counts distinct starts of backend servers for each
 /// fingerprint. A record that arrives twice counts once.
--- a/crates/node/src/crash/mod.rs
+++ b/crates/node/src/crash/mod.rs
@@ -13,8 +13,10 @@
 //! Every request that was running at a crash gets a record, also those that didn't cause
 //! it. Such suspects run again one at a time on each backend server, so that few of them
 //! share a second crash. Successful completions clear them: each `CREDIT_PER_CRASH`
-//! completions offset one crash. A request that never completes on this node, and wasn't
-//! the only one running at any crash, is refused for a tenth of the time.
+//! completions offset one crash. A request with `REFUSAL_CRASHES` crashes that aren't
+//! offset, and that wasn't the only one running at any crash, is refused for a tenth of
+//! `REFUSAL_TIME`. After more crashes, it is refused for all of it, unless completions
+//! offset one.
 
 mod break_diagnosis;
 mod broken_runs;
--- a/crates/node/src/crash/poison_registry.rs
+++ b/crates/node/src/crash/poison_registry.rs
@@ -79,7 +79,7 @@
         let suspect = suspect.or_insert(SuspectRecord::new(now));
         suspect.record_crash(now);
         if self.credit.spend(record.fingerprint) {
-            suspect.forgive_one();
+            suspect.offset_one();
         }
         self.records.push_back((now, record));
         if self.records.len() > RECORDS_MAX {
@@ -94,8 +94,8 @@
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
-        if suspect.unforgiven() > 0 && self.credit.spend(fingerprint) {
-            suspect.forgive_one();
+        if suspect.crashes_not_offset() > 0 && self.credit.spend(fingerprint) {
+            suspect.offset_one();
         }
     }
 
@@ -105,10 +105,10 @@
             return PoisonStatus::Clear;
         };
         let age = suspect.age(now);
-        if suspect.unforgiven() == 0 || age >= self.limits.refusal_time {
+        if suspect.crashes_not_offset() == 0 || age >= self.limits.refusal_time {
             return PoisonStatus::Clear;
         }
-        if suspect.unforgiven() < self.limits.crashes {
+        if suspect.crashes_not_offset() < self.limits.crashes {
             return PoisonStatus::Suspect;
         }
         let refusal_time = self.refusal_time_of(fingerprint, suspect);
@@ -121,9 +121,9 @@
     }
 
     /// Returns whether successful completions offset a crash of the request.
-    pub fn was_forgiven(&self, fingerprint: u64) -> bool {
+    pub fn has_offset_crash(&self, fingerprint: u64) -> bool {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.is_some_and(SuspectRecord::was_forgiven)
+        suspect.is_some_and(SuspectRecord::has_offset_crash)
     }
 
     /// Returns the records in memory, oldest first.
@@ -132,11 +132,11 @@
     }
 
     fn refusal_time_of(&self, fingerprint: u64, suspect: &SuspectRecord) -> Duration {
-        let above_limit = suspect.unforgiven() > self.limits.crashes;
+        let above_limit = suspect.crashes_not_offset() > self.limits.crashes;
         // Several servers that end together, as after a bad release, each have the
         // frequent requests in flight. A request with successful completions is more likely
         // one of these than the cause, and it can't complete again while it is refused.
-        let above_limit = above_limit && !suspect.was_forgiven();
+        let above_limit = above_limit && !suspect.has_offset_crash();
         if above_limit || self.crashed_alone(fingerprint) {
             self.limits.refusal_time
         } else {
@@ -169,7 +169,7 @@
             }
         }
         if let Some(suspect) = self.suspects.get_mut(&record.fingerprint) {
-            suspect.forget_one();
+            suspect.remove_oldest();
             if suspect.crashes() == 0 {
                 self.suspects.remove(&record.fingerprint);
             }
--- a/crates/node/src/crash/suspect_record.rs
+++ b/crates/node/src/crash/suspect_record.rs
@@ -8,7 +8,7 @@
     /// Number of crashes whose records are in memory.
     crashes: u32,
     /// Number of these crashes that successful completions offset.
-    forgiven: u32,
+    offset_crashes: u32,
     /// Time at which the latest crash was recorded on this node.
     latest: Duration,
 }
@@ -17,7 +17,7 @@
     pub(super) const fn new(now: Duration) -> Self {
         Self {
             crashes: 0,
-            forgiven: 0,
+            offset_crashes: 0,
             latest: now,
         }
     }
@@ -29,14 +29,14 @@
     }
 
     /// Offsets one crash by successful completions.
-    pub(super) fn forgive_one(&mut self) {
-        self.forgiven = (self.forgiven + 1).min(self.crashes);
+    pub(super) fn offset_one(&mut self) {
+        self.offset_crashes = (self.offset_crashes + 1).min(self.crashes);
     }
 
     /// Removes the oldest crash, and with it one offset, if there is one.
-    pub(super) fn forget_one(&mut self) {
+    pub(super) fn remove_oldest(&mut self) {
         self.crashes = self.crashes.saturating_sub(1);
-        self.forgiven = self.forgiven.saturating_sub(1);
+        self.offset_crashes = self.offset_crashes.saturating_sub(1);
     }
 
     /// Returns the number of crashes in memory, offset or not.
@@ -45,13 +45,13 @@
     }
 
     /// Returns the number of crashes that weren't offset.
-    pub(super) const fn unforgiven(&self) -> u32 {
-        self.crashes - self.forgiven
+    pub(super) const fn crashes_not_offset(&self) -> u32 {
+        self.crashes - self.offset_crashes
     }
 
     /// Returns whether successful completions offset one of the crashes.
-    pub(super) const fn was_forgiven(&self) -> bool {
-        self.forgiven > 0
+    pub(super) const fn has_offset_crash(&self) -> bool {
+        self.offset_crashes > 0
     }
 
     /// Returns the time since the latest crash.
--- a/crates/node/src/discovery/announcer.rs
+++ b/crates/node/src/discovery/announcer.rs
@@ -245,7 +245,7 @@
         };
         if stored {
             core.announcement_outdated.set(false);
-            core.announced.notify_waiters();
+            core.announcement_written.notify_waiters();
         }
     }
 
--- a/crates/node/src/discovery/config_watcher.rs
+++ b/crates/node/src/discovery/config_watcher.rs
@@ -68,7 +68,7 @@
     Ok(read.revision)
 }
 
-/// Waits for a change, or until this node doesn't have to watch any more.
+/// Waits for a change of the configuration, or until this node doesn't have to watch any more.
 async fn watch_step(
     core: &NodeCore,
     store: &impl MetaStore,
--- a/crates/node/src/discovery/member_watcher.rs
+++ b/crates/node/src/discovery/member_watcher.rs
@@ -137,7 +137,7 @@
     Ok(())
 }
 
-/// Applies items, and returns the addresses of the nodes whose announcements they hold.
+/// Applies announcements and crashes from the store, and returns the announced addresses.
 fn apply_items(core: &NodeCore, items: &[StoreItem]) -> Vec<SocketAddr> {
     let mut member_log = MemberLog::default();
     let taken = items
--- a/crates/node/src/discovery/store_probe.rs
+++ b/crates/node/src/discovery/store_probe.rs
@@ -20,11 +20,11 @@
         core.store_lost.notified().await;
         while until_probe_due(&core).await {
             core.metrics.record_store_call("look");
-            let probed = store
+            let probe_result = store
                 .read(key.as_str(), ReadConsistency::Serializable)
                 .await;
             let mut access = core.store_access.borrow_mut();
-            if probed.is_ok() {
+            if probe_result.is_ok() {
                 access.record_probe_success();
             } else {
                 // The loss was logged when the first call failed.
--- a/crates/node/src/discovery/update_handler.rs
+++ b/crates/node/src/discovery/update_handler.rs
@@ -51,7 +51,8 @@
         loop {
             let notified = self.core.update_arrived.notified();
             let response = self.update_for(request);
-            // At revision 0 a starting node knows only the members of its own data centre.
+            // At revision 0 a starting node knows only the members of its own data
+            // centre. They don't count as an update.
             let members = &response.members;
             let no_members = members.is_empty() || members.revision == 0;
             let empty = response.config.is_none() && no_members && response.crashes.is_empty();
--- a/crates/node/src/distribution/relay_selector.rs
+++ b/crates/node/src/distribution/relay_selector.rs
@@ -127,7 +127,7 @@
         }
         self.cut_off_until
             .insert(peer_addr, now + RELAY_EXCLUSION_TIME);
-        self.cut_off_nodes(now) >= CUT_OFF_NODES_MIN
+        self.cut_off_node_count(now) >= CUT_OFF_NODES_MIN
     }
 
     /// Returns whether the relay that responded last is cut off from the store.
@@ -148,10 +148,10 @@
 
     /// Returns whether the store seems unavailable to all nodes, not only to some.
     fn is_store_unavailable(&self, now: Duration) -> bool {
-        self.is_cut_off(now) && self.cut_off_nodes(now) >= CUT_OFF_NODES_MIN
+        self.is_cut_off(now) && self.cut_off_node_count(now) >= CUT_OFF_NODES_MIN
     }
 
-    fn cut_off_nodes(&self, now: Duration) -> usize {
+    fn cut_off_node_count(&self, now: Duration) -> usize {
         let cut = self.cut_off_until.values().filter(|&&until| now < until);
         cut.count()
     }
--- a/crates/node/src/event_log.rs
+++ b/crates/node/src/event_log.rs
@@ -47,10 +47,10 @@
     /// Queueing the request and waiting for the write take half a second each at
     /// most: a stalled reader of the log must not keep the process from ending.
     pub fn wait(&self) {
-        let (done, written) = bounded(1);
+        let (written_sender, written) = bounded(1);
         if self
             .queue
-            .send_timeout(LogItem::Flush(done), FLUSH_TIMEOUT)
+            .send_timeout(LogItem::Flush(written_sender), FLUSH_TIMEOUT)
             .is_ok()
         {
             let _late = written.recv_timeout(FLUSH_TIMEOUT);
@@ -63,27 +63,27 @@
 struct LineWriter {
     line: Vec<u8>,
     queue: Sender<LogItem>,
-    dropped: u64,
+    dropped_lines: u64,
 }
 
 impl LineWriter {
     fn send_line(&mut self) {
         let line = std::mem::take(&mut self.line);
-        if self.dropped > 0 {
+        if self.dropped_lines > 0 {
             let notice = format!(
                 "{{\"msg\":\"log lines dropped\",\"lines\":{}}}\n",
-                self.dropped
+                self.dropped_lines
             );
             if self
                 .queue
                 .try_send(LogItem::Line(notice.into_bytes()))
                 .is_ok()
             {
-                self.dropped = 0;
+                self.dropped_lines = 0;
             }
         }
         if let Err(TrySendError::Full(_)) = self.queue.try_send(LogItem::Line(line)) {
-            self.dropped += 1;
+            self.dropped_lines += 1;
         }
     }
 }
@@ -116,7 +116,7 @@
     let writer = LineWriter {
         line: Vec::new(),
         queue,
-        dropped: 0,
+        dropped_lines: 0,
     };
     let spawned = thread::Builder::new()
         .name("log".to_owned())
@@ -143,12 +143,12 @@
                     }
                     batch.extend_from_slice(&line);
                 }
-                LogItem::Flush(done) => waiters.push(done),
+                LogItem::Flush(written_sender) => waiters.push(written_sender),
             }
         }
         write_batch(&mut output, &mut batch);
-        for done in waiters {
-            let _gone = done.send(());
+        for written_sender in waiters {
+            let _gone = written_sender.send(());
         }
     }
 }
--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -4,9 +4,9 @@
 
 use super::route_statistics::{RankedRoute, RouteStatistics};
 
-/// Run time reserved for a queued request, as a multiple of its route's mean. The margin covers
+/// Run time reserved for a queued request, as a multiple of its route's mean. The factor covers
 /// all but the slowest few runs.
-const RUN_MARGIN: f64 = 1.6;
+const RUN_TIME_FACTOR: f64 = 1.6;
 /// Longest wait of a new request, in mean run times. During overload the queue is always as long
 /// as it may be. It only has to keep every slot busy, and a longer queue makes responses late.
 const NEW_REQUEST_WAIT: f64 = 0.5;
@@ -197,7 +197,7 @@
         } else {
             request.target_deadline
         };
-        let mut latest = useful_until.saturating_sub(run_time.mul_f64(RUN_MARGIN));
+        let mut latest = useful_until.saturating_sub(run_time.mul_f64(RUN_TIME_FACTOR));
         if let Some(longest) = self.longest_wait(run_time).filter(|_| !request.is_nested) {
             latest = latest.min(now + longest);
         }
--- a/crates/node/src/inbound/nested_call_detector.rs
+++ b/crates/node/src/inbound/nested_call_detector.rs
@@ -16,14 +16,14 @@
 /// its refused requests that a failed run follows, which some requests of callers do by chance.
 const NESTED_SHARE_MIN: f64 = 0.5;
 /// Number of refused requests before a route can be taken for nested calls.
-const REJECTIONS_MIN: u32 = 3;
+const REFUSALS_MIN: u32 = 3;
 /// Bound on the number of refused requests under evaluation. Far fewer are refused within
 /// [`FAILURE_WINDOW`].
 const PENDING_MAX: usize = 64;
 
 /// A request that was refused within the last [`FAILURE_WINDOW`].
 #[derive(Debug, Clone, Copy)]
-struct RejectedRequest {
+struct RefusedRequest {
     at: Duration,
     route_hash: u64,
     followed_by_failure: bool,
@@ -32,12 +32,12 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct FailureShare {
     share: MovingMean,
-    rejections: u32,
+    refusals: u32,
 }
 
 impl FailureShare {
     fn is_nested_call(&self) -> bool {
-        self.rejections >= REJECTIONS_MIN && self.share.get().unwrap_or(0.0) >= NESTED_SHARE_MIN
+        self.refusals >= REFUSALS_MIN && self.share.get().unwrap_or(0.0) >= NESTED_SHARE_MIN
     }
 }
 
@@ -50,7 +50,7 @@
 /// nested calls.
 #[derive(Debug, Default)]
 pub struct NestedCallDetector {
-    pending: VecDeque<RejectedRequest>,
+    pending: VecDeque<RefusedRequest>,
     shares: HashMap<u64, FailureShare>,
     newly_detected: Option<u64>,
 }
@@ -61,7 +61,7 @@
     pub fn record_failed_request(&mut self, now: Duration, route_hash: u64) -> Option<u64> {
         self.evaluate_pending(now);
         if self.pending.len() < PENDING_MAX {
-            self.pending.push_back(RejectedRequest {
+            self.pending.push_back(RefusedRequest {
                 at: now,
                 route_hash,
                 followed_by_failure: false,
@@ -77,9 +77,9 @@
             .pending
             .iter_mut()
             .rev()
-            .find(|rejected| !rejected.followed_by_failure);
-        if let Some(rejected) = last {
-            rejected.followed_by_failure = true;
+            .find(|refused| !refused.followed_by_failure);
+        if let Some(refused) = last {
+            refused.followed_by_failure = true;
         }
     }
 
@@ -107,20 +107,20 @@
 
     /// Evaluates the refused requests whose [`FAILURE_WINDOW`] has passed.
     fn evaluate_pending(&mut self, now: Duration) {
-        while let Some(rejected) = self.pending.front().copied() {
-            if now <= rejected.at + FAILURE_WINDOW {
+        while let Some(refused) = self.pending.front().copied() {
+            if now <= refused.at + FAILURE_WINDOW {
                 break;
             }
             self.pending.pop_front();
-            let failure_share = self.shares.entry(rejected.route_hash).or_default();
+            let failure_share = self.shares.entry(refused.route_hash).or_default();
             let before = failure_share.is_nested_call();
-            let followed_by_failure = f64::from(u8::from(rejected.followed_by_failure));
+            let followed_by_failure = f64::from(u8::from(refused.followed_by_failure));
             failure_share
                 .share
                 .observe(followed_by_failure, SHARE_WEIGHT);
-            failure_share.rejections = failure_share.rejections.saturating_add(1);
+            failure_share.refusals = failure_share.refusals.saturating_add(1);
             if failure_share.is_nested_call() && !before {
-                self.newly_detected = Some(rejected.route_hash);
+                self.newly_detected = Some(refused.route_hash);
             }
         }
     }
--- a/crates/node/src/inbound/route_statistics.rs
+++ b/crates/node/src/inbound/route_statistics.rs
@@ -8,12 +8,13 @@
 const RUN_TIME_WEIGHT: f64 = 0.05;
 /// Weight of one decision in the served share of a route. The share follows a change of load
 /// within some thirty decisions, which takes less than a second under load.
-const SERVED_WEIGHT: f64 = 0.03;
+const SERVED_SHARE_WEIGHT: f64 = 0.03;
 /// Number of decisions from which on a served share is compared with others. With fewer, a seldom
 /// used route looks far ahead after one request that was served.
 const DECISIONS_MIN: u32 = 10;
-/// Largest lead of a route's served share over one of its rank or above. Equal shares would leave
-/// behind requests with several nested calls, which need all of them served.
+/// Largest lead of a route's served share over that of another route of the same or a more urgent
+/// rank. Equal shares would leave behind requests with several nested calls, which need all of
+/// them served.
 const LEAD_MAX: f64 = 0.1;
 /// Time after its last request for which a route is compared with others.
 const ACTIVE_TIME: Duration = Duration::from_secs(1);
@@ -62,7 +63,8 @@
 ///
 /// When two routes of one rank share a full backend server, an order by target time alone serves
 /// the route with short targets completely, and the other bears the whole shortage. The served
-/// shares are compared so that no route gets far ahead of one of its rank or above.
+/// shares are compared so that no route gets far ahead of another of the same or a more urgent
+/// rank.
 #[derive(Debug, Default)]
 pub(super) struct RouteStatistics {
     records: HashMap<u64, RouteRecord>,
@@ -83,7 +85,7 @@
             let served = f64::from(u8::from(served));
             record.decisions = record.decisions.saturating_add(1);
             // Weighs the first decisions equally, so that the very first doesn't dominate.
-            let weight = SERVED_WEIGHT.max(1.0 / f64::from(record.decisions));
+            let weight = SERVED_SHARE_WEIGHT.max(1.0 / f64::from(record.decisions));
             record.served.observe(served, weight);
         }
     }
@@ -156,8 +158,9 @@
         route_mean.map_or_else(|| self.mean_run_time(), Duration::from_secs_f64)
     }
 
-    /// Whether the served share of a route is clearly above that of a competitor. Competitors are
-    /// the other routes of its rank or above that had a request within [`ACTIVE_TIME`].
+    /// Whether the served share of a route is more than [`LEAD_MAX`] above that of a competitor.
+    /// Competitors are the other routes of the same or a more urgent rank that had a request
+    /// within [`ACTIVE_TIME`].
     pub(super) fn is_ahead(&self, now: Duration, route: RankedRoute) -> bool {
         let Some(own) = self
             .records
--- a/crates/node/src/link/link_reporter.rs
+++ b/crates/node/src/link/link_reporter.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Logs and counts what the link transmits.
+/// Logs and counts the use of the link.
 #[derive(Debug, Clone)]
 pub struct LinkReporter {
     log: EventLog,
@@ -62,12 +62,12 @@
                 "made_ms" => transfer.millis_since_request(transfer.response_ready_at),
                 "postponed_ms" => transfer.millis_since_request(transfer.postponed_at),
                 "begun_ms" => transfer.millis_since_request(transfer.started_at),
-                "sent_ms" => transfer.millis_since_request(transfer.sent_at),
+                "sent_ms" => transfer.millis_since_request(transfer.last_sent_at),
                 "took_ms" => transfer.millis_since_request(Some(now)));
         }
     }
 
-    /// Counts what the link transmitted, and logs it if long responses were requested.
+    /// Counts the use of the link, and logs it if long responses were requested.
     pub fn record_usage(&self, usage: &LinkUsage, time: Duration, rate: f64, backlog: Duration) {
         for &traffic in LinkTraffic::VARIANTS {
             let label = KeyValue::new("use", <&'static str>::from(traffic));
@@ -75,7 +75,7 @@
         }
         for &outcome in TransferOutcome::VARIANTS {
             self.counters
-                .count_long_responses(outcome.into(), usage.outcomes(outcome));
+                .count_long_responses(outcome.into(), usage.outcome_count(outcome));
         }
         self.counters.count_long_responses("refused", usage.refused);
         if usage.reserved + usage.refused == 0 {
@@ -92,10 +92,10 @@
             "requests" => usage.bytes(LinkTraffic::Request),
             "promised" => usage.reserved,
             "refused" => usage.refused,
-            "in_time" => usage.outcomes(TransferOutcome::InTime),
-            "late" => usage.outcomes(TransferOutcome::Late),
-            "cut" => usage.outcomes(TransferOutcome::Cut),
-            "unmade" => usage.outcomes(TransferOutcome::Unmade),
+            "in_time" => usage.outcome_count(TransferOutcome::InTime),
+            "late" => usage.outcome_count(TransferOutcome::Late),
+            "cut" => usage.outcome_count(TransferOutcome::Cut),
+            "unmade" => usage.outcome_count(TransferOutcome::Unmade),
             "backlog_ms" => backlog.as_millis() as u64);
     }
 }
--- a/crates/node/src/link/link_schedule.rs
+++ b/crates/node/src/link/link_schedule.rs
@@ -17,7 +17,7 @@
 const CHUNK_TIME: Duration = Duration::from_millis(6);
 /// Bounds of a chunk in bytes. Below a packet or two, handing a chunk over costs more than
 /// transmitting it. Above 64 KiB, a chunk exceeds what hyper reads at a time.
-const CHUNK_BYTES: std::ops::RangeInclusive<f64> = 4_096.0..=65_536.0;
+const CHUNK_BYTES_BOUNDS: std::ops::RangeInclusive<f64> = 4_096.0..=65_536.0;
 /// Fraction of the time until a response is due that is planned with. The rest is for the path
 /// through the other node to the caller, and for variations of run times and sizes.
 const DEADLINE_FRACTION: f64 = 0.85;
@@ -104,7 +104,7 @@
     updated_at: Duration,
     /// Remaining part of each reserved transfer.
     transfers: BTreeMap<TransferKey, ReservedTransfer>,
-    /// Transfers that are ready to send a chunk now.
+    /// Transfers that have bytes ready and wait for their turn.
     waiting: BTreeSet<TransferKey>,
     order: u64,
 }
@@ -239,7 +239,7 @@
     /// Returns the size of a chunk in bytes.
     pub fn chunk_bytes(&self) -> usize {
         let bytes = CHUNK_TIME.as_secs_f64() * self.bytes_per_s;
-        bytes.clamp(*CHUNK_BYTES.start(), *CHUNK_BYTES.end()) as usize
+        bytes.clamp(*CHUNK_BYTES_BOUNDS.start(), *CHUNK_BYTES_BOUNDS.end()) as usize
     }
 
     /// Records sent bytes of any response or request.
--- a/crates/node/src/link/link_scheduler.rs
+++ b/crates/node/src/link/link_scheduler.rs
@@ -106,7 +106,7 @@
         self.reporter.record_transfer_end(now, transfer);
     }
 
-    /// Reports what the link transmitted, at most once a second.
+    /// Reports the use of the link since the last report, at most once a second.
     pub fn report_usage(&self, now: Duration) {
         let taken = self.usage.borrow_mut().take_after(now, REPORT_INTERVAL);
         if let Some((usage, time)) = taken {
--- a/crates/node/src/link/link_usage.rs
+++ b/crates/node/src/link/link_usage.rs
@@ -6,12 +6,13 @@
 
 use super::{LinkTraffic, TransferOutcome};
 
-/// Bytes that a link transmitted since the last report, and outcomes of long responses.
+/// Bytes sent to a link since the last report, and outcomes of long responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LinkUsage {
     since: Duration,
     bytes: [u64; LinkTraffic::COUNT],
-    outcomes: [u32; TransferOutcome::COUNT],
+    /// Number of ended long responses by outcome.
+    outcome_counts: [u32; TransferOutcome::COUNT],
     /// Number of long responses for which the link was reserved.
     pub reserved: u32,
     /// Number of long responses for which a reservation was refused.
@@ -26,7 +27,7 @@
 
     /// Counts a long response that ended.
     pub fn record_outcome(&mut self, outcome: TransferOutcome) {
-        self.outcomes[outcome as usize] += 1;
+        self.outcome_counts[outcome as usize] += 1;
     }
 
     /// Returns the bytes of one kind of traffic.
@@ -43,8 +44,8 @@
     }
 
     /// Returns how many long responses had this outcome.
-    pub const fn outcomes(&self, outcome: TransferOutcome) -> u32 {
-        self.outcomes[outcome as usize]
+    pub const fn outcome_count(&self, outcome: TransferOutcome) -> u32 {
+        self.outcome_counts[outcome as usize]
     }
 
     /// Takes the counts if they cover at least `length`, and starts counting from zero. Returns
--- a/crates/node/src/link/transfer_record.rs
+++ b/crates/node/src/link/transfer_record.rs
@@ -39,7 +39,7 @@
     /// Time at which the first bytes were sent; none before.
     pub started_at: Option<Duration>,
     /// Time at which the most recent bytes were sent; none before the first ones.
-    pub sent_at: Option<Duration>,
+    pub last_sent_at: Option<Duration>,
     /// Number of bytes sent so far.
     pub sent: u64,
     /// Whether the last byte was sent.
@@ -62,7 +62,7 @@
             bytes: None,
             response_ready_at: None,
             started_at: None,
-            sent_at: None,
+            last_sent_at: None,
             sent: 0,
             is_complete: false,
             postponed_at: None,
@@ -78,13 +78,13 @@
     /// Records sent bytes.
     pub fn record_sent(&mut self, now: Duration, bytes: u64) {
         self.started_at.get_or_insert(now);
-        self.sent_at = Some(now);
+        self.last_sent_at = Some(now);
         self.sent += bytes;
     }
 
     /// Returns the outcome, given that nothing more is sent.
     pub fn outcome(&self) -> TransferOutcome {
-        let in_time = self.sent_at <= Some(self.reservation_request.target_deadline);
+        let in_time = self.last_sent_at <= Some(self.reservation_request.target_deadline);
         match (self.response_ready_at, self.is_complete) {
             (None, _) => TransferOutcome::Unmade,
             (Some(_), false) => TransferOutcome::Cut,
--- a/crates/node/src/member/load_report.rs
+++ b/crates/node/src/member/load_report.rs
@@ -6,8 +6,8 @@
 
 /// Load of a backend server, which its node reports with each response.
 ///
-/// All requests to the backend server pass through that node, so the numbers of requests
-/// are exact when they are sent.
+/// All requests to the backend server pass through its node, so the numbers of requests
+/// are exact when the report is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
     /// Number of requests that are running.
@@ -68,13 +68,14 @@
         let mut fields = text.split(',');
         let mut next = || fields.next().ok_or(LoadReportError::Missing);
         let (running, waiting) = (next()?.parse()?, next()?.parse()?);
-        let mut millis = || Ok::<_, LoadReportError>(Duration::from_millis(next()?.parse()?));
+        let mut next_duration =
+            || Ok::<_, LoadReportError>(Duration::from_millis(next()?.parse()?));
         Ok(Self {
             running,
             waiting,
-            mean_run_time: millis()?,
-            route_run_time: millis()?,
-            link_backlog: millis()?,
+            mean_run_time: next_duration()?,
+            route_run_time: next_duration()?,
+            link_backlog: next_duration()?,
         })
     }
 }
--- a/crates/node/src/member/member_view.rs
+++ b/crates/node/src/member/member_view.rs
@@ -59,7 +59,7 @@
     runs: SmallVec<[(u64, f64); 4]>,
     /// Mean ratio of the member's run times to those of all members on the same routes.
     run_time_ratio: MovingMean,
-    /// Share of the responses that were failures.
+    /// Moving share of the tries that failed or whose response was lost; starts at 0.
     failures: MovingMean,
     ejected_until: Duration,
     ejection_time: Duration,
@@ -231,10 +231,10 @@
         let mean_run_s = reported.filter(|&run_s| run_s > 0.0).unwrap_or(run_s);
         let slots = f64::from(self.record.slots.max(1));
         let held = self.held(now, averages.requests_per_slot);
-        let queued = (held + 1.0 - slots).max(0.0) / slots;
+        let queued_per_slot = (held + 1.0 - slots).max(0.0) / slots;
         MemberEstimate {
             run_s,
-            queue_s: mean_run_s * queued,
+            queue_s: mean_run_s * queued_per_slot,
             occupancy: (held / slots).min(1.0),
             failure_rate: self.failure_rate(),
         }
@@ -252,7 +252,7 @@
         remaining.as_secs_f64()
     }
 
-    /// Returns the share of the member's recent responses that were failures.
+    /// Returns the share of recent tries at the member that failed or whose response was lost.
     pub(super) fn failure_rate(&self) -> f64 {
         self.failures.get().unwrap_or(0.0)
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -164,7 +164,7 @@
     }
     core.closing.send_replace(true);
     let closed = Instant::now();
-    while closed.elapsed() < CLOSE_TIMEOUT && core.connections.get() > 0 {
+    while closed.elapsed() < CLOSE_TIMEOUT && core.open_sockets.get() > 0 {
         sleep(CLOSE_POLL_INTERVAL).await;
     }
     info!(core.log.logger(), "stopped";
--- a/crates/node/src/node_core/connection_guard.rs
+++ b/crates/node/src/node_core/connection_guard.rs
@@ -10,7 +10,7 @@
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        let open_connections = self.0.connections.get();
-        self.0.connections.set(open_connections.saturating_sub(1));
+        let open_sockets = self.0.open_sockets.get();
+        self.0.open_sockets.set(open_sockets.saturating_sub(1));
     }
 }
--- a/crates/node/src/node_core/endpoint_reports.rs
+++ b/crates/node/src/node_core/endpoint_reports.rs
@@ -76,7 +76,7 @@
     pub async fn until_announced(&self) {
         let wait = async {
             while self.announcement_outdated.get() {
-                self.announced.notified().await;
+                self.announcement_written.notified().await;
             }
             self.inbound.broken_runs().until_peers_notified().await;
         };
--- a/crates/node/src/node_core/mod.rs
+++ b/crates/node/src/node_core/mod.rs
@@ -94,7 +94,7 @@
     /// Wakes the task that confirms `earlier_record` with the backend server.
     pub earlier_record_received: Notify,
     /// Wakes tasks that wait until the announcement is written to the store.
-    pub announced: Notify,
+    pub announcement_written: Notify,
     /// Whether the announcement in the store is known to be outdated.
     pub announcement_outdated: Cell<bool>,
     /// Version and address of a node with a newer configuration than this node's.
@@ -122,7 +122,7 @@
     /// Number of open requests from callers and other nodes.
     pub open_requests: Cell<u32>,
     /// Number of open incoming connections and listeners.
-    pub connections: Cell<u32>,
+    pub open_sockets: Cell<u32>,
     /// Whether listeners and connections are being closed.
     pub closing: watch::Sender<bool>,
     /// First arrival times of requests without a response, which callers may resend.
@@ -186,7 +186,7 @@
             earlier_record: RefCell::default(),
             earlier_lease: Cell::new(None),
             earlier_record_received: Notify::new(),
-            announced: Notify::new(),
+            announcement_written: Notify::new(),
             announcement_outdated: Cell::new(false),
             newer_config_at: RefCell::default(),
             newer_config_known: Notify::new(),
@@ -200,7 +200,7 @@
             relay_selector: RefCell::new(RelaySelector::new(settings.peer_addr)),
             history: RefCell::default(),
             open_requests: Cell::new(0),
-            connections: Cell::new(0),
+            open_sockets: Cell::new(0),
             closing: watch::Sender::new(false),
             resends: RefCell::default(),
             deadlines: RefCell::default(),
@@ -222,7 +222,7 @@
 
     /// Counts a connection or a listener as open until the returned guard is dropped.
     pub fn connection_guard(self: &Rc<Self>) -> ConnectionGuard {
-        self.connections.set(self.connections.get() + 1);
+        self.open_sockets.set(self.open_sockets.get() + 1);
         ConnectionGuard(Rc::clone(self))
     }
 
--- a/crates/node/src/node_core/request_outcomes.rs
+++ b/crates/node/src/node_core/request_outcomes.rs
@@ -17,7 +17,7 @@
 };
 
 impl NodeCore {
-    fn count(
+    fn count_request(
         &self,
         request: &OutboundRequest,
         code: ResultCode,
@@ -47,7 +47,7 @@
             "cause" => "its runs fail when these are turned away");
     }
 
-    /// Records a request that got the response of a backend server from the member `at`.
+    /// Records a request that got a backend server's response, from the member `at` if known.
     pub fn record_served(
         &self,
         request: &OutboundRequest,
@@ -75,7 +75,7 @@
             _ if took <= request.route.target_latency => RequestResult::Good,
             _ => RequestResult::Slow,
         };
-        self.count(request, ResultCode::Ok, result, took);
+        self.count_request(request, ResultCode::Ok, result, took);
         if result == RequestResult::Good && tries == 1 {
             return;
         }
@@ -101,7 +101,7 @@
         cause: Option<&str>,
     ) {
         let took = request.arrived.elapsed();
-        self.count(request, reply.code, RequestResult::Failed, took);
+        self.count_request(request, reply.code, RequestResult::Failed, took);
         if let Some(log) = self.log.for_request(self.clock.now(), reply.code.into()) {
             info!(log, "request given up";
                 "request" => &*request.id,
--- a/crates/node/src/outbound/deadline_tracker.rs
+++ b/crates/node/src/outbound/deadline_tracker.rs
@@ -1,4 +1,4 @@
-//! Detects requests that callers send again by their remaining time.
+//! Recognises, by their remaining time, requests that callers send again.
 
 use std::{collections::HashMap, time::Duration};
 
--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -31,7 +31,7 @@
     }
 
     /// Keeps the connection on which the response arrives until the guard is dropped.
-    pub fn hold(&mut self, sender: PooledConnection) {
+    pub fn hold_connection(&mut self, sender: PooledConnection) {
         self.sender = Some(sender);
     }
 
--- a/crates/node/src/outbound/outbound_proxy.rs
+++ b/crates/node/src/outbound/outbound_proxy.rs
@@ -28,9 +28,9 @@
 const WAITING_REQUESTS_MAX: u32 = 128;
 /// Smallest `Retry-After` before the first configuration. If no configuration arrives soon
 /// after the start, the store is unavailable.
-const RETRY_NOT_READY_MIN: Duration = Duration::from_millis(500);
+const RETRY_AFTER_NOT_READY_MIN: Duration = Duration::from_millis(500);
 /// `Retry-After` while the node stops. A restarted process is ready within about a second.
-const RETRY_STOPPING: Duration = Duration::from_millis(250);
+const RETRY_AFTER_STOPPING: Duration = Duration::from_millis(250);
 /// Time before the caller's deadline at which it gets a final response. The response takes a
 /// millisecond to reach the caller, and a few more on a busy machine.
 const ANSWER_MARGIN: Duration = Duration::from_millis(8);
@@ -81,7 +81,10 @@
         arrived: Instant,
     ) -> Result<OutboundRequest, LocalReply> {
         if self.core.rejects_new_callers() {
-            return Err(LocalReply::not_run(ResultCode::Draining, RETRY_STOPPING));
+            return Err(LocalReply::not_run(
+                ResultCode::Draining,
+                RETRY_AFTER_STOPPING,
+            ));
         }
         let (mut head, body) = incoming.into_parts();
         let config = self.current_config().await?;
@@ -146,7 +149,7 @@
             }
             let time_left = FIRST_CONFIG_TIMEOUT.saturating_sub(self.core.clock.now());
             if time_left.is_zero() || self.core.open_requests.get() > WAITING_REQUESTS_MAX {
-                let retry_after = time_left.max(RETRY_NOT_READY_MIN);
+                let retry_after = time_left.max(RETRY_AFTER_NOT_READY_MIN);
                 return Err(LocalReply::not_run(ResultCode::NotReady, retry_after));
             }
             let _timed_out = timeout(time_left, updated).await;
@@ -156,8 +159,8 @@
     /// Refuses a request whose fingerprint has crashed backend servers.
     fn check_fingerprint(&self, fingerprint: u64) -> Result<(), LocalReply> {
         let now = self.core.clock.now();
-        let refusal = self.core.crashes.borrow().refusal(now, fingerprint);
-        refusal.map_or(Ok(()), |retry_after| {
+        let retry_after = self.core.crashes.borrow().refusal(now, fingerprint);
+        retry_after.map_or(Ok(()), |retry_after| {
             Err(LocalReply::not_run(ResultCode::Poisoned, retry_after))
         })
     }
--- a/crates/node/src/outbound/try_flow.rs
+++ b/crates/node/src/outbound/try_flow.rs
@@ -130,27 +130,30 @@
             self.core
                 .record_silent(self.request, &next.record, silence_timeout);
         }
-        let other = if silent && self.may_hedge(tries) {
+        let hedge_try = if silent && self.may_hedge(tries) {
             self.next_try(tries)
         } else {
             None
         };
-        let Some(other) = other else {
+        let Some(hedge_try) = hedge_try else {
             let result = first.await;
             return (next, result);
         };
-        tries.begin(other.key);
-        let mut second = Box::pin(self.try_sender(&other).send(other.key, &other.record));
+        tries.begin(hedge_try.key);
+        let mut second = Box::pin(
+            self.try_sender(&hedge_try)
+                .send(hedge_try.key, &hedge_try.record),
+        );
         select! {
             biased;
             result = &mut second => match result {
                 Ok(response) => {
                     drop((first, second));
                     tries.in_flight -= 1;
-                    (other, Ok(response))
+                    (hedge_try, Ok(response))
                 }
                 Err(failure) => {
-                    self.record_failure(tries, &other, failure);
+                    self.record_failure(tries, &hedge_try, failure);
                     let result = first.await;
                     (next, result)
                 }
@@ -164,7 +167,7 @@
                 Err(failure) => {
                     self.record_failure(tries, &next, failure);
                     let result = second.await;
-                    (other, result)
+                    (hedge_try, result)
                 }
             },
         }
--- a/crates/node/src/outbound/try_record.rs
+++ b/crates/node/src/outbound/try_record.rs
@@ -22,7 +22,7 @@
 pub(super) const PROBES_MAX: usize = 1;
 /// `Retry-After` when no backend server takes requests. A backend server restarts, or is
 /// announced again, within one or two seconds.
-const RETRY_NO_BACKEND: Duration = Duration::from_millis(250);
+const RETRY_AFTER_NO_BACKEND: Duration = Duration::from_millis(250);
 /// Smallest `Retry-After` of a reply to a request whose tries were refused or timed out.
 pub(super) const RETRY_AFTER_MIN: Duration = Duration::from_millis(30);
 
@@ -130,7 +130,7 @@
         } else {
             ResultCode::NodeUnreachable
         };
-        return LocalReply::not_run(code, RETRY_NO_BACKEND);
+        return LocalReply::not_run(code, RETRY_AFTER_NO_BACKEND);
     };
     let retry_after = refusal.retry_after.max(RETRY_AFTER_MIN);
     LocalReply::not_run(result_code_of(refusal.reason), retry_after)
--- a/crates/node/src/outbound/try_sender.rs
+++ b/crates/node/src/outbound/try_sender.rs
@@ -129,7 +129,7 @@
             }
             Err(ExchangeError::ResponseLost { reason }) => return Err(undiagnosed(reason)),
         };
-        guard.hold(sender);
+        guard.hold_connection(sender);
         self.record_peer_headers(key, record, response.headers());
         let refusal = parse_header::<InboundRefusal>(response.headers(), &PEER_REFUSAL_HEADER);
         let failure = header_text(response.headers(), &PEER_FAILURE_HEADER).map(ToOwned::to_owned);
--- a/crates/node/src/response_body.rs
+++ b/crates/node/src/response_body.rs
@@ -173,11 +173,11 @@
                 ended => return Poll::Ready(ended),
             }
         }
-        let chunk = match &mut self.reservation {
+        let turn_bytes = match &mut self.reservation {
             Some(reservation) => ready!(reservation.poll_turn(cx)),
             None => unsent.len(),
         };
-        let chunk = unsent.split_to(chunk.min(unsent.len()));
+        let chunk = unsent.split_to(turn_bytes.min(unsent.len()));
         self.record_sent(chunk.len());
         Poll::Ready(Some(Ok(Frame::data(chunk))))
     }
--- a/crates/node/src/result_code.rs
+++ b/crates/node/src/result_code.rs
@@ -51,7 +51,7 @@
     NotReady = 110,
     /// The backend server's queue or its instance's network link is full.
     QueueFull = 111,
-    /// The deadline passed before the request was sent to a backend server.
+    /// The deadline passed before the request ran on a backend server.
     DeadlineBeforeRun = 113,
     /// No live backend server provides the service.
     NoBackend = 115,
@@ -90,7 +90,7 @@
     /// A setting is missing or malformed.
     BadSetting = 401,
 
-    /// A node's status or metrics page can't be reached.
+    /// A node's status, metrics or members page can't be reached.
     NodePageUnreachable = 501,
     /// A node's status or metrics page can't be parsed.
     NodePageMalformed = 502,
