--- a/crates/node/src/inbound/admission_queue.rs
+++ b/crates/node/src/inbound/admission_queue.rs
@@ -9,7 +9,7 @@
 const RUN_TIME_FACTOR: f64 = 1.6;
 /// Longest wait of a new request, in mean run times. During overload the queue is always as long
 /// as it may be. It only has to keep every slot busy, and a longer queue makes responses late.
-const NEW_REQUEST_WAIT: f64 = 0.5;
+const NEW_REQUEST_WAIT_RUNS: f64 = 0.5;
 /// Number of requests that may wait in any case. With fewer, the queue runs empty whenever some
 /// requests arrive later than usual, and a slot stands idle.
 const WAITING_MIN: f64 = 4.0;
@@ -222,7 +222,7 @@
     fn longest_wait(&self, run_time: Duration) -> Option<Duration> {
         let wait_per_position = self.mean_run_time().div_f64(self.slots.into());
         let longest = run_time
-            .mul_f64(NEW_REQUEST_WAIT)
+            .mul_f64(NEW_REQUEST_WAIT_RUNS)
             .max(wait_per_position.mul_f64(WAITING_MIN));
         (longest > Duration::ZERO).then_some(longest)
     }
--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -9,8 +9,8 @@
 use super::{
     InboundError, InboundProxy, InboundRequest, RefusalReason, RunSlot,
     inbound_proxy::{
-        IDLE_TIMEOUT_IDEMPOTENT, IDLE_TIMEOUT_NON_IDEMPOTENT, RETRY_OTHER_NODE_AFTER, broke,
-        refused,
+        IDLE_TIMEOUT_IDEMPOTENT, IDLE_TIMEOUT_NON_IDEMPOTENT, RETRY_OTHER_NODE_AFTER, refused,
+        response_lost,
     },
 };
 use crate::{
@@ -22,6 +22,7 @@
 };
 
 impl InboundProxy {
+    /// Runs a request on the backend server in a slot, and returns the checked response.
     pub(super) async fn call(
         &self,
         request: InboundRequest,
@@ -104,16 +105,16 @@
         }
         if id.is_some() && headers.get(&self.headers.request_id) != id {
             // The response belongs to an earlier request; it came late or twice.
-            return broke("the response names another request");
+            return response_lost("the response names another request");
         }
         if headers.contains_key(&self.headers.not_executed) {
             return refused(RefusalReason::EndpointRefused, RETRY_OTHER_NODE_AFTER);
         }
         if status.is_success() && !headers.contains_key(&self.headers.signature) {
-            return broke("the response has no signature");
+            return response_lost("the response has no signature");
         }
         if headers.contains_key(header::CONTENT_ENCODING) {
-            return broke("the response is encoded");
+            return response_lost("the response is encoded");
         }
         Ok(())
     }
@@ -145,6 +146,6 @@
                 ResponseBody::whole(whole.to_bytes()),
             ))
         }
-        Err(error) => broke(error.to_string()),
+        Err(error) => response_lost(error.to_string()),
     }
 }
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -258,7 +258,7 @@
         if let Ok(result) = &response {
             self.record_run(result);
         }
-        let response = response.unwrap_or_else(|_elapsed| broke("no response in time"))?;
+        let response = response.unwrap_or_else(|_elapsed| response_lost("no response in time"))?;
         if response.status().is_success() {
             self.crashes.borrow_mut().record_completion(fingerprint);
         }
@@ -307,7 +307,7 @@
     Err(InboundError::Refused { refusal })
 }
 
-pub(super) fn broke<T>(reason: impl Into<String>) -> Result<T, InboundError> {
+pub(super) fn response_lost<T>(reason: impl Into<String>) -> Result<T, InboundError> {
     let reason = reason.into();
     let diagnosis = None;
     Err(InboundError::ResponseLost { reason, diagnosis })
--- a/crates/node/src/inbound/run_slot.rs
+++ b/crates/node/src/inbound/run_slot.rs
@@ -10,7 +10,7 @@
 /// A slot of the backend server, held by one request until its response is ready.
 ///
 /// A long response is ready once its head has arrived: only its transfer on the link remains, and
-/// the slot is free for the next request. A slot that is dropped before counts as a run cut short.
+/// the slot is free for the next request. A slot that is dropped before its release counts as an incomplete run.
 /// The connection is held until the end of the response; dropping it earlier closes it, which
 /// cancels the run.
 #[derive(Debug)]
@@ -18,7 +18,9 @@
     inner: Rc<InboundState>,
     route_hash: u64,
     started: Instant,
+    /// Connection on which the response arrives; none before its head has arrived.
     sender: Option<PooledConnection>,
+    /// Whether the slot has been freed; the response may still be in transfer.
     released: bool,
 }
 
--- a/crates/node/src/inbound/slot_wait.rs
+++ b/crates/node/src/inbound/slot_wait.rs
@@ -15,6 +15,7 @@
     inner: &'a Rc<InboundState>,
     key: QueueKey,
     route_hash: u64,
+    /// Whether the request got its slot or was removed from the queue.
     settled: bool,
 }
 
--- a/crates/node/src/member/member_choice.rs
+++ b/crates/node/src/member/member_choice.rs
@@ -14,13 +14,13 @@
 /// slots are in use and the queues are empty on average.
 const PROBE_REQUESTS_PER_SLOT_MAX: f64 = 1.0;
 /// Silence timeout as a multiple of the expected response time.
-const SILENCE_RUNS: f64 = 3.0;
+const SILENCE_TIMEOUT_FACTOR: f64 = 3.0;
 /// Shortest silence timeout. A machine that has used up its CPU quota is paused for a tenth
 /// of a second.
 const SILENCE_TIMEOUT_MIN: Duration = Duration::from_millis(300);
 /// Ratio of failure rates up to which a service counts as healthier than a member: the mean
 /// failure rate of the service to that of the member.
-const HEALTHIER_FACTOR: f64 = 0.5;
+const HEALTHIER_RATIO_MAX: f64 = 0.5;
 
 /// Selection of a member for a request.
 ///
@@ -168,7 +168,7 @@
         let Some(pool) = self.services.get(query.service) else {
             return false;
         };
-        let unusual = pool.mean_failure_rate() <= failing * HEALTHIER_FACTOR;
+        let unusual = pool.mean_failure_rate() <= failing * HEALTHIER_RATIO_MAX;
         let mut candidates = self.candidates(pool, query);
         unusual && candidates.any(|(_, member)| member.is_available(now))
     }
@@ -192,7 +192,7 @@
             return SILENCE_TIMEOUT_MIN.max(query.target_latency);
         }
         let expected = self.get(key).map_or(0.0, |member| cost.expected_s(member));
-        SILENCE_TIMEOUT_MIN.max(Duration::from_secs_f64(expected * SILENCE_RUNS))
+        SILENCE_TIMEOUT_MIN.max(Duration::from_secs_f64(expected * SILENCE_TIMEOUT_FACTOR))
     }
 
     /// Whether a member has sent this node no response or refusal since `since`.
--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -11,6 +11,7 @@
 pub struct InFlightGuard {
     core: Rc<NodeCore>,
     key: MemberKey,
+    /// Connection on which the response arrives; none before its head has arrived.
     sender: Option<PooledConnection>,
 }
 
