--- a/crates/node/src/outbound/in_flight_guard.rs
+++ b/crates/node/src/outbound/in_flight_guard.rs
@@ -11,6 +11,7 @@
 pub struct InFlightGuard {
     core: Rc<NodeCore>,
     key: MemberKey,
+    /// Connection on which the response arrives; none before its head has arrived.
     sender: Option<PooledConnection>,
 }
 
@@ -31,7 +32,7 @@
     }
 
     /// Keeps the connection on which the response arrives until the guard is dropped.
-    pub fn hold(&mut self, sender: PooledConnection) {
+    pub fn hold_connection(&mut self, sender: PooledConnection) {
         self.sender = Some(sender);
     }
 
