--- a/crates/node/src/inbound/endpoint_call.rs
+++ b/crates/node/src/inbound/endpoint_call.rs
@@ -105,16 +105,16 @@
         }
         if id.is_some() && headers.get(&self.headers.request_id) != id {
             // The response belongs to an earlier request; it came late or twice.
-            return response_lost("the response names another request");
+            return response_lost("the answer names another request");
         }
         if headers.contains_key(&self.headers.not_executed) {
             return refused(RefusalReason::EndpointRefused, RETRY_OTHER_NODE_AFTER);
         }
         if status.is_success() && !headers.contains_key(&self.headers.signature) {
-            return response_lost("the response has no signature");
+            return response_lost("the answer has no signature");
         }
         if headers.contains_key(header::CONTENT_ENCODING) {
-            return response_lost("the response is encoded");
+            return response_lost("the answer is encoded");
         }
         Ok(())
     }
--- a/crates/node/src/inbound/inbound_proxy.rs
+++ b/crates/node/src/inbound/inbound_proxy.rs
@@ -258,7 +258,7 @@
         if let Ok(result) = &response {
             self.record_run(result);
         }
-        let response = response.unwrap_or_else(|_elapsed| response_lost("no response in time"))?;
+        let response = response.unwrap_or_else(|_elapsed| response_lost("no answer in time"))?;
         if response.status().is_success() {
             self.crashes.borrow_mut().record_completion(fingerprint);
         }
